--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -59,10 +59,10 @@
 	code, _ = get(t, url+"/live")
 	assert.Equal(t, code, http.StatusOK)
 
-	st, err := Ask(ctx, l.Addr().String())
+	st, err := FetchStatus(ctx, l.Addr().String())
 	assert.NilError(t, err)
 	assert.Equal(t, st.Process, "e1")
-	all, err := AskAudit(ctx, l.Addr().String())
+	all, err := FetchAudit(ctx, l.Addr().String())
 	assert.NilError(t, err)
 	assert.Equal(t, len(all), 2)
 	assert.NilError(t, audit.Verify(st.Changes), "the chain holds after JSON")
@@ -70,12 +70,12 @@
 	var records []audit.Record
 	assert.NilError(t, json.Unmarshal([]byte(text), &records))
 	assert.Equal(t, records[0].Subject, "u")
-	assert.Assert(t, IsErrAnswer(ask(ctx, l.Addr().String(), "/audit?last=-1", &records)))
+	assert.Assert(t, IsErrResponse(fetchJSON(ctx, l.Addr().String(), "/audit?last=-1", &records)))
 	cancel()
 	assert.NilError(t, <-done)
 }
 
-func fleet() *chestnutstep.View {
+func testView() *chestnutstep.View {
 	return chestnutstep.NewView(&chestnutstep.Publication{
 		Domains: []chestnutstep.Domain{{Name: "a", Region: "r"}, {Name: "b", Region: "r", Out: true}},
 		Hosts:   []chestnutstep.Host{{Name: "a1", Domain: "a"}, {Name: "a2", Domain: "a", Out: true}, {Name: "b1", Domain: "b"}},
@@ -99,21 +99,21 @@
 		"cold":    {Running: 1, Cap: 1, Cold: true, Weight: 0.25},
 		"leaving": {Running: 2, Cap: 4, Leaving: true},
 	}
-	v := fleet()
+	v := testView()
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	s := Status{
 		Process: "entry-1", Role: "entry", Host: "a9", Domain: "a", Region: "r", Started: now.Add(-time.Hour),
-		Why:         "stopping",
-		Alone:       true,
-		Publication: Publication{Version: 7, Silent: true, Since: now.Add(-time.Minute), Refused: 8, Why: "hosts[0]: no domain"},
-		Domains: Layout(v, func(t *chestnutstep.Target) Target {
+		NotReadyReason: "stopping",
+		NoPeers:        true,
+		Publication:    Publication{Version: 7, PlatformUnresponsive: true, Since: now.Add(-time.Minute), RefusedVersion: 8, RefusalReason: "hosts[0]: no domain"},
+		Domains: TargetsByDomain(v, func(t *chestnutstep.Target) Target {
 			l := loads[t.Name]
-			return Target{Name: t.Name, Host: t.Host, Model: t.Model, Load: l, Why: Why(v, t, l, l != nil)}
+			return Target{Name: t.Name, Host: t.Host, Model: t.Model, Load: l, IdleReason: IdleReason(v, t, l, l != nil)}
 		}),
-		Suspects: []Suspect{{Content: "00ff", Crashed: []string{"busy"}}, {Content: "11", Condemned: true, Crashed: []string{"busy", "full"}}},
+		Suspects: []Suspect{{Content: "00ff", CrashedTargets: []string{"busy"}}, {Content: "11", Condemned: true, CrashedTargets: []string{"busy", "full"}}},
 		Changes:  []audit.Record{{Seq: 4, Time: now, Version: 7, Kind: audit.KindDomain, Subject: "b", Before: "in", After: "out", Cause: "publication 7"}},
 	}
 	var b bytes.Buffer
-	assert.NilError(t, s.Page(&b, now))
+	assert.NilError(t, s.WriteText(&b, now))
 	golden.Assert(t, b.String(), "page.golden")
 }
--- a/admin/ask.go
+++ b/admin/ask.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	// askTime bounds a question to one process: an operator who looks at a
+	// fetchTimeout bounds a question to one process: an operator who looks at a
 	// fleet in trouble must not wait for the one host that hangs.
-	askTime = 3 * time.Second
-	// askMost bounds an answer in bytes: the largest fleet's status is below.
-	askMost = 16 << 20
+	fetchTimeout = 3 * time.Second
+	// maxResponseBytes bounds an answer in bytes: the largest fleet's status is below.
+	maxResponseBytes = 16 << 20
 )
 
-// ErrAnswer says that an admin address answered with an error.
-type ErrAnswer struct {
+// ErrResponse says that an admin address answered with an error.
+type ErrResponse struct {
 	Addr string
 	Code int
 	Text string
 }
 
 // Error names the address and what it said.
-func (e ErrAnswer) Error() string {
+func (e ErrResponse) Error() string {
 	return fmt.Sprintf("%s answered %d: %s", e.Addr, e.Code, e.Text)
 }
 
-// IsErrAnswer says whether an admin address answered with an error.
-func IsErrAnswer(err error) bool {
-	var e ErrAnswer
+// IsErrResponse says whether an admin address answered with an error.
+func IsErrResponse(err error) bool {
+	var e ErrResponse
 	return errors.As(err, &e)
 }
 
-// Ask reads the status of the process with that admin address.
-func Ask(ctx context.Context, addr string) (Status, error) {
+// FetchStatus reads the status of the process with that admin address.
+func FetchStatus(ctx context.Context, addr string) (Status, error) {
 	var s Status
-	err := ask(ctx, addr, "/status", &s)
+	err := fetchJSON(ctx, addr, "/status", &s)
 	return s, err
 }
 
-// AskAudit reads all audit records that the process with that admin address
+// FetchAudit reads all audit records that the process with that admin address
 // keeps.
-func AskAudit(ctx context.Context, addr string) ([]audit.Record, error) {
+func FetchAudit(ctx context.Context, addr string) ([]audit.Record, error) {
 	var records []audit.Record
-	err := ask(ctx, addr, "/audit", &records)
+	err := fetchJSON(ctx, addr, "/audit", &records)
 	return records, err
 }
 
-func ask(ctx context.Context, addr, path string, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func fetchJSON(ctx context.Context, addr, path string, v any) error {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -66,12 +66,12 @@
 		return errors.Wrap(err, "ask")
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, askMost))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Wrapf(err, "admin address %s", addr)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.WithStack(ErrAnswer{Addr: addr, Code: resp.StatusCode, Text: string(raw)})
+		return errors.WithStack(ErrResponse{Addr: addr, Code: resp.StatusCode, Text: string(raw)})
 	}
 	return errors.Wrapf(json.Unmarshal(raw, v), "admin address %s", addr)
 }
--- a/admin/page.go
+++ b/admin/page.go
@@ -10,11 +10,11 @@
 	"chestnutstep.example/chestnutstep/audit"
 )
 
-// Page writes the status as a page for a terminal. Now is the reader's
+// WriteText writes the status as a page for a terminal. Now is the reader's
 // clock, for ages.
-func (s *Status) Page(w io.Writer, now time.Time) error {
-	p := &pager{w: tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)}
-	p.head(s, now)
+func (s *Status) WriteText(w io.Writer, now time.Time) error {
+	p := &textWriter{w: tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)}
+	p.header(s, now)
 	for _, d := range s.Domains {
 		p.domain(d)
 	}
@@ -23,20 +23,20 @@
 	return p.w.Flush()
 }
 
-type pager struct{ w *tabwriter.Writer }
+type textWriter struct{ w *tabwriter.Writer }
 
 // printf leaves errors to Flush, which reports the first.
-func (p *pager) printf(format string, a ...any) {
+func (p *textWriter) printf(format string, a ...any) {
 	_, _ = fmt.Fprintf(p.w, format, a...)
 }
 
-func (p *pager) head(s *Status, now time.Time) {
+func (p *textWriter) header(s *Status, now time.Time) {
 	p.printf("%s %s on host %s, domain %s, region %s, up %s\n",
 		s.Role, s.Process, s.Host, s.Domain, s.Region, age(now, s.Started))
 	if s.Ready {
-		p.printf("ready, %d requests in progress\n", s.Streams)
+		p.printf("ready, %d requests in progress\n", s.OpenRequests)
 	} else {
-		p.printf("not ready (%s), %d requests in progress\n", s.Why, s.Streams)
+		p.printf("not ready (%s), %d requests in progress\n", s.NotReadyReason, s.OpenRequests)
 	}
 	pub := s.Publication
 	if pub.Version == 0 {
@@ -44,18 +44,18 @@
 	} else {
 		p.printf("publication %d in force for %s\n", pub.Version, age(now, pub.Since))
 	}
-	if pub.Refused != 0 {
-		p.printf("publication %d was refused: %s\n", pub.Refused, pub.Why)
+	if pub.RefusedVersion != 0 {
+		p.printf("publication %d was refused: %s\n", pub.RefusedVersion, pub.RefusalReason)
 	}
-	if pub.Silent {
+	if pub.PlatformUnresponsive {
 		p.printf("the configuration service does not answer\n")
 	}
-	if s.Alone {
+	if s.NoPeers {
 		p.printf("no peer answers\n")
 	}
 }
 
-func (p *pager) domain(d Domain) {
+func (p *textWriter) domain(d Domain) {
 	state := "in service"
 	if d.Out {
 		state = "OUT"
@@ -70,9 +70,9 @@
 	}
 }
 
-func (p *pager) target(t Target) {
+func (p *textWriter) target(t Target) {
 	if t.Load == nil {
-		p.printf("%s\t%s\t%s\t-\t-\t-\t-\t-\t-\t%s\n", t.Name, t.Host, t.Model, dash(t.Why))
+		p.printf("%s\t%s\t%s\t-\t-\t-\t-\t-\t-\t%s\n", t.Name, t.Host, t.Model, orDash(t.IdleReason))
 		return
 	}
 	mean := "-"
@@ -80,10 +80,10 @@
 		mean = fmt.Sprintf("%.1f", t.Mean.Load)
 	}
 	p.printf("%s\t%s\t%s\t%d\t%d\t%d\t%.2f\t%s\t%s\t%s\n", t.Name, t.Host, t.Model,
-		t.Load.Running, t.Load.Waiting, t.Load.Cap, t.Load.Weight, mean, warmth(t), dash(t.Why))
+		t.Load.Running, t.Load.Waiting, t.Load.Cap, t.Load.Weight, mean, targetState(t), orDash(t.IdleReason))
 }
 
-func warmth(t Target) string {
+func targetState(t Target) string {
 	state := "warm"
 	if t.Load.Cold {
 		state = "cold"
@@ -94,7 +94,7 @@
 	return state
 }
 
-func (p *pager) suspects(list []Suspect) {
+func (p *textWriter) suspects(list []Suspect) {
 	if len(list) == 0 {
 		return
 	}
@@ -104,11 +104,11 @@
 		if s.Condemned {
 			state = "condemned"
 		}
-		p.printf("%s\t%s\t%s\n", s.Content, state, strings.Join(s.Crashed, ", "))
+		p.printf("%s\t%s\t%s\n", s.Content, state, strings.Join(s.CrashedTargets, ", "))
 	}
 }
 
-func (p *pager) changes(list []audit.Record) {
+func (p *textWriter) changes(list []audit.Record) {
 	if len(list) == 0 {
 		return
 	}
@@ -116,15 +116,15 @@
 	p.records(list)
 }
 
-func (p *pager) records(list []audit.Record) {
+func (p *textWriter) records(list []audit.Record) {
 	p.printf("seq\ttime\tversion\tkind\tsubject\tbefore\tafter\tcause\n")
 	for _, r := range list {
 		p.printf("%d\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", r.Seq, r.Time.Format(time.RFC3339),
-			r.Version, r.Kind, r.Subject, dash(r.Before), dash(r.After), dash(r.Cause))
+			r.Version, r.Kind, r.Subject, orDash(r.Before), orDash(r.After), orDash(r.Cause))
 	}
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
@@ -132,6 +132,6 @@
 }
 
 // age is the time since a moment, in whole seconds.
-func age(now, then time.Time) time.Duration {
-	return now.Sub(then).Round(time.Second)
+func age(now, since time.Time) time.Duration {
+	return now.Sub(since).Round(time.Second)
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// readTime bounds the reading of a request: an idle connection of a
+	// readTimeout bounds the reading of a request: an idle connection of a
 	// scraper that went away must not be held for ever.
-	readTime = 10 * time.Second
-	// stopTime bounds a graceful stop: what is served here is short.
-	stopTime = 2 * time.Second
+	readTimeout = 10 * time.Second
+	// shutdownTimeout bounds a graceful stop: what is served here is short.
+	shutdownTimeout = 2 * time.Second
 )
 
 // Server answers on the admin address. It tells who asks what the process
@@ -52,7 +52,7 @@
 			return errors.Wrapf(err, "admin address %s", s.Addr)
 		}
 	}
-	srv := &http.Server{Handler: s.Handler(), ReadTimeout: readTime}
+	srv := &http.Server{Handler: s.Handler(), ReadTimeout: readTimeout}
 	stop := context.AfterFunc(ctx, func() { shutdown(srv) })
 	defer stop()
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -63,7 +63,7 @@
 }
 
 func shutdown(srv *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if srv.Shutdown(ctx) != nil {
 		srv.Close()
@@ -106,13 +106,13 @@
 	}
 	st := s.Status()
 	if st.Changes == nil && s.Audit != nil {
-		st.Changes = s.Audit.Last(statusChanges)
+		st.Changes = s.Audit.Last(statusRecords)
 	}
-	write(w, st)
+	writeJSON(w, st)
 }
 
-// statusChanges is how many audit records a status shows: a screen's worth.
-const statusChanges = 20
+// statusRecords is how many audit records a status shows: a screen's worth.
+const statusRecords = 20
 
 func (s *Server) audit(w http.ResponseWriter, r *http.Request) {
 	if s.Audit == nil {
@@ -128,10 +128,10 @@
 			return
 		}
 	}
-	write(w, s.Audit.Last(n))
+	writeJSON(w, s.Audit.Last(n))
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/admin/trail.go
+++ b/admin/trail.go
@@ -7,9 +7,9 @@
 	"chestnutstep.example/chestnutstep/audit"
 )
 
-// Trail writes audit records as a page for a terminal.
-func Trail(w io.Writer, records []audit.Record) error {
-	p := &pager{w: tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)}
+// WriteTrail writes audit records as a page for a terminal.
+func WriteTrail(w io.Writer, records []audit.Record) error {
+	p := &textWriter{w: tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)}
 	p.records(records)
 	return p.w.Flush()
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -143,7 +143,7 @@
 	a.refresh(a.Clock())
 	// An agent that starts knows nothing of its target: it may have restarted
 	// with the host, so it counts as cold until it proves warm.
-	a.Gate.Chill(a.Clock())
+	a.Gate.MarkCold(a.Clock())
 }
 
 func (a *Agent) loop(ctx context.Context) {
@@ -198,7 +198,7 @@
 	if away := a.Leaving(); away != a.away {
 		a.away = away
 		a.turn(awayEvent(away))
-		a.Gate.Leave(now, away)
+		a.Gate.SetLeaving(now, away)
 		a.Notify(Notice{Kind: NoticeLeaving, Subject: a.Name, After: strconv.FormatBool(away)})
 	}
 }
@@ -212,13 +212,13 @@
 
 // advance starts or drops what the gate decided on waiting work.
 func (a *Agent) advance(now time.Time) {
-	next := a.Gate.Next(now)
-	for _, id := range next.Start {
+	next := a.Gate.AdvanceQueue(now)
+	for _, id := range next.Started {
 		if j := a.jobs[id]; j != nil {
 			a.place(now, j)
 		}
 	}
-	for _, d := range next.Drop {
+	for _, d := range next.Dropped {
 		if j := a.jobs[d.ID]; j != nil {
 			a.refuse(now, j, d.Decision)
 		}
@@ -231,7 +231,7 @@
 	a.mu.Lock()
 	a.leaving = true
 	a.turn(eventLeave)
-	a.Gate.Leave(a.Clock(), true)
+	a.Gate.SetLeaving(a.Clock(), true)
 	a.mu.Unlock()
 	a.Notify(Notice{Kind: NoticeLeaving, Subject: a.Name})
 	return a.idle(ctx)
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -74,7 +74,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.exports.spend(a.Clock(), float64(n), float64(v.Publication.Budget.Export))
+	return a.exports.spend(a.Clock(), float64(n), float64(v.Publication.Budget.ExportRate))
 }
 
 // bucket is a token bucket of bytes. It may go below zero by one chat: refusing
@@ -120,7 +120,7 @@
 	if int64(len(data)) > limit {
 		return cached{}, errors.Newf("export: larger than %d bytes", limit)
 	}
-	tokens, err := strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCached), 10, 64)
+	tokens, err := strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCachedTokens), 10, 64)
 	return cached{tokens: tokens, data: data}, errors.Wrap(err, "export")
 }
 
@@ -130,7 +130,7 @@
 	if err != nil {
 		return errors.Wrap(err, "import")
 	}
-	rq.Header.Set(chestnutstep.HeaderCached, strconv.FormatInt(kv.tokens, 10))
+	rq.Header.Set(chestnutstep.HeaderCachedTokens, strconv.FormatInt(kv.tokens, 10))
 	rs, err := a.Reuse.Do(rq)
 	if err != nil {
 		return errors.Wrap(err, "import")
@@ -191,9 +191,9 @@
 	if m == nil || v == nil {
 		return q
 	}
-	q.Prefill = m.Prefill
-	q.Token = float64(m.Cache)
-	q.Link = float64(v.Publication.Budget.Export)
+	q.Prefill = m.PrefillRate
+	q.Token = float64(m.CacheBytesPerToken)
+	q.Link = float64(v.Publication.Budget.ExportRate)
 	load := a.Load()
 	q.Load = float64(load.Running) / float64(max(m.Slots, 1))
 	return q
--- a/agent/call.go
+++ b/agent/call.go
@@ -52,12 +52,12 @@
 type result struct {
 	outcome chestnutstep.Outcome
 	reason  chestnutstep.Reason
-	run     chestnutstep.Run
+	run     chestnutstep.RunStatus
 	// unsent says that no byte of the request left this process.
 	unsent bool
 }
 
-var served = result{outcome: chestnutstep.Served, run: chestnutstep.RunYes}
+var served = result{outcome: chestnutstep.OutcomeServed, run: chestnutstep.RunYes}
 
 // run calls the target and copies its answer to the log.
 func (j *job) run(ctx context.Context) {
@@ -66,16 +66,16 @@
 	if res.unsent {
 		j.agent.unwatch(j)
 	}
-	if res.outcome == chestnutstep.Withdraw && !res.unsent {
+	if res.outcome == chestnutstep.OutcomeAbandoned && !res.unsent {
 		j.stop()
 	}
-	if res.outcome == chestnutstep.Failed {
+	if res.outcome == chestnutstep.OutcomeFailed {
 		// Ask before the job is marked ended: if the target died, this job and
 		// all that ran beside it become crash suspects.
 		j.agent.health.check(j.agent)
 		res.reason = j.crashOrShort(res.reason)
 	}
-	if res.outcome != chestnutstep.Served {
+	if res.outcome != chestnutstep.OutcomeServed {
 		j.agent.settle(j, &res)
 		j.log.Break(res.reason, res.run, 0)
 	}
@@ -96,7 +96,7 @@
 	if j.agent.health.crashes == j.crashes {
 		return chestnutstep.ReasonShort
 	}
-	if j.agent.Detector.Judge(j.agent.Clock(), j.offer.Fingerprint) == chestnutstep.Condemned {
+	if j.agent.Detector.Check(j.agent.Clock(), j.offer.Fingerprint) == chestnutstep.ContentCondemned {
 		return chestnutstep.ReasonCondemned
 	}
 	return chestnutstep.ReasonCrashed
@@ -123,7 +123,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock()
-	res.run = a.Issuer.Unsent(now, j.offer.Ticket).Run
+	res.run = a.Issuer.MarkUnsent(now, j.offer.Ticket).Run
 }
 
 func (j *job) call(ctx context.Context) result {
@@ -133,7 +133,7 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	rq, err := j.request(httptrace.WithClientTrace(ctx, trace))
 	if err != nil {
-		return result{outcome: chestnutstep.Failed, reason: chestnutstep.ReasonHeader, unsent: true}
+		return result{outcome: chestnutstep.OutcomeFailed, reason: chestnutstep.ReasonHeader, unsent: true}
 	}
 	j.fetch(ctx)
 	client := j.agent.Reuse
@@ -143,7 +143,7 @@
 	// The clock once more, right before the call: a process that slept since
 	// the last check must not run what its caller has given up.
 	if !j.agent.Clock().Before(j.deadline) {
-		return result{outcome: chestnutstep.Withdraw, reason: chestnutstep.ReasonTimeout, unsent: true}
+		return result{outcome: chestnutstep.OutcomeAbandoned, reason: chestnutstep.ReasonTimeout, unsent: true}
 	}
 	if j.replay(ctx) {
 		return served
@@ -154,9 +154,9 @@
 	}
 	defer rs.Body.Close()
 	if !j.own(rs) {
-		return result{outcome: chestnutstep.Failed, reason: chestnutstep.ReasonCrossed, run: chestnutstep.RunMaybe}
+		return result{outcome: chestnutstep.OutcomeFailed, reason: chestnutstep.ReasonCrossed, run: chestnutstep.RunMaybe}
 	}
-	j.agent.health.seen(j, rs.Header.Get(chestnutstep.HeaderBoot))
+	j.agent.health.seen(j, rs.Header.Get(chestnutstep.HeaderBootID))
 	h := head(rs)
 	j.seeHead(h)
 	j.log.SetHead(h)
@@ -193,7 +193,7 @@
 	for _, h := range j.offer.Headers {
 		rq.Header.Add(h.Name, h.Value)
 	}
-	rq.Header.Set(chestnutstep.HeaderRequest, j.offer.Id)
+	rq.Header.Set(chestnutstep.HeaderRequestID, j.offer.Id)
 	rq.Header.Set(chestnutstep.HeaderPriority, strconv.Itoa(int(j.offer.Class)))
 	rq.Header.Set(chestnutstep.HeaderChat, j.offer.Chat)
 	rq.Header.Set(headerWorkspace, j.offer.Workspace)
@@ -214,7 +214,7 @@
 // own says that the answer belongs to this request. Engines repeat its id; a
 // plain service may not, but must not repeat another's.
 func (j *job) own(rs *http.Response) bool {
-	id := rs.Header.Get(chestnutstep.HeaderRequest)
+	id := rs.Header.Get(chestnutstep.HeaderRequestID)
 	if id == "" {
 		return j.agent.kind() == chestnutstep.KindService
 	}
@@ -227,18 +227,18 @@
 	}
 	var op *net.OpError
 	if !connected && errors.As(err, &op) && op.Op == "dial" {
-		return result{outcome: chestnutstep.Failed, reason: chestnutstep.ReasonDown, unsent: true}
+		return result{outcome: chestnutstep.OutcomeFailed, reason: chestnutstep.ReasonDown, unsent: true}
 	}
-	return result{outcome: chestnutstep.Failed, reason: chestnutstep.ReasonCrashed, run: chestnutstep.RunMaybe}
+	return result{outcome: chestnutstep.OutcomeFailed, reason: chestnutstep.ReasonCrashed, run: chestnutstep.RunMaybe}
 }
 
 // endedBy tells a time limit and a cancel from a fault of the target.
 func endedBy(ctx context.Context) (result, bool) {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return result{outcome: chestnutstep.Withdraw, reason: chestnutstep.ReasonTimeout, run: chestnutstep.RunMaybe}, true
+		return result{outcome: chestnutstep.OutcomeAbandoned, reason: chestnutstep.ReasonTimeout, run: chestnutstep.RunMaybe}, true
 	case ctx.Err() != nil:
-		return result{outcome: chestnutstep.Withdraw, reason: chestnutstep.ReasonCanceled, run: chestnutstep.RunMaybe}, true
+		return result{outcome: chestnutstep.OutcomeAbandoned, reason: chestnutstep.ReasonCanceled, run: chestnutstep.RunMaybe}, true
 	}
 	return result{}, false
 }
--- a/agent/call_test.go
+++ b/agent/call_test.go
@@ -37,7 +37,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, rq.Body)
-		id := rq.Header.Get(chestnutstep.HeaderRequest)
+		id := rq.Header.Get(chestnutstep.HeaderRequestID)
 		d.mu.Lock()
 		d.got = append(d.got, id)
 		d.mu.Unlock()
@@ -45,7 +45,7 @@
 			d.l.Close()
 			return
 		}
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"+chestnutstep.HeaderRequest+": "+id+"\r\n\r\nok")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"+chestnutstep.HeaderRequestID+": "+id+"\r\n\r\nok")
 	}
 }
 
@@ -62,16 +62,16 @@
 	call := func(id string) result {
 		j := newJob(s.agent, s.now, &wire.Offer{
 			Id: id, Workspace: "w", Method: http.MethodPost, Path: "/v1", Remain: int64(time.Minute), Idempotent: true,
-			Headers: []*wire.Header{{Name: chestnutstep.HeaderIdempotency, Value: id}},
+			Headers: []*wire.Header{{Name: chestnutstep.HeaderIdempotencyKey, Value: id}},
 		}, &answer.Log{})
 		return j.call(t.Context())
 	}
-	assert.Equal(t, call("a").outcome, chestnutstep.Served)
+	assert.Equal(t, call("a").outcome, chestnutstep.OutcomeServed)
 	res := call("b")
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	assert.DeepEqual(t, d.got, []string{"a", "b"})
-	assert.Equal(t, res.outcome, chestnutstep.Failed)
+	assert.Equal(t, res.outcome, chestnutstep.OutcomeFailed)
 	assert.Assert(t, !res.unsent, "%+v", res)
 	assert.Equal(t, res.run, chestnutstep.RunMaybe)
 }
--- a/agent/copy.go
+++ b/agent/copy.go
@@ -58,7 +58,7 @@
 		defer next.Close()
 		body = next
 	}
-	return result{outcome: chestnutstep.Failed, reason: chestnutstep.ReasonShort, run: chestnutstep.RunYes}
+	return result{outcome: chestnutstep.OutcomeFailed, reason: chestnutstep.ReasonShort, run: chestnutstep.RunYes}
 }
 
 // readEnd reads a whole answer's body to its end, as the connection is only used again then. An error costs that
@@ -92,7 +92,7 @@
 // resume asks an engine that still has the same boot id to go on from an
 // offset. A target that restarted has forgotten the stream.
 func (j *job) resume(ctx context.Context, rs *http.Response, offset int64) io.ReadCloser {
-	next := j.askStream(ctx, rs.Header.Get(chestnutstep.HeaderBoot), offset)
+	next := j.askStream(ctx, rs.Header.Get(chestnutstep.HeaderBootID), offset)
 	if next == nil {
 		return nil
 	}
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil
 	}
-	if next.StatusCode != http.StatusOK || next.Header.Get(chestnutstep.HeaderBoot) != boot || !j.own(next) {
+	if next.StatusCode != http.StatusOK || next.Header.Get(chestnutstep.HeaderBootID) != boot || !j.own(next) {
 		next.Body.Close()
 		return nil
 	}
--- a/agent/head.go
+++ b/agent/head.go
@@ -12,7 +12,7 @@
 // where the target gave it, so that a caller can tell a short answer.
 func head(rs *http.Response) *wire.Head {
 	h := &wire.Head{Status: uint32(rs.StatusCode)}
-	h.Cached, _ = strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCached), 10, 64)
+	h.Cached, _ = strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCachedTokens), 10, 64)
 	for name, values := range rs.Header {
 		if chestnutstep.IsHopHeader(name) || isControl(name) {
 			continue
@@ -32,5 +32,5 @@
 
 // isControl keeps what a target says to its agent from callers.
 func isControl(name string) bool {
-	return name == chestnutstep.HeaderBoot || chestnutstep.IsOwnHeader(name)
+	return name == chestnutstep.HeaderBootID || chestnutstep.IsChestnutHeader(name)
 }
--- a/agent/health.go
+++ b/agent/health.go
@@ -94,7 +94,7 @@
 	var r report
 	// A plain service may know no such path: that it answers is enough.
 	_ = json.NewDecoder(rs.Body).Decode(&r)
-	if boot := rs.Header.Get(chestnutstep.HeaderBoot); boot != "" {
+	if boot := rs.Header.Get(chestnutstep.HeaderBootID); boot != "" {
 		r.Boot = boot
 	}
 	return r, nil
@@ -111,7 +111,7 @@
 	}
 	a.turn(eventChill)
 	a.chats.clear()
-	a.Gate.Chill(now)
+	a.Gate.MarkCold(now)
 	a.Notify(Notice{Kind: NoticeCold, Subject: a.Name, Before: h.boot, After: h.boot})
 }
 
@@ -151,7 +151,7 @@
 	h.boot = boot
 	h.cold = true
 	a.chats.clear()
-	a.Gate.Chill(now)
+	a.Gate.MarkCold(now)
 	a.Notify(Notice{Kind: NoticeCold, Subject: a.Name, Before: before, After: boot})
 }
 
@@ -173,7 +173,7 @@
 	a.Notify(Notice{Kind: NoticeCrash, Subject: a.Name, Before: h.boot})
 	for _, s := range a.Detector.Crash(now) {
 		kind := NoticeSuspect
-		if a.Detector.Judge(now, s.Fingerprint) == chestnutstep.Condemned {
+		if a.Detector.Check(now, s.Fingerprint) == chestnutstep.ContentCondemned {
 			kind = NoticeCondemned
 		}
 		a.Notify(Notice{Kind: kind, Subject: number(s.Fingerprint), Reason: chestnutstep.ReasonCrashed})
--- a/agent/job.go
+++ b/agent/job.go
@@ -86,14 +86,14 @@
 
 func (j *job) work(now time.Time, home, alone bool) chestnutstep.Work {
 	return chestnutstep.Work{
-		ID:        j.key,
-		Workspace: j.offer.Workspace,
-		Class:     chestnutstep.Class(min(j.offer.Class, chestnutstep.Classes-1)),
-		Cost:      j.offer.Cost,
-		Deadline:  j.deadline,
-		Patience:  now.Add(time.Duration(j.offer.Patience)),
-		Home:      home,
-		Alone:     alone,
+		ID:              j.key,
+		Workspace:       j.offer.Workspace,
+		Class:           chestnutstep.Class(min(j.offer.Class, chestnutstep.ClassCount-1)),
+		Cost:            j.offer.Cost,
+		Deadline:        j.deadline,
+		WaitUntil:       now.Add(time.Duration(j.offer.Patience)),
+		HasCachedPrefix: home,
+		Exclusive:       alone,
 	}
 }
 
@@ -161,7 +161,7 @@
 		a.drop(now, j, chestnutstep.ReasonTimeout)
 		return
 	}
-	if j.offer.Ticket != "" && !a.Issuer.Run(now, j.offer.Ticket) {
+	if j.offer.Ticket != "" && !a.Issuer.Start(now, j.offer.Ticket) {
 		a.drop(now, j, chestnutstep.ReasonSpent)
 		return
 	}
@@ -212,7 +212,7 @@
 		return
 	}
 	j.refusal = refusal(d.Reason, chestnutstep.RunNo)
-	j.refusal.Retry = int64(d.Retry)
+	j.refusal.Retry = int64(d.RetryAfter)
 	if j.offer.Ticket != "" {
 		a.dropTicket(now, j.offer, j.refusal)
 	}
@@ -241,8 +241,8 @@
 		close(j.placed)
 	}
 	j.state = over
-	j.log.Break(d.Reason, chestnutstep.Run(j.refusal.Run), d.Retry)
-	a.Gate.End(now, j.key, chestnutstep.Withdraw)
+	j.log.Break(d.Reason, chestnutstep.RunStatus(j.refusal.Run), d.RetryAfter)
+	a.Gate.End(now, j.key, chestnutstep.OutcomeAbandoned)
 	a.remove(j)
 	a.advance(now)
 }
@@ -259,21 +259,21 @@
 	defer a.mu.Unlock()
 	now := a.Clock()
 	j.state = over
-	if res.outcome != chestnutstep.Served && !j.once() {
+	if res.outcome != chestnutstep.OutcomeServed && !j.once() {
 		j.failed = &wire.Broken{Reason: string(res.reason), Run: string(res.run)}
 	}
 	j.abort()
 	if !res.unsent {
-		a.Detector.End(now, j.offer.Fingerprint, res.outcome == chestnutstep.Served)
+		a.Detector.End(now, j.offer.Fingerprint, res.outcome == chestnutstep.OutcomeServed)
 	}
 	if j.offer.Ticket != "" {
-		a.Issuer.Done(now, j.offer.Ticket, res.outcome == chestnutstep.Served)
+		a.Issuer.Finish(now, j.offer.Ticket, res.outcome == chestnutstep.OutcomeServed)
 	}
-	if res.outcome == chestnutstep.Served && j.offer.Chat != "" {
+	if res.outcome == chestnutstep.OutcomeServed && j.offer.Chat != "" {
 		a.chats.put(chat{j.offer.Workspace, j.offer.Chat}, now)
 	}
 	a.Gate.End(now, j.key, res.outcome)
-	if res.outcome == chestnutstep.Served {
+	if res.outcome == chestnutstep.OutcomeServed {
 		a.earned(a.Gate.Load(now).Cold)
 	}
 	a.advance(now)
--- a/agent/limits.go
+++ b/agent/limits.go
@@ -14,20 +14,20 @@
 		return
 	}
 	a.view = v
-	a.sender.permits.Limit(now, targetNames(v), v.Publication.Budget.Loads, order.DefaultWardens)
+	a.sender.permits.Limit(now, targetNames(v), v.Publication.Budget.LoadRate, order.DefaultWardens)
 	t := v.Targets[a.Name]
 	if t == nil {
 		// Operators removed the target: it takes no new work.
 		a.version = v.Publication.Version
 		a.out = true
 		a.turn(eventOut)
-		a.Gate.Limit(now, chestnutstep.Limits{Out: true})
+		a.Gate.SetLimits(now, chestnutstep.Limits{Out: true})
 		return
 	}
 	before := a.version
 	a.version = v.Publication.Version
-	a.Gate.Limit(now, limits(v, t))
-	if out := v.Out(t); out != a.out {
+	a.Gate.SetLimits(now, limits(v, t))
+	if out := v.IsOut(t); out != a.out {
 		a.out = out
 		a.turn(outEvent(out))
 		a.mover.notify(out)
@@ -43,7 +43,7 @@
 }
 
 func limits(v *chestnutstep.View, t *chestnutstep.Target) chestnutstep.Limits {
-	l := chestnutstep.Limits{Weight: t.Size(), Out: v.Out(t), Single: single(v, t.Model)}
+	l := chestnutstep.Limits{Weight: t.EffectiveWeight(), Out: v.IsOut(t), IsOnlyTarget: single(v, t.Model)}
 	if m := v.Models[t.Model]; m != nil {
 		l.Model = *m
 	}
@@ -57,8 +57,8 @@
 // single says that at most one target in service serves the model.
 func single(v *chestnutstep.View, model string) bool {
 	n := 0
-	for _, t := range v.Serving[model] {
-		if !v.Out(t) {
+	for _, t := range v.TargetsByModel[model] {
+		if !v.IsOut(t) {
 			n++
 		}
 	}
@@ -73,9 +73,9 @@
 	}
 	t := v.Targets[a.Name]
 	if a.closed() == "" {
-		a.Sampler.Own(now, a.sample(now, t))
+		a.Sampler.SetLocal(now, a.sample(now, t))
 	}
-	a.Gate.Measure(now, a.Sampler.Mean(now))
+	a.Gate.SetMean(now, a.Sampler.Mean(now))
 }
 
 // sample is the target's load in requests for one unit of weight.
@@ -84,8 +84,8 @@
 	return chestnutstep.Sample{
 		Target: a.Name,
 		Model:  t.Model,
-		Load:   float64(load.Running+load.Waiting) / t.Size(),
-		Seen:   now,
+		Load:   float64(load.Running+load.Waiting) / t.EffectiveWeight(),
+		SeenAt: now,
 	}
 }
 
--- a/agent/mover.go
+++ b/agent/mover.go
@@ -70,7 +70,7 @@
 // valuable lists the chats worth handing over, the most valuable first.
 func (a *Agent) valuable() []price.Chat {
 	m, v := a.model(), a.View()
-	if m == nil || v == nil || m.Cache <= 0 {
+	if m == nil || v == nil || m.CacheBytesPerToken <= 0 {
 		return nil
 	}
 	a.mu.Lock()
@@ -83,11 +83,11 @@
 			Workspace: h.workspace,
 			Name:      h.name,
 			Tokens:    float64(h.tokens),
-			Bytes:     float64(h.tokens * m.Cache),
+			Bytes:     float64(h.tokens * m.CacheBytesPerToken),
 			Return:    price.Return(now.Sub(h.served), chatPause, chatShare),
 		})
 	}
-	return price.Plan(chats, float64(v.Publication.Budget.Export), shiftLimit)
+	return price.Plan(chats, float64(v.Publication.Budget.ExportRate), shiftLimit)
 }
 
 // handOver asks the agent that ranks next for a chat to take its KV cache. A
@@ -119,7 +119,7 @@
 
 // next is the target that ranks first for a chat, this one left out.
 func (a *Agent) next(v *chestnutstep.View, self *chestnutstep.Target, c chat) *chestnutstep.Target {
-	place := chestnutstep.Place{Workspace: c.workspace, Chat: c.name, Model: self.Model, Region: v.Region(self.Host)}
+	place := chestnutstep.RankQuery{Workspace: c.workspace, Chat: c.name, Model: self.Model, Region: v.Region(self.Host)}
 	for _, t := range a.Ranker(v).Rank(nil, place, 2) {
 		if t.Name != self.Name {
 			return t
--- a/agent/offer.go
+++ b/agent/offer.go
@@ -21,7 +21,7 @@
 	defer a.mu.Unlock()
 	now := a.Clock()
 	if len(o.Crashed) > 0 {
-		a.Detector.Learn(now, []chestnutstep.Suspicion{{Fingerprint: o.Fingerprint, Crashed: o.Crashed, Seen: now}})
+		a.Detector.Merge(now, []chestnutstep.Suspicion{{Fingerprint: o.Fingerprint, CrashedTargets: o.Crashed, SeenAt: now}})
 	}
 	adm, known, again := a.join(now, o)
 	if known {
@@ -104,7 +104,7 @@
 		return refusal(a.closed(), chestnutstep.RunNo)
 	case o.Remain <= 0:
 		return refusal(chestnutstep.ReasonTimeout, chestnutstep.RunNo)
-	case a.Detector.Judge(now, o.Fingerprint) == chestnutstep.Condemned:
+	case a.Detector.Check(now, o.Fingerprint) == chestnutstep.ContentCondemned:
 		return refusal(chestnutstep.ReasonCondemned, chestnutstep.RunNo)
 	}
 	return nil
@@ -171,27 +171,27 @@
 		log.Prefer()
 	}
 	home := o.Chat != "" && a.chats.has(chat{o.Workspace, o.Chat})
-	alone := a.Detector.Judge(now, o.Fingerprint) == chestnutstep.Suspect
+	alone := a.Detector.Check(now, o.Fingerprint) == chestnutstep.ContentSuspect
 	d := a.Gate.Offer(now, j.work(now, home, alone))
 	switch d.Verdict {
-	case chestnutstep.Accept:
+	case chestnutstep.VerdictAccept:
 		a.jobs[j.key] = j
 		a.place(now, j)
 		a.Notify(j.notice(NoticeAccepted, ""))
 		return a.follow(j, false)
-	case chestnutstep.Queue:
+	case chestnutstep.VerdictQueue:
 		a.jobs[j.key] = j
 		a.Notify(j.notice(NoticeQueued, ""))
 		return a.follow(j, false)
 	}
 	a.Answers.Remove(o.Workspace, o.Id)
 	r := refusal(d.Reason, chestnutstep.RunNo)
-	r.Retry = int64(d.Retry)
+	r.Retry = int64(d.RetryAfter)
 	r.Home = home
 	return a.deny(now, o, r)
 }
 
-func refusal(reason chestnutstep.Reason, run chestnutstep.Run) *wire.Refuse {
+func refusal(reason chestnutstep.Reason, run chestnutstep.RunStatus) *wire.Refuse {
 	return &wire.Refuse{Reason: string(reason), Run: string(run)}
 }
 
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -54,7 +54,7 @@
 	if !ok || !c.ready(a) {
 		return
 	}
-	if o.Loads() && !a.permitted(ctx) {
+	if o.LoadsWeights() && !a.permitted(ctx) {
 		return
 	}
 	c.send(ctx, a, o)
@@ -94,7 +94,7 @@
 // for everything at once, and gets refusals for as long as it keeps asking.
 func (a *Agent) permitted(ctx context.Context) bool {
 	v := a.View()
-	if v == nil || v.Publication.Budget.Loads <= 0 {
+	if v == nil || v.Publication.Budget.LoadRate <= 0 {
 		return true
 	}
 	for _, name := range order.Wardens(targetNames(v), order.DefaultWardens) {
@@ -200,7 +200,7 @@
 	if err != nil {
 		return errors.Wrap(err, "order")
 	}
-	rq.Header.Set(chestnutstep.HeaderFence, f.String())
+	rq.Header.Set(chestnutstep.HeaderFencingNumber, f.String())
 	rs, err := a.Single.Do(rq)
 	if err != nil {
 		return errors.Wrap(err, "order")
--- a/agent/script_test.go
+++ b/agent/script_test.go
@@ -61,7 +61,7 @@
 	if strings.HasPrefix(rq.URL.Path, "/control/") {
 		return reply(rq, boot, fmt.Sprintf(`{"boot":%q}`, boot)), nil
 	}
-	id := rq.Header.Get(chestnutstep.HeaderRequest)
+	id := rq.Header.Get(chestnutstep.HeaderRequestID)
 	c := &call{ctx: rq.Context(), end: make(chan func() (*http.Response, error), 1)}
 	t.mu.Lock()
 	t.ran = append(t.ran, id)
@@ -81,7 +81,7 @@
 func (t *target) order(rq *http.Request) *http.Response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fence, _ := strconv.ParseUint(rq.Header.Get(chestnutstep.HeaderFence), 10, 64)
+	fence, _ := strconv.ParseUint(rq.Header.Get(chestnutstep.HeaderFencingNumber), 10, 64)
 	body, _ := io.ReadAll(rq.Body)
 	rs := reply(rq, t.boot, "")
 	if fence < t.high {
@@ -98,8 +98,8 @@
 		StatusCode: http.StatusOK, Header: http.Header{}, Request: rq,
 		Body: io.NopCloser(bytes.NewBufferString(body)), ContentLength: int64(len(body)),
 	}
-	rs.Header.Set(chestnutstep.HeaderBoot, boot)
-	rs.Header.Set(chestnutstep.HeaderRequest, rq.Header.Get(chestnutstep.HeaderRequest))
+	rs.Header.Set(chestnutstep.HeaderBootID, boot)
+	rs.Header.Set(chestnutstep.HeaderRequestID, rq.Header.Get(chestnutstep.HeaderRequestID))
 	return rs
 }
 
@@ -123,7 +123,7 @@
 		Version: 1,
 		Domains: []chestnutstep.Domain{{Name: "a", Region: "r"}},
 		Hosts:   []chestnutstep.Host{{Name: "h", Domain: "a"}},
-		Models:  []chestnutstep.Model{{Name: "m", Kind: chestnutstep.KindEngine, Floor: 2, Slots: 2, Queue: 4, Cold: 2}},
+		Models:  []chestnutstep.Model{{Name: "m", Kind: chestnutstep.KindEngine, Floor: 2, Slots: 2, QueueLimit: 4, ColdCap: 2}},
 		Targets: []chestnutstep.Target{{Name: "t", Host: "h", Model: "m", Agent: "127.0.0.1:1"}},
 	}
 	client := &http.Client{Transport: s.target}
@@ -309,7 +309,7 @@
 	}
 	rq, err := http.NewRequest(http.MethodPost, "http://x/", nil)
 	assert.NilError(s.t, err)
-	rq.Header.Set(chestnutstep.HeaderRequest, id)
+	rq.Header.Set(chestnutstep.HeaderRequestID, id)
 	c.end <- func() (*http.Response, error) {
 		return reply(rq, s.target.boot, "answer to "+id), nil
 	}
--- a/agent/tail.go
+++ b/agent/tail.go
@@ -61,5 +61,5 @@
 	if m == nil {
 		return ""
 	}
-	return m.Done
+	return m.DoneMarker
 }
--- a/answer/log.go
+++ b/answer/log.go
@@ -186,7 +186,7 @@
 
 // Break ends an answer that is not whole. Readers get the bytes up to here and
 // then the reason. Only the first end of an answer counts.
-func (l *Log) Break(reason chestnutstep.Reason, run chestnutstep.Run, retry time.Duration) {
+func (l *Log) Break(reason chestnutstep.Reason, run chestnutstep.RunStatus, retry time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.over() {
--- a/audit/audit.go
+++ b/audit/audit.go
@@ -50,24 +50,24 @@
 // next without being seen.
 func (r Record) Sum() string {
 	h := sha256.New()
-	text(h, r.Process)
-	number(h, r.Seq)
-	number(h, uint64(r.Time.UnixNano()))
-	text(h, string(r.Kind))
-	text(h, r.Subject)
-	text(h, r.Cause)
-	text(h, r.Before)
-	text(h, r.After)
-	number(h, r.Version)
-	text(h, r.Prev)
+	hashText(h, r.Process)
+	hashNumber(h, r.Seq)
+	hashNumber(h, uint64(r.Time.UnixNano()))
+	hashText(h, string(r.Kind))
+	hashText(h, r.Subject)
+	hashText(h, r.Cause)
+	hashText(h, r.Before)
+	hashText(h, r.After)
+	hashNumber(h, r.Version)
+	hashText(h, r.Prev)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func text(h hash.Hash, s string) {
-	number(h, uint64(len(s)))
+func hashText(h hash.Hash, s string) {
+	hashNumber(h, uint64(len(s)))
 	h.Write([]byte(s))
 }
 
-func number(h hash.Hash, n uint64) {
+func hashNumber(h hash.Hash, n uint64) {
 	h.Write(binary.BigEndian.AppendUint64(nil, n))
 }
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -22,10 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// clock steps a second with each reading.
-type clock struct{ now time.Time }
+// steppingClock steps a second with each reading.
+type steppingClock struct{ now time.Time }
 
-func (c *clock) read() time.Time {
+func (c *steppingClock) read() time.Time {
 	c.now = c.now.Add(time.Second)
 	return c.now
 }
@@ -42,9 +42,9 @@
 
 // An operator takes a failure domain out and a member asks days later why the
 // chat lost its place. The log stream alone has to tell, the process is gone.
-func TestWhyMoved(t *testing.T) {
+func TestExplainMovedChat(t *testing.T) {
 	var b bytes.Buffer
-	c := &clock{now: time.Unix(1000, 0)}
+	c := &steppingClock{now: time.Unix(1000, 0)}
 	trail := &Trail{Log: &event.Log{Out: &b, Process: "agent-a1"}, Process: "agent-a1", Now: c.read}
 	var old *chestnutstep.Publication
 	for _, p := range []*chestnutstep.Publication{publication(1, false), publication(2, true)} {
@@ -54,7 +54,7 @@
 		}
 		old = p
 	}
-	refused := c.now.Add(time.Millisecond)
+	queryTime := c.now.Add(time.Millisecond)
 	trail.Add(Record{Kind: KindDomain, Subject: "a", Cause: "publication 3", Before: "out", After: "in", Version: 3})
 
 	b.WriteString("not JSON\n{\"event\":3002}\n")
@@ -62,7 +62,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, Verify(records))
 	var lines []string
-	for _, r := range Why(records, Query{Target: "a1e", Host: "a1", Domain: "a", Model: "plan", At: refused}) {
+	for _, r := range Explain(records, Query{Target: "a1e", Host: "a1", Domain: "a", Model: "plan", At: queryTime}) {
 		lines = append(lines, string(r.Kind)+" "+r.Subject+": "+r.Before+" -> "+r.After+" by "+r.Cause)
 	}
 	assert.Equal(t, strings.Join(lines, "\n"), strings.TrimSpace(`
@@ -75,17 +75,17 @@
 
 // A request that crashes targets is refused for good. Its caller's support
 // wants to know since when and why.
-func TestWhyRefused(t *testing.T) {
+func TestExplainRefusedContent(t *testing.T) {
 	trail := &Trail{Process: "agent-a1"}
 	trail.Add(Record{Kind: KindCondemned, Subject: "00ff", Cause: "crashed a1e and b1e", Before: "suspect", After: "condemned"})
 	trail.Add(Record{Kind: KindCondemned, Subject: "1234", Cause: "other", Before: "suspect", After: "condemned"})
-	why := Why(trail.Last(0), Query{Target: "a1e", Content: "00ff", At: time.Now().Add(time.Second)})
+	why := Explain(trail.Last(0), Query{Target: "a1e", Content: "00ff", At: time.Now().Add(time.Second)})
 	assert.Equal(t, len(why), 1)
 	assert.Equal(t, why[0].Cause, "crashed a1e and b1e")
 }
 
-func TestRing(t *testing.T) {
-	trail := &Trail{Keep: 3}
+func TestTrailCapacity(t *testing.T) {
+	trail := &Trail{Capacity: 3}
 	for range 5 {
 		trail.Add(Record{Kind: KindOrder})
 	}
@@ -98,7 +98,7 @@
 
 // Someone edits the log, loses a line of it or shuffles it. Whoever reads the
 // trail later must not take the rest for the whole truth.
-func TestVerifyAnyDamage(t *testing.T) {
+func TestVerifyDetectsDamage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		trail := &Trail{Process: "p"}
 		for range rapid.IntRange(3, 20).Draw(t, "records") {
@@ -120,11 +120,11 @@
 			assert.Assert(t, Verify(r) != nil)
 		case "edit":
 			r[i].Cause += "x"
-			assert.Assert(t, IsErrBroken(Verify(r)))
+			assert.Assert(t, IsErrAltered(Verify(r)))
 		case "move":
 			r[i].Before, r[i].After = r[i].Before+r[i].After+"x", ""
 			r[i].Hash = r[i].Sum()
-			assert.Assert(t, IsErrBroken(Verify(r)), "a hash made anew breaks the next link")
+			assert.Assert(t, IsErrAltered(Verify(r)), "a hash made anew breaks the next link")
 		}
 	})
 }
@@ -141,7 +141,7 @@
 		log = append(log, trail.Last(0)...)
 	}
 	assert.NilError(t, Verify(log))
-	assert.Assert(t, IsErrBroken(Verify(append(log[:3:3], log[4:]...))), "the first of the new life is lost")
+	assert.Assert(t, IsErrAltered(Verify(append(log[:3:3], log[4:]...))), "the first of the new life is lost")
 }
 
 // FuzzRead feeds Read what an operator may hold for a log.
@@ -150,7 +150,7 @@
 	f.Fuzz(func(t *testing.T, lines string) {
 		records, _ := Read(strings.NewReader(lines), "")
 		for _, r := range records {
-			assert.Assert(t, r.Hash == r.Sum() || IsErrBroken(Verify([]Record{r})))
+			assert.Assert(t, r.Hash == r.Sum() || IsErrAltered(Verify([]Record{r})))
 		}
 	})
 }
--- a/audit/change.go
+++ b/audit/change.go
@@ -23,44 +23,44 @@
 	if next == nil {
 		next = &chestnutstep.Publication{}
 	}
-	c := changes{version: next.Version, cause: fmt.Sprintf("publication %d", next.Version)}
-	c.compare(KindDomain, domains(old), domains(next), stateAbsent)
-	c.compare(KindHost, hosts(old), hosts(next), stateAbsent)
-	c.compare(KindTarget, targets(old), targets(next), stateAbsent)
-	c.compare(KindLimits, limits(old), limits(next), "")
+	c := changeList{version: next.Version, cause: fmt.Sprintf("publication %d", next.Version)}
+	c.compare(KindDomain, domainStates(old), domainStates(next), stateAbsent)
+	c.compare(KindHost, hostStates(old), hostStates(next), stateAbsent)
+	c.compare(KindTarget, targetStates(old), targetStates(next), stateAbsent)
+	c.compare(KindLimits, limitStates(old), limitStates(next), "")
 	return c.list
 }
 
-// state is what a publication says of one subject.
-type state struct {
+// subjectState is what a publication says of one subject.
+type subjectState struct {
 	subject string
 	value   string
 }
 
-type changes struct {
+type changeList struct {
 	version uint64
 	cause   string
 	list    []Record
 }
 
-func (c *changes) compare(kind Kind, old, next []state, absent string) {
-	was := values(old)
-	is := values(next)
+func (c *changeList) compare(kind Kind, old, next []subjectState, absent string) {
+	oldValues := valuesBySubject(old)
+	newValues := valuesBySubject(next)
 	for _, s := range next {
-		before, ok := was[s.subject]
+		before, ok := oldValues[s.subject]
 		if !ok {
 			before = absent
 		}
-		c.note(kind, s.subject, before, s.value)
+		c.add(kind, s.subject, before, s.value)
 	}
 	for _, s := range old {
-		if _, ok := is[s.subject]; !ok {
-			c.note(kind, s.subject, s.value, absent)
+		if _, ok := newValues[s.subject]; !ok {
+			c.add(kind, s.subject, s.value, absent)
 		}
 	}
 }
 
-func values(list []state) map[string]string {
+func valuesBySubject(list []subjectState) map[string]string {
 	m := make(map[string]string, len(list))
 	for _, s := range list {
 		m[s.subject] = s.value
@@ -68,7 +68,7 @@
 	return m
 }
 
-func (c *changes) note(kind Kind, subject, before, after string) {
+func (c *changeList) add(kind Kind, subject, before, after string) {
 	if before == after {
 		return
 	}
@@ -77,58 +77,58 @@
 	})
 }
 
-func inOut(out bool) string {
+func serviceState(out bool) string {
 	if out {
 		return stateOut
 	}
 	return stateIn
 }
 
-func domains(p *chestnutstep.Publication) []state {
-	list := make([]state, 0, len(p.Domains))
+func domainStates(p *chestnutstep.Publication) []subjectState {
+	list := make([]subjectState, 0, len(p.Domains))
 	for _, d := range p.Domains {
-		list = append(list, state{d.Name, inOut(d.Out)})
+		list = append(list, subjectState{d.Name, serviceState(d.Out)})
 	}
 	return list
 }
 
-func hosts(p *chestnutstep.Publication) []state {
-	list := make([]state, 0, len(p.Hosts))
+func hostStates(p *chestnutstep.Publication) []subjectState {
+	list := make([]subjectState, 0, len(p.Hosts))
 	for _, h := range p.Hosts {
-		list = append(list, state{h.Name, inOut(h.Out) + " in domain " + h.Domain})
+		list = append(list, subjectState{h.Name, serviceState(h.Out) + " in domain " + h.Domain})
 	}
 	return list
 }
 
-func targets(p *chestnutstep.Publication) []state {
-	list := make([]state, 0, len(p.Targets))
+func targetStates(p *chestnutstep.Publication) []subjectState {
+	list := make([]subjectState, 0, len(p.Targets))
 	for _, t := range p.Targets {
-		v := fmt.Sprintf("%s on host %s, model %s, weight %g", inOut(t.Out), t.Host, t.Model, t.Weight)
-		list = append(list, state{t.Name, v})
+		v := fmt.Sprintf("%s on host %s, model %s, weight %g", serviceState(t.Out), t.Host, t.Model, t.Weight)
+		list = append(list, subjectState{t.Name, v})
 	}
 	return list
 }
 
-func limits(p *chestnutstep.Publication) []state {
-	var list []state
+func limitStates(p *chestnutstep.Publication) []subjectState {
+	var list []subjectState
 	for _, m := range p.Models {
 		v := fmt.Sprintf("multiple %g, floor %d, slots %d, queue %d, cold %d",
-			m.Multiple, m.Floor, m.Slots, m.Queue, m.Cold)
-		list = append(list, state{"model " + m.Name, v})
+			m.Multiple, m.Floor, m.Slots, m.QueueLimit, m.ColdCap)
+		list = append(list, subjectState{"model " + m.Name, v})
 	}
 	for _, f := range p.Profiles {
 		v := fmt.Sprintf("class %s, timeout %s, patience %s, tries %d",
-			f.Class, f.Timeout.Std(), f.Patience.Std(), f.Tries)
-		list = append(list, state{"profile " + f.Name, v})
+			f.Class, f.Timeout.Std(), f.Patience.Std(), f.MaxAttempts)
+		list = append(list, subjectState{"profile " + f.Name, v})
 	}
 	for _, w := range p.Workspaces {
 		v := fmt.Sprintf("weight %g, rate %g, burst %g", w.Weight, w.Rate, w.Burst)
-		list = append(list, state{"workspace " + w.Name, v})
+		list = append(list, subjectState{"workspace " + w.Name, v})
 	}
 	b := p.Budget
 	if b == (chestnutstep.Budget{}) {
 		return list
 	}
-	v := fmt.Sprintf("reads %g, loads %g, retries %g, export %d", b.Reads, b.Loads, b.Retries, b.Export)
-	return append(list, state{"budget", v})
+	v := fmt.Sprintf("reads %g, loads %g, retries %g, export %d", b.ReadRate, b.LoadRate, b.RetryRatio, b.ExportRate)
+	return append(list, subjectState{"budget", v})
 }
--- a/audit/read.go
+++ b/audit/read.go
@@ -11,18 +11,18 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// lineMost is the longest line of a log that is read, in bytes.
-const lineMost = 1 << 20
+// maxLineBytes is the longest line of a log that is read, in bytes.
+const maxLineBytes = 1 << 20
 
 // Read finds the records of one process among the lines of a log stream, which
 // is where they outlive the process. All processes' records are returned when
 // process is empty. Lines that are not audit records are passed over.
 func Read(r io.Reader, process string) ([]Record, error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, lineMost)
+	lines.Buffer(nil, maxLineBytes)
 	var records []Record
 	for lines.Scan() {
-		rec, ok := parse(lines.Bytes())
+		rec, ok := parseLine(lines.Bytes())
 		if ok && (process == "" || rec.Process == process) {
 			records = append(records, rec)
 		}
@@ -30,9 +30,9 @@
 	return records, errors.Wrap(lines.Err(), "read log")
 }
 
-// parse reads one line. The line's own time is that of writing; the record's
+// parseLine reads one line. The line's own time is that of writing; the record's
 // stands under "at".
-func parse(line []byte) (Record, bool) {
+func parseLine(line []byte) (Record, bool) {
 	var l struct {
 		Record
 		Event event.ID  `json:"event"`
--- a/audit/trail.go
+++ b/audit/trail.go
@@ -7,10 +7,10 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// defaultKeep is how many records a trail keeps in memory if nothing else is
+// defaultCapacity is how many records a trail keeps in memory if nothing else is
 // said: at half a kilobyte each they cost half a megabyte, and hold what a
 // failure domain of several hundred targets causes when it leaves and returns.
-const defaultKeep = 1024
+const defaultCapacity = 1024
 
 // Trail numbers records, chains them by hash, writes them to the log stream
 // and keeps the newest. Hosts have no disks: what must outlive the process is
@@ -20,8 +20,8 @@
 	Log *event.Log
 	// Process names the process in each record.
 	Process string
-	// Keep is how many records stay in memory; 1024 if 0.
-	Keep int
+	// Capacity is how many records stay in memory; 1024 if 0.
+	Capacity int
 	// Now is the clock; time.Now if nil.
 	Now func() time.Time
 
@@ -44,7 +44,7 @@
 	r.Prev = t.prev
 	r.Hash = r.Sum()
 	t.prev = r.Hash
-	t.keep(r)
+	t.retain(r)
 	t.Log.Emit(
 		event.AuditRecord,
 		event.Uint("seq", r.Seq),
@@ -71,10 +71,10 @@
 	return now().UTC().Round(0)
 }
 
-func (t *Trail) keep(r Record) {
-	n := t.Keep
+func (t *Trail) retain(r Record) {
+	n := t.Capacity
 	if n <= 0 {
-		n = defaultKeep
+		n = defaultCapacity
 	}
 	if len(t.ring) < n {
 		t.ring = append(t.ring, r)
--- a/audit/verify.go
+++ b/audit/verify.go
@@ -25,20 +25,20 @@
 	return errors.As(err, &e)
 }
 
-// ErrBroken says that a record is not what its process wrote.
-type ErrBroken struct {
+// ErrAltered says that a record is not what its process wrote.
+type ErrAltered struct {
 	Process string
 	Seq     uint64
 }
 
 // Error names the record.
-func (e ErrBroken) Error() string {
+func (e ErrAltered) Error() string {
 	return fmt.Sprintf("audit trail of %s: record %d was changed", e.Process, e.Seq)
 }
 
-// IsErrBroken says whether a record was changed.
-func IsErrBroken(err error) bool {
-	var e ErrBroken
+// IsErrAltered says whether a record was changed.
+func IsErrAltered(err error) bool {
+	var e ErrAltered
 	return errors.As(err, &e)
 }
 
@@ -50,30 +50,30 @@
 func Verify(records []Record) error {
 	for i, r := range records {
 		if r.Hash != r.Sum() {
-			return errors.WithStack(ErrBroken{Process: r.Process, Seq: r.Seq})
+			return errors.WithStack(ErrAltered{Process: r.Process, Seq: r.Seq})
 		}
 		if i == 0 {
 			continue
 		}
-		if err := link(records[i-1], r); err != nil {
+		if err := checkLink(records[i-1], r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func link(a, b Record) error {
+func checkLink(a, b Record) error {
 	if b.Process == a.Process && b.Seq == 1 && b.Prev == "" {
 		return nil
 	}
 	if b.Process != a.Process || b.Seq <= a.Seq {
-		return errors.WithStack(ErrBroken{Process: b.Process, Seq: b.Seq})
+		return errors.WithStack(ErrAltered{Process: b.Process, Seq: b.Seq})
 	}
 	if b.Seq != a.Seq+1 {
 		return errors.WithStack(ErrGap{Process: b.Process, After: a.Seq, Before: b.Seq})
 	}
 	if b.Prev != a.Hash {
-		return errors.WithStack(ErrBroken{Process: b.Process, Seq: b.Seq})
+		return errors.WithStack(ErrAltered{Process: b.Process, Seq: b.Seq})
 	}
 	return nil
 }
--- a/audit/why.go
+++ b/audit/why.go
@@ -14,14 +14,14 @@
 	At time.Time
 }
 
-// Why returns the newest record up to the moment for each subject that governs
+// Explain returns the newest record up to the moment for each subject that governs
 // the target: its publication, failure domain, host, own state and limits. It
 // is what answers why a chat was moved or a request refused: the refusal names
 // the target and the reason, and the records say what made the reason true.
-func Why(records []Record, q Query) []Record {
+func Explain(records []Record, q Query) []Record {
 	newest := make(map[subject]int)
 	for i, r := range records {
-		if s := subjectOf(r); !r.Time.After(q.At) && q.governed(s) {
+		if s := subjectOf(r); !r.Time.After(q.At) && q.matches(s) {
 			newest[s] = i
 		}
 	}
@@ -41,7 +41,7 @@
 
 func subjectOf(r Record) subject { return subject{r.Kind, r.Subject} }
 
-func (q Query) governed(s subject) bool {
+func (q Query) matches(s subject) bool {
 	switch s.kind {
 	case KindAccepted:
 		return true
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -59,7 +59,7 @@
 	const most = 5000
 	for i := range p.Models {
 		m := &p.Models[i]
-		m.Multiple, m.Floor, m.Slots, m.Queue, m.Cold = 0, most, most, most, most
+		m.Multiple, m.Floor, m.Slots, m.QueueLimit, m.ColdCap = 0, most, most, most, most
 	}
 }
 
--- a/bench/pad.go
+++ b/bench/pad.go
@@ -18,7 +18,7 @@
 func padWorkspaces(p *chestnutstep.Publication) {
 	q := fake.Planned.Publication(1)
 	p.Workspaces = append(p.Workspaces, q.Workspaces...)
-	p.Budget.Reads = q.Budget.Reads
+	p.Budget.ReadRate = q.Budget.ReadRate
 }
 
 // padTargets fills up targets, hosts and models. The targets are out of service
--- a/board/board.go
+++ b/board/board.go
@@ -108,7 +108,7 @@
 	_, _ = d.WriteString(t.ID)
 	var b [8]byte
 	for i := range b {
-		b[i] = byte(t.Born >> (8 * i))
+		b[i] = byte(t.StartedMs >> (8 * i))
 	}
 	_, _ = d.Write(b[:])
 	return uint32(d.Sum64())
@@ -143,9 +143,9 @@
 func (b *Board) instance(t *chestnutstep.Instance) (uint32, *state) {
 	key := loadKey(t.ID)
 	s := b.state(key)
-	if s.born != t.Born {
+	if s.born != t.StartedMs {
 		b.setApart(s)
-		s.born, s.health, s.cold, s.limit = t.Born, health{}, coldBucket{}, admit.Limit{}
+		s.born, s.health, s.cold, s.limit = t.StartedMs, health{}, coldBucket{}, admit.Limit{}
 	}
 	return key, s
 }
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -18,7 +18,7 @@
 
 const start = clock.Stamp(time.Hour)
 
-var engine = &chestnutstep.Service{Name: "s", Engine: true, ColdRate: 14, ColdStart: 3 * time.Second}
+var engine = &chestnutstep.Service{Name: "s", IsEngine: true, ColdRate: 14, ColdStart: 3 * time.Second}
 
 // view has targets t0, t1, ...; those beyond warm stay cold for a minute.
 func view(n, warm int) *roster.View {
@@ -198,10 +198,10 @@
 	assert.Assert(t, entries[1].Entries() >= 3, "budgets are still divided: those who fell silent may send")
 }
 
-func parts(ids ...uint64) []chestnutstep.Part {
-	var list []chestnutstep.Part
+func parts(ids ...uint64) []chestnutstep.PromptPart {
+	var list []chestnutstep.PromptPart
 	for _, id := range ids {
-		list = append(list, chestnutstep.Part{ID: id, Tokens: 1000})
+		list = append(list, chestnutstep.PromptPart{ID: id, Tokens: 1000})
 	}
 	return list
 }
@@ -226,7 +226,7 @@
 	run.End(start, board.Served)
 
 	v = view(2, 2)
-	v.ByID["t0"].Born = 7
+	v.ByID["t0"].StartedMs = 7
 	assert.Equal(t, held(b), 0)
 	assert.Equal(t, b.Donor(start, v, engine, ask).Held, 0)
 
--- a/board/choose.go
+++ b/board/choose.go
@@ -21,7 +21,7 @@
 
 // Need says what a request wants of a target.
 type Need struct {
-	Parts []chestnutstep.Part
+	Parts []chestnutstep.PromptPart
 	// Domain of the entry.
 	Domain string
 	// Allowed says whether targets of a failure domain may have the request; nil
@@ -96,7 +96,7 @@
 		}
 	}
 	var donor place.Donor
-	if service.Engine {
+	if service.IsEngine {
 		donor = b.donor(now, g, need.Parts)
 	}
 	l.ceiling = l.sum.Ceiling(need.Cap)
@@ -119,7 +119,7 @@
 	l := look{
 		now: now, service: service, need: need,
 		hold:     b.usage(service.Name).pace.Mean(),
-		patience: time.Duration(patienceShare * float64(service.Objective)),
+		patience: time.Duration(patienceShare * float64(service.LatencyObjective)),
 	}
 	l.reach = admit.Reach(1, l.hold, l.patience)
 	return l
@@ -239,7 +239,7 @@
 // donor returns the target with the longest prefix to fetch from; of several the
 // least loaded, as fetches from one run one after the other. One that is leaving
 // may give while it still answers: what only it holds is lost otherwise.
-func (b *Board) donor(now clock.Stamp, g *group, parts []chestnutstep.Part) place.Donor {
+func (b *Board) donor(now clock.Stamp, g *group, parts []chestnutstep.PromptPart) place.Donor {
 	var best place.Donor
 	for i := len(parts) - 1; i >= 0 && best.Held == 0; i-- {
 		left := holdersMost
@@ -256,7 +256,7 @@
 }
 
 // compareDonor puts a target in the place of the best donor if it is better.
-func (b *Board) compareDonor(now clock.Stamp, best *place.Donor, m *member, parts []chestnutstep.Part) {
+func (b *Board) compareDonor(now clock.Stamp, best *place.Donor, m *member, parts []chestnutstep.PromptPart) {
 	held := b.held(now, m.cache, parts, true)
 	load := float64(b.runningAt(m))
 	if held > best.Held || held == best.Held && held > 0 && load < best.Running {
--- a/board/export_test.go
+++ b/board/export_test.go
@@ -31,7 +31,7 @@
 }
 
 // Donor returns the best donor among all targets.
-func (b *Board) Donor(now clock.Stamp, v *roster.View, service *chestnutstep.Service, parts []chestnutstep.Part) place.Donor {
+func (b *Board) Donor(now clock.Stamp, v *roster.View, service *chestnutstep.Service, parts []chestnutstep.PromptPart) place.Donor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.begin()
--- a/board/holds.go
+++ b/board/holds.go
@@ -20,7 +20,7 @@
 // held counts the tokens of the leading parts in a target's cache: a part is of
 // use only if all before it are there too. With ready, parts that are still being
 // read don't count.
-func (b *Board) held(now clock.Stamp, key uint32, parts []chestnutstep.Part, ready bool) int {
+func (b *Board) held(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, ready bool) int {
 	n := 0
 	for _, p := range parts {
 		h, ok := b.holds[uint32(p.ID)][key]
@@ -34,7 +34,7 @@
 
 // hold notes that a target reads parts. The last part is the request's own: no
 // other request asks for it.
-func (b *Board) hold(now clock.Stamp, key uint32, parts []chestnutstep.Part, ready bool) {
+func (b *Board) hold(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, ready bool) {
 	if len(parts) == 0 {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // drop forgets parts that a target did not read after all.
-func (b *Board) drop(key uint32, parts []chestnutstep.Part) {
+func (b *Board) drop(key uint32, parts []chestnutstep.PromptPart) {
 	for _, p := range parts {
 		if m := b.holds[uint32(p.ID)]; m != nil && !m[key].ready {
 			delete(m, key)
@@ -70,7 +70,7 @@
 }
 
 // Hold notes what a target itself says of its cache.
-func (b *Board) Hold(now clock.Stamp, t *chestnutstep.Instance, parts []chestnutstep.Part) {
+func (b *Board) Hold(now clock.Stamp, t *chestnutstep.Instance, parts []chestnutstep.PromptPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.begin()
--- a/board/run.go
+++ b/board/run.go
@@ -14,7 +14,7 @@
 	// key of the target, and cache that of its instance.
 	key     uint32
 	cache   uint32
-	parts   []chestnutstep.Part
+	parts   []chestnutstep.PromptPart
 	reading int
 	ready   bool
 	domain  string
@@ -36,7 +36,7 @@
 }
 
 // Start counts a request at a target.
-func (b *Board) Start(now clock.Stamp, t *roster.Target, service *chestnutstep.Service, parts []chestnutstep.Part, held int, who Who) *Run {
+func (b *Board) Start(now clock.Stamp, t *roster.Target, service *chestnutstep.Service, parts []chestnutstep.PromptPart, held int, who Who) *Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key, s := b.instance(&t.Instance)
@@ -47,7 +47,7 @@
 	}
 	r := &Run{board: b, key: key, cache: Key(&t.Instance), parts: parts, domain: t.Domain, usage: b.usage(service.Name), who: who, began: now}
 	r.before = float64(s.running + int(b.sums[key].Running))
-	r.slots, r.engine = t.Slots, service.Engine
+	r.slots, r.engine = t.Slots, service.IsEngine
 	b.domains[t.Domain].start(now)
 	r.usage.fair.Start(who.Urgency, who.Workspace)
 	for _, p := range parts {
--- a/board/usage_test.go
+++ b/board/usage_test.go
@@ -15,10 +15,10 @@
 // each of them, its own few would fill all targets, and callers would hear "full" from a
 // service that is hardly used.
 func TestFewRequestsDontFillAnIdleService(t *testing.T) {
-	plain := &chestnutstep.Service{Name: "s", Objective: 150 * time.Millisecond}
+	plain := &chestnutstep.Service{Name: "s", LatencyObjective: 150 * time.Millisecond}
 	entries, v := fleet(27), view(3, 3)
 	b := entries[0]
-	who := board.Who{Workspace: "w", Objective: plain.Objective}
+	who := board.Who{Workspace: "w", Objective: plain.LatencyObjective}
 	b.Start(start, v.ByID["t0"], plain, nil, 0, who).End(start.Add(30*time.Millisecond), board.Served)
 	now := start.Add(time.Second)
 	for _, x := range v.Services["s"] {
--- a/cert/cert.go
+++ b/cert/cert.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// recheck is how long files that were looked at count as unchanged: three
+	// recheckInterval is how long files that were looked at count as unchanged: three
 	// calls of stat a second are nothing, three a handshake would be felt when
 	// a thousand callers connect at once.
-	recheck = time.Second
-	// warnBefore is how long before a certificate's end the log says so: a
+	recheckInterval = time.Second
+	// expiryWarnWindow is how long before a certificate's end the log says so: a
 	// working week and the days around it.
-	warnBefore = 7 * 24 * time.Hour
-	// warnEvery is how often the log says so.
-	warnEvery = 24 * time.Hour
+	expiryWarnWindow = 7 * 24 * time.Hour
+	// expiryWarnInterval is how often the log says so.
+	expiryWarnInterval = 24 * time.Hour
 )
 
 // Files names a certificate, its key and the authority that signs the peers'
@@ -40,18 +40,18 @@
 	// Now is the clock; time.Now if nil.
 	Now func() time.Time
 
-	mu     sync.Mutex
-	looked time.Time
-	warned time.Time
-	seen   stamps
-	good   *material
+	mu         sync.Mutex
+	checkedAt  time.Time
+	warnedAt   time.Time
+	fileStamps stamps
+	loaded     *keyMaterial
 }
 
-// material is what was read from the files; it never changes.
-type material struct {
-	pair  tls.Certificate
-	roots *x509.CertPool
-	end   time.Time
+// keyMaterial is what was read from the files; it never changes.
+type keyMaterial struct {
+	pair     tls.Certificate
+	roots    *x509.CertPool
+	notAfter time.Time
 }
 
 // ErrFiles says that certificate files can't be used.
@@ -77,33 +77,33 @@
 func (f *Files) Load() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.looked = f.now()
-	f.seen = f.stamp()
+	f.checkedAt = f.now()
+	f.fileStamps = f.statFiles()
 	return f.read()
 }
 
 // current returns what is in use, after a look at the files.
-func (f *Files) current() (*material, error) {
+func (f *Files) current() (*keyMaterial, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
-	if f.good == nil {
+	if f.loaded == nil {
 		return nil, errors.WithStack(ErrFiles{Files: f.Cert, Cause: errors.New("not loaded")})
 	}
-	return f.good, nil
+	return f.loaded, nil
 }
 
 func (f *Files) refresh() {
 	now := f.now()
-	if now.Sub(f.looked) < recheck {
+	if now.Sub(f.checkedAt) < recheckInterval {
 		return
 	}
-	f.looked = now
-	if s := f.stamp(); s != f.seen {
-		f.seen = s
+	f.checkedAt = now
+	if s := f.statFiles(); s != f.fileStamps {
+		f.fileStamps = s
 		_ = f.read()
 	}
-	f.warn(now)
+	f.warnExpiry(now)
 }
 
 // read replaces what is in use by what the files hold, if that is usable.
@@ -113,17 +113,17 @@
 		f.Log.Emit(event.CertBroken, event.Str("file", f.Cert), event.Err(err))
 		return err
 	}
-	f.good = m
-	f.Log.Emit(event.CertLoaded, event.Str("file", f.Cert), event.Str("end", m.end.Format(time.RFC3339)))
+	f.loaded = m
+	f.Log.Emit(event.CertLoaded, event.Str("file", f.Cert), event.Str("end", m.notAfter.Format(time.RFC3339)))
 	return nil
 }
 
-func (f *Files) parse() (*material, error) {
+func (f *Files) parse() (*keyMaterial, error) {
 	pair, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
 		return nil, errors.WithStack(ErrFiles{Files: f.Cert + " and " + f.Key, Cause: err})
 	}
-	m := &material{pair: pair, end: pair.Leaf.NotAfter}
+	m := &keyMaterial{pair: pair, notAfter: pair.Leaf.NotAfter}
 	if f.CA == "" {
 		return m, nil
 	}
@@ -138,14 +138,14 @@
 	return m, nil
 }
 
-// warn says once a day that the certificate in use ends soon. Without it the
+// warnExpiry says once a day that the certificate in use ends soon. Without it the
 // first sign would be that no process reaches another.
-func (f *Files) warn(now time.Time) {
-	if f.good == nil || f.good.end.Sub(now) > warnBefore || now.Sub(f.warned) < warnEvery {
+func (f *Files) warnExpiry(now time.Time) {
+	if f.loaded == nil || f.loaded.notAfter.Sub(now) > expiryWarnWindow || now.Sub(f.warnedAt) < expiryWarnInterval {
 		return
 	}
-	f.warned = now
-	f.Log.Emit(event.CertExpires, event.Str("file", f.Cert), event.Str("end", f.good.end.Format(time.RFC3339)))
+	f.warnedAt = now
+	f.Log.Emit(event.CertExpires, event.Str("file", f.Cert), event.Str("end", f.loaded.notAfter.Format(time.RFC3339)))
 }
 
 func (f *Files) now() time.Time {
@@ -155,23 +155,23 @@
 	return time.Now()
 }
 
-// stamp tells one content of a file from the next without reading it.
-type stamp struct {
+// fileStamp tells one content of a file from the next without reading it.
+type fileStamp struct {
 	size  int64
 	nanos int64
 }
 
 // stamps are those of certificate, key and authority.
-type stamps [3]stamp
+type stamps [3]fileStamp
 
-func (f *Files) stamp() stamps {
-	return stamps{stampOf(f.Cert), stampOf(f.Key), stampOf(f.CA)}
+func (f *Files) statFiles() stamps {
+	return stamps{statFile(f.Cert), statFile(f.Key), statFile(f.CA)}
 }
 
-func stampOf(path string) stamp {
+func statFile(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileStamp{}
 	}
-	return stamp{size: info.Size(), nanos: info.ModTime().UnixNano()}
+	return fileStamp{size: info.Size(), nanos: info.ModTime().UnixNano()}
 }
--- a/cert/cert_test.go
+++ b/cert/cert_test.go
@@ -49,10 +49,10 @@
 	assert.NilError(t, err)
 	cert, err := x509.ParseCertificate(raw)
 	assert.NilError(t, err)
-	return &authority{cert: cert, key: key, pem: encode("CERTIFICATE", raw)}
+	return &authority{cert: cert, key: key, pem: encodePEM("CERTIFICATE", raw)}
 }
 
-func encode(kind string, raw []byte) []byte {
+func encodePEM(kind string, raw []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw})
 }
 
@@ -68,32 +68,32 @@
 	assert.NilError(t, err)
 	pkcs8, err := x509.MarshalPKCS8PrivateKey(key)
 	assert.NilError(t, err)
-	write(t, f.Cert, encode("CERTIFICATE", raw))
-	write(t, f.Key, encode("PRIVATE KEY", pkcs8))
-	write(t, f.CA, a.pem)
+	writeFile(t, f.Cert, encodePEM("CERTIFICATE", raw))
+	writeFile(t, f.Key, encodePEM("PRIVATE KEY", pkcs8))
+	writeFile(t, f.CA, a.pem)
 }
 
-// stamped steps with each write, so that no two files share a time of change.
-var stamped = time.Unix(1_700_000_000, 0)
+// lastModTime steps with each write, so that no two files share a time of change.
+var lastModTime = time.Unix(1_700_000_000, 0)
 
-func write(t *testing.T, path string, raw []byte) {
+func writeFile(t *testing.T, path string, raw []byte) {
 	t.Helper()
 	assert.NilError(t, os.WriteFile(path, raw, 0o600))
-	stamped = stamped.Add(time.Second)
-	assert.NilError(t, os.Chtimes(path, stamped, stamped))
+	lastModTime = lastModTime.Add(time.Second)
+	assert.NilError(t, os.Chtimes(path, lastModTime, lastModTime))
 }
 
-// side is one process with its files, its log and a clock of its own.
-type side struct {
+// testProcess is one process with its files, its log and a clock of its own.
+type testProcess struct {
 	*Files
 	log bytes.Buffer
 	now time.Time
 }
 
-func newSide(t *testing.T) *side {
+func newTestProcess(t *testing.T) *testProcess {
 	t.Helper()
 	dir := t.TempDir()
-	s := &side{now: time.Now()}
+	s := &testProcess{now: time.Now()}
 	s.Files = &Files{
 		Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem"),
 		Log: &event.Log{Out: &s.log}, Now: func() time.Time { return s.now },
@@ -101,9 +101,9 @@
 	return s
 }
 
-// shake dials 127.0.0.1 over TCP and returns the serial number that the client
+// handshake dials 127.0.0.1 over TCP and returns the serial number that the client
 // saw, or the first error of either side.
-func shake(t *testing.T, server, client *side) (int64, error) {
+func handshake(t *testing.T, server, client *testProcess) (int64, error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -132,27 +132,27 @@
 	return info.(credentials.TLSInfo).State.PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-func TestMutual(t *testing.T) {
-	ca, stranger := newAuthority(t), newAuthority(t)
-	server, client := newSide(t), newSide(t)
+func TestMutualTLS(t *testing.T) {
+	ca, untrusted := newAuthority(t), newAuthority(t)
+	server, client := newTestProcess(t), newTestProcess(t)
 	ca.issue(t, server.Files, "127.0.0.1", 10)
 	ca.issue(t, client.Files, "127.0.0.1", 11)
 	assert.NilError(t, server.Load())
 	assert.NilError(t, client.Load())
-	serial, err := shake(t, server, client)
+	serial, err := handshake(t, server, client)
 	assert.NilError(t, err)
 	assert.Equal(t, serial, int64(10))
 
-	other := newSide(t)
-	stranger.issue(t, other.Files, "127.0.0.1", 12)
+	other := newTestProcess(t)
+	untrusted.issue(t, other.Files, "127.0.0.1", 12)
 	assert.NilError(t, other.Load())
-	_, err = shake(t, server, other)
+	_, err = handshake(t, server, other)
 	assert.Assert(t, err != nil, "a stranger's certificate")
 
-	misplaced := newSide(t)
-	ca.issue(t, misplaced.Files, "127.0.0.2", 13)
-	assert.NilError(t, misplaced.Load())
-	_, err = shake(t, misplaced, client)
+	wrongIP := newTestProcess(t)
+	ca.issue(t, wrongIP.Files, "127.0.0.2", 13)
+	assert.NilError(t, wrongIP.Load())
+	_, err = handshake(t, wrongIP, client)
 	assert.ErrorContains(t, err, "127.0.0.1")
 }
 
@@ -160,19 +160,19 @@
 // a process still showed it, no other would talk to it.
 func TestRotatedCertificateServesNextHandshake(t *testing.T) {
 	ca, next := newAuthority(t), newAuthority(t)
-	server, client := newSide(t), newSide(t)
+	server, client := newTestProcess(t), newTestProcess(t)
 	ca.issue(t, server.Files, "127.0.0.1", 20)
 	ca.issue(t, client.Files, "127.0.0.1", 21)
 	assert.NilError(t, server.Load())
 	assert.NilError(t, client.Load())
 	next.issue(t, server.Files, "127.0.0.1", 22)
 	next.issue(t, client.Files, "127.0.0.1", 23)
-	serial, err := shake(t, server, client)
+	serial, err := handshake(t, server, client)
 	assert.NilError(t, err)
 	assert.Equal(t, serial, int64(20), "files are looked at once a second")
-	server.now = server.now.Add(recheck)
-	client.now = client.now.Add(recheck)
-	serial, err = shake(t, server, client)
+	server.now = server.now.Add(recheckInterval)
+	client.now = client.now.Add(recheckInterval)
+	serial, err = handshake(t, server, client)
 	assert.NilError(t, err)
 	assert.Equal(t, serial, int64(22))
 	assert.Equal(t, strings.Count(server.log.String(), `"name":"cert_expires"`), 1, "an hour is left")
@@ -180,37 +180,37 @@
 
 // A tool writes the certificate and dies before the key, or leaves a file cut
 // short. Without care the host drops out of the fleet at its next connection.
-func TestBrokenFilesLeaveLastGood(t *testing.T) {
+func TestInvalidFilesKeepLastGood(t *testing.T) {
 	ca := newAuthority(t)
-	server, client := newSide(t), newSide(t)
+	server, client := newTestProcess(t), newTestProcess(t)
 	ca.issue(t, server.Files, "127.0.0.1", 30)
 	ca.issue(t, client.Files, "127.0.0.1", 31)
 	assert.NilError(t, server.Load())
 	assert.NilError(t, client.Load())
 	for _, path := range []string{server.Cert, server.Key, server.CA} {
-		write(t, path, []byte("-----BEGIN CERT"))
-		server.now = server.now.Add(recheck)
+		writeFile(t, path, []byte("-----BEGIN CERT"))
+		server.now = server.now.Add(recheckInterval)
 		server.log.Reset()
-		serial, err := shake(t, server, client)
+		serial, err := handshake(t, server, client)
 		assert.NilError(t, err)
 		assert.Equal(t, serial, int64(30))
 		assert.Equal(t, strings.Count(server.log.String(), `"name":"cert_broken"`), 1, server.log.String())
 	}
 	assert.Assert(t, IsErrFiles(server.Load()))
 	ca.issue(t, server.Files, "127.0.0.1", 32)
-	server.now = server.now.Add(recheck)
-	serial, err := shake(t, server, client)
+	server.now = server.now.Add(recheckInterval)
+	serial, err := handshake(t, server, client)
 	assert.NilError(t, err)
 	assert.Equal(t, serial, int64(32))
 }
 
 // Callers connect without certificates; a rotated one serves them too.
-func TestPublic(t *testing.T) {
+func TestCallerConfig(t *testing.T) {
 	ca := newAuthority(t)
-	server := newSide(t)
+	server := newTestProcess(t)
 	ca.issue(t, server.Files, "127.0.0.1", 40)
 	assert.NilError(t, server.Load())
-	l, err := tls.Listen("tcp", "127.0.0.1:0", server.Public())
+	l, err := tls.Listen("tcp", "127.0.0.1:0", server.CallerConfig())
 	assert.NilError(t, err)
 	defer l.Close()
 	go func() {
--- a/cert/tls.go
+++ b/cert/tls.go
@@ -9,10 +9,10 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// Public returns the configuration of a listener for callers, who show keys and
+// CallerConfig returns the configuration of a listener for callers, who show keys and
 // no certificates.
-func (f *Files) Public() *tls.Config {
-	return f.listen(func(m *material) *tls.Config {
+func (f *Files) CallerConfig() *tls.Config {
+	return f.serverConfig(func(m *keyMaterial) *tls.Config {
 		return &tls.Config{
 			MinVersion:   tls.VersionTLS12,
 			NextProtos:   []string{"h2", "http/1.1"},
@@ -21,8 +21,8 @@
 	})
 }
 
-// listen returns a configuration that is made anew for each connection.
-func (f *Files) listen(with func(*material) *tls.Config) *tls.Config {
+// serverConfig returns a configuration that is made anew for each connection.
+func (f *Files) serverConfig(build func(*keyMaterial) *tls.Config) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -30,15 +30,15 @@
 			if err != nil {
 				return nil, err
 			}
-			return with(m), nil
+			return build(m), nil
 		},
 	}
 }
 
-// peer is the configuration of one connection between processes of the system,
+// peerConfig is the configuration of one connection between processes of the system,
 // from either side. Session tickets are off: a resumed session would outlive
 // the withdrawal of the authority that vouched for it.
-func peer(m *material) *tls.Config {
+func peerConfig(m *keyMaterial) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             []string{"h2"},
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return credentials.NewTLS(peer(m)).ClientHandshake(ctx, authority, conn)
+	return credentials.NewTLS(peerConfig(m)).ClientHandshake(ctx, authority, conn)
 }
 
 // ServerHandshake implements credentials.TransportCredentials.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return credentials.NewTLS(peer(m)).ServerHandshake(conn)
+	return credentials.NewTLS(peerConfig(m)).ServerHandshake(conn)
 }
 
 // Info implements credentials.TransportCredentials.
--- a/chestnutstep.go
+++ b/chestnutstep.go
@@ -9,40 +9,40 @@
 
 // Names of the HTTP headers between callers and entries.
 const (
-	HeaderProfile     = "Chestnut-Profile"
-	HeaderChat        = "Chestnut-Chat"
-	HeaderHint        = "Chestnut-Hint"
-	HeaderTimeout     = "Chestnut-Timeout"
-	HeaderTicket      = "Chestnut-Ticket"
-	HeaderRun         = "Chestnut-Run"
-	HeaderIdempotency = "Idempotency-Key"
+	HeaderProfile        = "Chestnut-Profile"
+	HeaderChat           = "Chestnut-Chat"
+	HeaderHint           = "Chestnut-Hint"
+	HeaderTimeout        = "Chestnut-Timeout"
+	HeaderTicket         = "Chestnut-Ticket"
+	HeaderRun            = "Chestnut-Run"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // Names of the HTTP headers between an agent and its target.
 const (
-	// HeaderRequest names the request; a target's answer repeats it, so that
+	// HeaderRequestID names the request; a target's answer repeats it, so that
 	// an answer which belongs to another request is noticed.
-	HeaderRequest = "Request-Id"
-	// HeaderBoot is drawn anew by a target at each start: another value means
+	HeaderRequestID = "Request-Id"
+	// HeaderBootID is drawn anew by a target at each start: another value means
 	// that the target restarted and lost what it had cached.
-	HeaderBoot = "Boot-Id"
-	// HeaderCached is the prompt prefix that was found in the cache, in tokens.
-	HeaderCached = "Cached-Tokens"
-	// HeaderFence carries the fencing number of an order.
-	HeaderFence = "Fencing-Number"
+	HeaderBootID = "Boot-Id"
+	// HeaderCachedTokens is the prompt prefix that was found in the cache, in tokens.
+	HeaderCachedTokens = "Cached-Tokens"
+	// HeaderFencingNumber carries the fencing number of an order.
+	HeaderFencingNumber = "Fencing-Number"
 	// HeaderPriority is the request's class, for engines that honour it.
 	HeaderPriority = "Priority"
 )
 
-// Run says what is known about whether a request ran at a target.
-type Run string
+// RunStatus says what is known about whether a request ran at a target.
+type RunStatus string
 
 // The values of Run. Only an agent that rules out a later run says RunNo for a
 // non-idempotent request.
 const (
-	RunNo    Run = "no"
-	RunMaybe Run = "maybe"
-	RunYes   Run = "yes"
+	RunNo    RunStatus = "no"
+	RunMaybe RunStatus = "maybe"
+	RunYes   RunStatus = "yes"
 )
 
 // Class is a priority: 0 is the most urgent.
@@ -53,8 +53,8 @@
 	ClassUrgent Class = iota
 	ClassNormal
 	ClassBatch
-	// Classes is how many there are.
-	Classes = 3
+	// ClassCount is how many there are.
+	ClassCount = 3
 )
 
 // Reason is the stable, one-word code of a refusal or a broken answer. It
--- a/class.go
+++ b/class.go
@@ -1,7 +1,7 @@
 package chestnutstep
 
 // classNames are the names of the classes in a profile, by class.
-var classNames = [Classes]string{"urgent", "normal", "batch"}
+var classNames = [ClassCount]string{"urgent", "normal", "batch"}
 
 // String returns the class's name in a profile.
 func (c Class) String() string {
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -17,13 +17,13 @@
 func Now() Stamp {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return Stamp(time.Since(start))
+		return Stamp(time.Since(fallbackStart))
 	}
 	return Stamp(ts.Nano())
 }
 
-// start stands in on systems without a boot clock.
-var start = time.Now()
+// fallbackStart stands in on systems without a boot clock.
+var fallbackStart = time.Now()
 
 // Sub is the time from other to s.
 func (s Stamp) Sub(other Stamp) time.Duration { return time.Duration(s - other) }
--- a/cmd/chestnutstep/serve.go
+++ b/cmd/chestnutstep/serve.go
@@ -22,7 +22,7 @@
 	metrics := ""
 	c.String(&metrics, "m", "metrics", "port for metrics, where the settings are the platform's")
 	return c, func() error {
-		if file := os.Getenv(platform.SettingsVariable); *path == "" && file != "" {
+		if file := os.Getenv(platform.SettingsEnv); *path == "" && file != "" {
 			return direct(file, metrics)
 		}
 		s, err := settings(*path, config.RoleEntry)
@@ -35,7 +35,7 @@
 
 // direct runs an entry on the platform whose settings file is named.
 func direct(file, metrics string) error {
-	parse := func(path string) (*config.Direct, error) { return directSettings(path, metrics) }
+	parse := func(path string) (*config.DirectSettings, error) { return directSettings(path, metrics) }
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return errors.Wrap(err, "read settings")
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	store := platform.NewStore(s.Store, link.Dial)
+	store := platform.NewStore(s.StoreAddr, link.Dial)
 	n := &node.Direct{
 		Settings: s,
-		Source:   store.Topic,
+		Source:   store.TopicSource,
 		Facts:    store,
-		Wire:     platform.Wire{},
-		Caches:   platform.NewTargets(),
+		Wire:     platform.HeaderCodec{},
+		Caches:   platform.NewTargetClient(),
 		Reloader: &config.Reloader{Path: file, Parse: parse, Read: raw},
 	}
 	return serve(n.Run)
@@ -58,13 +58,13 @@
 
 // directSettings reads the platform's settings, and adds the port of the
 // command line.
-func directSettings(path, metrics string) (*config.Direct, error) {
+func directSettings(path, metrics string) (*config.DirectSettings, error) {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
 		return nil, err
 	}
 	if metrics != "" {
-		s.Metrics = net.JoinHostPort(s.IP, metrics)
+		s.MetricsAddr = net.JoinHostPort(s.IP, metrics)
 	}
 	return s, nil
 }
--- a/cmd/chestnutstep/status.go
+++ b/cmd/chestnutstep/status.go
@@ -58,20 +58,20 @@
 
 func (o *statusOptions) show(addr string) error {
 	if o.audit {
-		records, err := admin.AskAudit(context.Background(), addr)
+		records, err := admin.FetchAudit(context.Background(), addr)
 		if err != nil {
 			return err
 		}
 		return o.trail(records)
 	}
-	s, err := admin.Ask(context.Background(), addr)
+	s, err := admin.FetchStatus(context.Background(), addr)
 	if err != nil {
 		return err
 	}
 	if o.json {
 		return printJSON(s)
 	}
-	return s.Page(os.Stdout, time.Now())
+	return s.WriteText(os.Stdout, time.Now())
 }
 
 func (o *statusOptions) checkLog() error {
@@ -104,7 +104,7 @@
 	if o.json {
 		return printJSON(records)
 	}
-	return admin.Trail(os.Stdout, records)
+	return admin.WriteTrail(os.Stdout, records)
 }
 
 func printJSON(v any) error {
--- a/config/address.go
+++ b/config/address.go
@@ -6,10 +6,10 @@
 	"net/url"
 )
 
-// address checks an address that others connect to: IP and port. Names are
+// addressProblem checks an address that others connect to: IP and port. Names are
 // refused because the fleet runs without a resolver; one that hangs would hold
 // up every new connection.
-func address(s string) string {
+func addressProblem(s string) string {
 	if s == "" {
 		return "missing; want IP and port, such as \"10.0.0.1:7000\""
 	}
@@ -23,14 +23,14 @@
 	return ""
 }
 
-// loopback says whether an address stays on its host.
-func loopback(s string) bool {
+// isLoopback says whether an address stays on its host.
+func isLoopback(s string) bool {
 	ap, err := netip.ParseAddrPort(s)
 	return err == nil && ap.Addr().IsLoopback()
 }
 
-// baseURL checks the URL of an HTTP service whose host is an IP.
-func baseURL(s string) string {
+// urlProblem checks the URL of an HTTP service whose host is an IP.
+func urlProblem(s string) string {
 	if s == "" {
 		return "missing; want a URL, such as \"http://10.0.0.1:7000\""
 	}
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -21,7 +21,7 @@
 	root, parts := Pack(fleet(1, 2700, 270))
 	before := heap()
 	s := new(Store)
-	assert.NilError(t, s.Put(time.Time{}, root, parts))
+	assert.NilError(t, s.Apply(time.Time{}, root, parts))
 	held := heap() - before
 	runtime.KeepAlive(parts)
 	runtime.KeepAlive(s)
@@ -29,9 +29,9 @@
 	assert.Assert(t, held < 8)
 }
 
-// BenchmarkPut puts a changed publication of 2,700 targets in force, which each
+// BenchmarkApply puts a changed publication of 2,700 targets in force, which each
 // process does for every change: 11,000 times a day.
-func BenchmarkPut(b *testing.B) {
+func BenchmarkApply(b *testing.B) {
 	p := fleet(1, 2700, 270)
 	list := make([]packed, 0, b.N+1)
 	for i := range b.N + 1 {
@@ -50,7 +50,7 @@
 			b.StartTimer()
 		}
 		x := list[i%min(64, len(list))]
-		if err := benchStore.Put(time.Time{}, x.root, x.parts); err != nil {
+		if err := benchStore.Apply(time.Time{}, x.root, x.parts); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/config/diff.go
+++ b/config/diff.go
@@ -14,12 +14,12 @@
 // carry now. Both publications were checked; loads may be empty.
 func Diff(old, next *chestnutstep.Publication, loads []chestnutstep.Sample) []string {
 	d := diff{old: chestnutstep.NewView(old), next: chestnutstep.NewView(next)}
-	d.versions()
-	d.domains()
-	for _, m := range modelsOf(old, next) {
-		d.model(m, loads)
+	d.compareVersions()
+	d.compareDomains()
+	for _, m := range modelNames(old, next) {
+		d.compareModel(m, loads)
 	}
-	d.callers()
+	d.compareCallers()
 	return d.lines
 }
 
@@ -28,43 +28,43 @@
 	lines     []string
 }
 
-func (d *diff) say(format string, args ...any) {
+func (d *diff) addLine(format string, args ...any) {
 	d.lines = append(d.lines, fmt.Sprintf(format, args...))
 }
 
-func (d *diff) versions() {
+func (d *diff) compareVersions() {
 	from, to := d.old.Publication.Version, d.next.Publication.Version
 	if to <= from {
-		d.say("version %d does not replace version %d: it would be refused", to, from)
+		d.addLine("version %d does not replace version %d: it would be refused", to, from)
 		return
 	}
-	d.say("version %d replaces version %d", to, from)
+	d.addLine("version %d replaces version %d", to, from)
 }
 
-func (d *diff) domains() {
-	was := make(map[string]chestnutstep.Domain)
+func (d *diff) compareDomains() {
+	before := make(map[string]chestnutstep.Domain)
 	for _, x := range d.old.Publication.Domains {
-		was[x.Name] = x
+		before[x.Name] = x
 	}
 	for _, x := range d.next.Publication.Domains {
-		switch before, ok := was[x.Name]; {
+		switch prev, ok := before[x.Name]; {
 		case !ok:
-			d.say("domain %s is new", x.Name)
-		case x.Out && !before.Out:
-			d.say("domain %s goes out of service", x.Name)
-		case !x.Out && before.Out:
-			d.say("domain %s returns to service", x.Name)
+			d.addLine("domain %s is new", x.Name)
+		case x.Out && !prev.Out:
+			d.addLine("domain %s goes out of service", x.Name)
+		case !x.Out && prev.Out:
+			d.addLine("domain %s returns to service", x.Name)
 		}
-		delete(was, x.Name)
+		delete(before, x.Name)
 	}
 	for _, x := range d.old.Publication.Domains {
-		if _, gone := was[x.Name]; gone {
-			d.say("domain %s is removed", x.Name)
+		if _, gone := before[x.Name]; gone {
+			d.addLine("domain %s is removed", x.Name)
 		}
 	}
 }
 
-func modelsOf(old, next *chestnutstep.Publication) []string {
+func modelNames(old, next *chestnutstep.Publication) []string {
 	var list []string
 	for _, p := range []*chestnutstep.Publication{old, next} {
 		for i := range p.Models {
@@ -75,91 +75,91 @@
 	return slices.Compact(list)
 }
 
-// model compares the targets of one model that are in service.
-func (d *diff) model(name string, loads []chestnutstep.Sample) {
-	was, is := inService(d.old, name), inService(d.next, name)
-	for _, t := range is {
-		if find(was, t.Name) == nil {
-			d.say("model %s: target %s comes into service", name, t.Name)
+// compareModel compares the targets of one model that are in service.
+func (d *diff) compareModel(name string, loads []chestnutstep.Sample) {
+	before, after := targetsInService(d.old, name), targetsInService(d.next, name)
+	for _, t := range after {
+		if findTarget(before, t.Name) == nil {
+			d.addLine("model %s: target %s comes into service", name, t.Name)
 		}
 	}
-	for _, t := range was {
-		if find(is, t.Name) == nil {
-			d.say("model %s: target %s goes out of service", name, t.Name)
+	for _, t := range before {
+		if findTarget(after, t.Name) == nil {
+			d.addLine("model %s: target %s goes out of service", name, t.Name)
 		}
 	}
-	if moved := movedShare(was, is); moved > 0 {
-		d.say("model %s: about %.0f%% of its load moves to another target", name, 100*moved)
+	if moved := movedShare(before, after); moved > 0 {
+		d.addLine("model %s: about %.0f%% of its load moves to another target", name, 100*moved)
 	}
-	if len(was) > 0 && len(is) == 0 {
-		d.say("model %s: NO target is left in service", name)
+	if len(before) > 0 && len(after) == 0 {
+		d.addLine("model %s: NO target is left in service", name)
 		return
 	}
-	d.limits(name)
-	d.caps(name, was, is, loads)
+	d.compareLimits(name)
+	d.checkCaps(name, before, after, loads)
 }
 
-func (d *diff) limits(name string) {
-	was, is := d.old.Models[name], d.next.Models[name]
-	if was == nil || is == nil || *was == *is {
+func (d *diff) compareLimits(name string) {
+	before, after := d.old.Models[name], d.next.Models[name]
+	if before == nil || after == nil || *before == *after {
 		return
 	}
-	d.say("model %s: limits change from multiple %v, floor %d, slots %d, queue %d, cold %d", name,
-		was.Multiple, was.Floor, was.Slots, was.Queue, was.Cold)
-	d.say("model %s: to multiple %v, floor %d, slots %d, queue %d, cold %d", name,
-		is.Multiple, is.Floor, is.Slots, is.Queue, is.Cold)
+	d.addLine("model %s: limits change from multiple %v, floor %d, slots %d, queue %d, cold %d", name,
+		before.Multiple, before.Floor, before.Slots, before.QueueLimit, before.ColdCap)
+	d.addLine("model %s: to multiple %v, floor %d, slots %d, queue %d, cold %d", name,
+		after.Multiple, after.Floor, after.Slots, after.QueueLimit, after.ColdCap)
 }
 
-// caps warns of targets that would have to shed or queue at once.
-func (d *diff) caps(name string, was, is []*chestnutstep.Target, loads []chestnutstep.Sample) {
+// checkCaps warns of targets that would have to shed or queue at once.
+func (d *diff) checkCaps(name string, before, after []*chestnutstep.Target, loads []chestnutstep.Sample) {
 	m := d.next.Models[name]
-	if m == nil || len(is) == 0 {
+	if m == nil || len(after) == 0 {
 		return
 	}
 	total := 0.0
 	for _, s := range loads {
-		if t := find(was, s.Target); t != nil {
-			total += s.Load * t.Size()
+		if t := findTarget(before, s.Target); t != nil {
+			total += s.Load * t.EffectiveWeight()
 		}
 	}
-	mean := total / sum(is)
+	mean := total / totalWeight(after)
 	for _, s := range loads {
-		t := find(is, s.Target)
+		t := findTarget(after, s.Target)
 		if t == nil {
 			continue
 		}
-		limit, load := capAt(m, mean, t.Size()), s.Load*t.Size()
+		limit, load := targetCap(m, mean, t.EffectiveWeight()), s.Load*t.EffectiveWeight()
 		if load > limit {
-			d.say("model %s: target %s carries %.0f now, above its cap of %.0f", name, t.Name, load, limit)
+			d.addLine("model %s: target %s carries %.0f now, above its cap of %.0f", name, t.Name, load, limit)
 		}
 	}
-	if all := float64(m.Slots * len(is)); total > all {
-		d.say("model %s: the load of %.0f is more than its %.0f slots", name, total, all)
+	if capacity := float64(m.Slots * len(after)); total > capacity {
+		d.addLine("model %s: the load of %.0f is more than its %.0f slots", name, total, capacity)
 	}
 }
 
-// capAt is the cap of a target when the mean load for one unit of weight holds.
-func capAt(m *chestnutstep.Model, mean, weight float64) float64 {
+// targetCap is the cap of a target when the mean load for one unit of weight holds.
+func targetCap(m *chestnutstep.Model, mean, weight float64) float64 {
 	if m.Multiple == 0 {
 		return float64(m.Slots)
 	}
 	return min(float64(m.Slots), max(float64(m.Floor), math.Floor(m.Multiple*mean*weight)))
 }
 
-func (d *diff) callers() {
-	d.names("profile", sortedNames(d.old.Profiles), sortedNames(d.next.Profiles))
-	d.names("workspace", sortedNames(d.old.Workspaces), sortedNames(d.next.Workspaces))
+func (d *diff) compareCallers() {
+	d.compareNames("profile", sortedNames(d.old.Profiles), sortedNames(d.next.Profiles))
+	d.compareNames("workspace", sortedNames(d.old.Workspaces), sortedNames(d.next.Workspaces))
 }
 
-func (d *diff) names(kind string, was, is []string) {
-	for _, n := range is {
-		if _, ok := slices.BinarySearch(was, n); !ok {
-			d.say("%s %s is new", kind, n)
+func (d *diff) compareNames(kind string, before, after []string) {
+	for _, n := range after {
+		if _, ok := slices.BinarySearch(before, n); !ok {
+			d.addLine("%s %s is new", kind, n)
 		}
 	}
-	for _, n := range was {
-		if _, ok := slices.BinarySearch(is, n); !ok {
-			d.say("%s %s is removed: its callers are refused", kind, n)
+	for _, n := range before {
+		if _, ok := slices.BinarySearch(after, n); !ok {
+			d.addLine("%s %s is removed: its callers are refused", kind, n)
 		}
 	}
 }
@@ -173,10 +173,10 @@
 	return list
 }
 
-func inService(v *chestnutstep.View, model string) []*chestnutstep.Target {
+func targetsInService(v *chestnutstep.View, model string) []*chestnutstep.Target {
 	var list []*chestnutstep.Target
-	for _, t := range v.Serving[model] {
-		if !v.Out(t) {
+	for _, t := range v.TargetsByModel[model] {
+		if !v.IsOut(t) {
 			list = append(list, t)
 		}
 	}
@@ -189,7 +189,7 @@
 	return list
 }
 
-func find(list []*chestnutstep.Target, name string) *chestnutstep.Target {
+func findTarget(list []*chestnutstep.Target, name string) *chestnutstep.Target {
 	for _, t := range list {
 		if t.Name == name {
 			return t
@@ -200,26 +200,26 @@
 
 // movedShare is the share of a model's load that changes its target: what the
 // targets gain, as weighted rendezvous hashing moves nothing else.
-func movedShare(was, is []*chestnutstep.Target) float64 {
-	if len(was) == 0 || len(is) == 0 {
-		return min(float64(len(was)), 1)
+func movedShare(oldTargets, newTargets []*chestnutstep.Target) float64 {
+	if len(oldTargets) == 0 || len(newTargets) == 0 {
+		return min(float64(len(oldTargets)), 1)
 	}
-	before, after := sum(was), sum(is)
+	before, after := totalWeight(oldTargets), totalWeight(newTargets)
 	moved := 0.0
-	for _, t := range is {
+	for _, t := range newTargets {
 		share := 0.0
-		if b := find(was, t.Name); b != nil {
-			share = b.Size() / before
+		if b := findTarget(oldTargets, t.Name); b != nil {
+			share = b.EffectiveWeight() / before
 		}
-		moved += max(0, t.Size()/after-share)
+		moved += max(0, t.EffectiveWeight()/after-share)
 	}
 	return moved
 }
 
-func sum(list []*chestnutstep.Target) float64 {
+func totalWeight(list []*chestnutstep.Target) float64 {
 	total := 0.0
 	for _, t := range list {
-		total += t.Size()
+		total += t.EffectiveWeight()
 	}
 	return total
 }
--- a/config/document.go
+++ b/config/document.go
@@ -10,10 +10,10 @@
 	"github.com/tailscale/hujson"
 )
 
-// depthMax bounds how deep a document may nest. The parser below recurses, so
+// maxDepth bounds how deep a document may nest. The parser below recurses, so
 // a file of nothing but opening brackets would otherwise grow the stack until
 // the process dies. The deepest field that has a meaning lies at depth 4.
-const depthMax = 16
+const maxDepth = 16
 
 // document reads JSON with comments into a struct. Unlike encoding/json it
 // refuses unknown and repeated fields, goes on after an error, and remembers on
@@ -22,10 +22,10 @@
 	file  string
 	raw   []byte
 	lines map[string]int
-	// breaks are the offsets of line ends; a search in them keeps a large file
+	// lineEnds are the offsets of line ends; a search in them keeps a large file
 	// from being scanned once for each of its values.
-	breaks []int
-	found  problems
+	lineEnds []int
+	problems problems
 }
 
 // read fills the struct that into points to. What could not be read keeps the
@@ -34,23 +34,23 @@
 	d.lines = make(map[string]int)
 	for i, c := range d.raw {
 		if c == '\n' {
-			d.breaks = append(d.breaks, i)
+			d.lineEnds = append(d.lineEnds, i)
 		}
 	}
-	if !d.shallow() {
+	if !d.checkDepth() {
 		return
 	}
 	v, err := hujson.Parse(d.raw)
 	if err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return
 	}
-	d.value(&v, reflect.ValueOf(into).Elem(), "")
+	d.readValue(&v, reflect.ValueOf(into).Elem(), "")
 }
 
-// shallow refuses documents that nest too deeply. It counts brackets outside
+// checkDepth refuses documents that nest too deeply. It counts brackets outside
 // of strings; brackets in comments count too, which is harmless.
-func (d *document) shallow() bool {
+func (d *document) checkDepth() bool {
 	depth, quoted := 0, false
 	for i := 0; i < len(d.raw); i++ {
 		switch c := d.raw[i]; {
@@ -66,132 +66,132 @@
 		case c == '}' || c == ']':
 			depth--
 		}
-		if depth > depthMax {
-			d.found.list = append(d.found.list, Problem{Line: d.line(i), Text: "nested too deeply"})
+		if depth > maxDepth {
+			d.problems.list = append(d.problems.list, Problem{Line: d.lineAt(i), Text: "nested too deeply"})
 			return false
 		}
 	}
 	return true
 }
 
-// syntax turns the parser's message, which holds the line in its text, into a
+// addSyntaxError turns the parser's message, which holds the line in its text, into a
 // problem at that line.
-func (d *document) syntax(err error) {
+func (d *document) addSyntaxError(err error) {
 	p := Problem{Text: err.Error()}
 	var column int
 	if _, e := fmt.Sscanf(p.Text, "hujson: line %d, column %d:", &p.Line, &column); e == nil {
 		_, p.Text, _ = strings.Cut(p.Text, ": line ")
 		_, p.Text, _ = strings.Cut(p.Text, ": ")
 	}
-	d.found.list = append(d.found.list, p)
+	d.problems.list = append(d.problems.list, p)
 }
 
-func (d *document) line(offset int) int {
-	n, _ := slices.BinarySearch(d.breaks, offset)
+func (d *document) lineAt(offset int) int {
+	n, _ := slices.BinarySearch(d.lineEnds, offset)
 	return 1 + n
 }
 
-func (d *document) value(v *hujson.Value, into reflect.Value, path string) {
-	d.lines[path] = d.line(v.StartOffset)
+func (d *document) readValue(v *hujson.Value, into reflect.Value, path string) {
+	d.lines[path] = d.lineAt(v.StartOffset)
 	if into.CanAddr() {
 		if u, ok := into.Addr().Interface().(json.Unmarshaler); ok {
-			d.custom(v, u, path)
+			d.readCustom(v, u, path)
 			return
 		}
 	}
 	switch into.Kind() {
 	case reflect.Struct:
-		d.object(v, into, path)
+		d.readObject(v, into, path)
 	case reflect.Slice:
-		d.array(v, into, path)
+		d.readArray(v, into, path)
 	default:
-		d.literal(v, into, path)
+		d.readLiteral(v, into, path)
 	}
 }
 
-func (d *document) custom(v *hujson.Value, u json.Unmarshaler, path string) {
+func (d *document) readCustom(v *hujson.Value, u json.Unmarshaler, path string) {
 	std := v.Clone()
 	std.Minimize()
 	if err := u.UnmarshalJSON(std.Pack()); err != nil {
-		d.found.add(path, "%s", err)
+		d.problems.add(path, "%s", err)
 	}
 }
 
-func (d *document) object(v *hujson.Value, into reflect.Value, path string) {
+func (d *document) readObject(v *hujson.Value, into reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.found.add(path, "want an object, got %s", describe(v))
+		d.problems.add(path, "want an object, got %s", actualType(v))
 		return
 	}
 	seen := make(map[string]bool, len(obj.Members))
 	for i := range obj.Members {
 		m := &obj.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
-		at := join(path, name)
+		fieldPath := joinPath(path, name)
 		field, known := fieldByName(into, name)
 		switch {
 		case seen[name]:
-			d.lines[at] = d.line(m.Name.StartOffset)
-			d.found.add(at, "given twice")
+			d.lines[fieldPath] = d.lineAt(m.Name.StartOffset)
+			d.problems.add(fieldPath, "given twice")
 		case !known:
-			d.lines[at] = d.line(m.Name.StartOffset)
-			d.found.add(at, "unknown field; known here: %s", strings.Join(fieldNames(into.Type()), ", "))
+			d.lines[fieldPath] = d.lineAt(m.Name.StartOffset)
+			d.problems.add(fieldPath, "unknown field; known here: %s", strings.Join(fieldNames(into.Type()), ", "))
 		default:
-			d.value(&m.Value, field, at)
+			d.readValue(&m.Value, field, fieldPath)
 		}
 		seen[name] = true
 	}
 }
 
-func (d *document) array(v *hujson.Value, into reflect.Value, path string) {
+func (d *document) readArray(v *hujson.Value, into reflect.Value, path string) {
 	if v.Value.Kind() == 'n' {
 		return // encoding/json writes an empty list as null
 	}
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.found.add(path, "want a list, got %s", describe(v))
+		d.problems.add(path, "want a list, got %s", actualType(v))
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(arr.Elements), len(arr.Elements)))
 	for i := range arr.Elements {
-		d.value(&arr.Elements[i], into.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		d.readValue(&arr.Elements[i], into.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
-func (d *document) literal(v *hujson.Value, into reflect.Value, path string) {
+func (d *document) readLiteral(v *hujson.Value, into reflect.Value, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if ok && lit.Kind() != 'n' && json.Unmarshal(lit, into.Addr().Interface()) == nil {
 		return
 	}
-	d.found.add(path, "want %s, got %s", wanted(into.Kind()), describe(v))
+	d.problems.add(path, "want %s, got %s", expectedType(into.Kind()), actualType(v))
 }
 
-// settle returns the problems with file and line filled in. Problems found by
+// mergeProblems returns the problems with file and line filled in. Problems found by
 // checks, which know only the path, are left out where reading the same field
 // failed already; all of them are where the file as a whole could not be read.
-func (d *document) settle(checked []Problem) error {
-	failed := make(map[string]bool, len(d.found.list))
-	for _, p := range d.found.list {
+func (d *document) mergeProblems(checked []Problem) error {
+	failed := make(map[string]bool, len(d.problems.list))
+	for _, p := range d.problems.list {
 		failed[p.Path] = true
 	}
 	for _, p := range checked {
 		if !failed[p.Path] && !failed[""] {
-			d.found.list = append(d.found.list, p)
+			d.problems.list = append(d.problems.list, p)
 		}
 	}
-	for i := range d.found.list {
-		p := &d.found.list[i]
+	for i := range d.problems.list {
+		p := &d.problems.list[i]
 		p.File = d.file
 		if p.Line == 0 {
-			p.Line = d.lineOf(p.Path)
+			p.Line = d.fieldLine(p.Path)
 		}
 	}
-	slices.SortStableFunc(d.found.list, func(a, b Problem) int { return a.Line - b.Line })
-	return d.found.err()
+	slices.SortStableFunc(d.problems.list, func(a, b Problem) int { return a.Line - b.Line })
+	return d.problems.err()
 }
 
-// lineOf finds the line of a field, or of what encloses it when it is missing.
-func (d *document) lineOf(path string) int {
+// fieldLine finds the line of a field, or of what encloses it when it is missing.
+func (d *document) fieldLine(path string) int {
 	for {
 		if n, ok := d.lines[path]; ok {
 			return n
@@ -204,7 +204,7 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -234,7 +234,7 @@
 	return name
 }
 
-func wanted(k reflect.Kind) string {
+func expectedType(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "text"
@@ -249,7 +249,7 @@
 	}
 }
 
-func describe(v *hujson.Value) string {
+func actualType(v *hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
 		return "an object"
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -42,8 +42,8 @@
 	p.Version = 2
 	next, nextParts := config.Pack(p)
 	now := time.Now()
-	fmt.Println(s.Put(now, next, nextParts), s.View().Publication.Version)
-	fmt.Println(config.IsErrOld(s.Put(now, root, parts)), s.View().Publication.Version)
+	fmt.Println(s.Apply(now, next, nextParts), s.View().Publication.Version)
+	fmt.Println(config.IsErrStale(s.Apply(now, root, parts)), s.View().Publication.Version)
 	// Output:
 	// <nil> 2
 	// true 2
--- a/config/main_test.go
+++ b/config/main_test.go
@@ -17,12 +17,12 @@
 	p := &chestnutstep.Publication{
 		Version: version,
 		Models: []chestnutstep.Model{{
-			Name: "m", Kind: chestnutstep.KindEngine, Multiple: 1.25, Floor: 2, Slots: 16, Queue: 8, Cold: 2,
+			Name: "m", Kind: chestnutstep.KindEngine, Multiple: 1.25, Floor: 2, Slots: 16, QueueLimit: 8, ColdCap: 2,
 		}},
 		Profiles: []chestnutstep.Profile{{
-			Name: "chat", Model: "m", Class: "normal", Timeout: chestnutstep.Duration(time.Minute), Tries: 4, Body: 1 << 20,
+			Name: "chat", Model: "m", Class: "normal", Timeout: chestnutstep.Duration(time.Minute), MaxAttempts: 4, MaxBodyBytes: 1 << 20,
 		}},
-		Budget: chestnutstep.Budget{Reads: 50, Retries: 0.1},
+		Budget: chestnutstep.Budget{ReadRate: 50, RetryRatio: 0.1},
 	}
 	for _, d := range []string{"a", "b", "c"} {
 		p.Domains = append(p.Domains, chestnutstep.Domain{Name: d, Region: "r"})
--- a/config/pack.go
+++ b/config/pack.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// ValueMax is the platform's limit for one value, and so for the root and
+	// MaxValueBytes is the platform's limit for one value, and so for the root and
 	// each part, in bytes.
-	ValueMax = 1 << 20
+	MaxValueBytes = 1 << 20
 	// shardBytes is the size that parts aim at. A change costs every process
 	// the root, which holds one hash a part, and the parts that changed. Small
 	// parts make the root large and large parts are costly themselves; the sum
@@ -43,11 +43,11 @@
 // reader who holds a root can't mix parts of two publications.
 type Root struct {
 	Version uint64 `json:"version"`
-	// Reads and Nodes repeat the publication's read budget and the number of
+	// ReadRate and Nodes repeat the publication's read budget and the number of
 	// processes it covers, so that a process knows its share of the budget
 	// before it spends reads on the parts.
-	Reads float64 `json:"reads"`
-	Nodes int     `json:"nodes"`
+	ReadRate float64 `json:"reads"`
+	Nodes    int     `json:"nodes"`
 	// Parts are the content hashes, in the order in which parts are joined.
 	Parts []string `json:"parts"`
 }
@@ -69,28 +69,28 @@
 	return hex.EncodeToString(sum[:hashBytes])
 }
 
-// Nodes counts the processes that a publication covers: an agent for each
+// CountNodes counts the processes that a publication covers: an agent for each
 // target, and an entry for each host that is marked to bear one or, where none
 // is marked, for each host without a target. It errs high when hosts stand idle,
 // which only makes each process read less.
-func Nodes(p *chestnutstep.Publication) int {
-	bears := make(map[string]bool, len(p.Targets))
+func CountNodes(p *chestnutstep.Publication) int {
+	hasTarget := make(map[string]bool, len(p.Targets))
 	for i := range p.Targets {
-		bears[p.Targets[i].Host] = true
+		hasTarget[p.Targets[i].Host] = true
 	}
-	marked, bare := 0, 0
+	marked, unused := 0, 0
 	for i := range p.Hosts {
-		if p.Hosts[i].Entry {
+		if p.Hosts[i].HasEntry {
 			marked++
 		}
-		if !bears[p.Hosts[i].Name] {
-			bare++
+		if !hasTarget[p.Hosts[i].Name] {
+			unused++
 		}
 	}
 	if marked > 0 {
-		bare = marked
+		unused = marked
 	}
-	return max(len(p.Targets)+bare, 1)
+	return max(len(p.Targets)+unused, 1)
 }
 
 // Pack splits a publication that was checked into a root and parts by hash. The
@@ -98,14 +98,14 @@
 // spread over parts by the hash of their name, so that a change of one item
 // changes one part, and adding an item moves no other.
 func Pack(p *chestnutstep.Publication) (root []byte, parts map[string][]byte) {
-	list := []fragment{{Domains: sorted(p.Domains, domainName), Budget: &p.Budget}}
+	list := []fragment{{Domains: sortedByName(p.Domains, domainName), Budget: &p.Budget}}
 	list = append(list, shard(p.Models, modelName, func(f *fragment) *[]chestnutstep.Model { return &f.Models })...)
 	list = append(list, shard(p.Profiles, profileName, func(f *fragment) *[]chestnutstep.Profile { return &f.Profiles })...)
 	list = append(list, shard(p.Hosts, hostName, func(f *fragment) *[]chestnutstep.Host { return &f.Hosts })...)
 	list = append(list, shard(p.Targets, targetName, func(f *fragment) *[]chestnutstep.Target { return &f.Targets })...)
 	list = append(list, shard(p.Workspaces, workspaceName, func(f *fragment) *[]chestnutstep.Workspace { return &f.Workspaces })...)
 
-	r := Root{Version: p.Version, Reads: p.Budget.Reads, Nodes: Nodes(p)}
+	r := Root{Version: p.Version, ReadRate: p.Budget.ReadRate, Nodes: CountNodes(p)}
 	parts = make(map[string][]byte, len(list))
 	for i := range list {
 		raw := encode(list[i])
@@ -132,7 +132,7 @@
 func targetName(t *chestnutstep.Target) string       { return t.Name }
 func workspaceName(w *chestnutstep.Workspace) string { return w.Name }
 
-func sorted[T any](list []T, name func(*T) string) []T {
+func sortedByName[T any](list []T, name func(*T) string) []T {
 	out := slices.Clone(list)
 	slices.SortFunc(out, func(a, b T) int { return cmp.Compare(name(&a), name(&b)) })
 	return out
@@ -145,9 +145,9 @@
 	if len(list) == 0 {
 		return nil
 	}
-	n := shards(len(encode(list)))
+	n := shardCount(len(encode(list)))
 	frags := make([]fragment, n)
-	for _, item := range sorted(list, name) {
+	for _, item := range sortedByName(list, name) {
 		i := int(xxhash.Sum64String(name(&item)) % uint64(n))
 		into := field(&frags[i])
 		*into = append(*into, item)
@@ -155,7 +155,7 @@
 	return slices.DeleteFunc(frags, func(f fragment) bool { return len(*field(&f)) == 0 })
 }
 
-func shards(size int) int {
+func shardCount(size int) int {
 	if size <= shardBytes {
 		return 1
 	}
@@ -184,11 +184,11 @@
 // ParseRoot reads a root. The error is an ErrInvalid.
 func ParseRoot(raw []byte) (*Root, error) {
 	r := new(Root)
-	if len(raw) > ValueMax {
-		return nil, invalid("root", "larger than 1 MiB")
+	if len(raw) > MaxValueBytes {
+		return nil, newErrInvalid("root", "larger than 1 MiB")
 	}
 	if err := decode(raw, r); err != nil {
-		return nil, invalid("root", err.Error())
+		return nil, newErrInvalid("root", err.Error())
 	}
 	var ps problems
 	if r.Version == 0 {
@@ -197,15 +197,15 @@
 	if len(r.Parts) == 0 {
 		ps.add("root.parts", "missing")
 	}
-	if !finite(r.Reads) || r.Reads <= 0 || r.Reads > readsMax {
-		ps.add("root.reads", "want more than 0 and at most %d, got %v", readsMax, r.Reads)
+	if !isFinite(r.ReadRate) || r.ReadRate <= 0 || r.ReadRate > maxReadRate {
+		ps.add("root.reads", "want more than 0 and at most %d, got %v", maxReadRate, r.ReadRate)
 	}
 	if r.Nodes < 1 {
 		ps.add("root.nodes", "want at least 1, got %d", r.Nodes)
 	}
 	for i, hash := range r.Parts {
 		if b, err := hex.DecodeString(hash); err != nil || len(b) != hashBytes {
-			ps.add(at("root.parts", i), "want %d hexadecimal digits", 2*hashBytes)
+			ps.add(indexPath("root.parts", i), "want %d hexadecimal digits", 2*hashBytes)
 		}
 	}
 	return r, ps.err()
@@ -230,20 +230,20 @@
 		}
 		var f fragment
 		if err := decode(raw, &f); err != nil {
-			return nil, invalid(at("parts", i), err.Error())
+			return nil, newErrInvalid(indexPath("parts", i), err.Error())
 		}
-		f.addTo(p)
+		f.appendTo(p)
 	}
 	if err := Check(p); err != nil {
 		return nil, err
 	}
-	if r.Reads != p.Budget.Reads {
-		return nil, invalid("root.reads", "differs from budget.reads in the parts")
+	if r.ReadRate != p.Budget.ReadRate {
+		return nil, newErrInvalid("root.reads", "differs from budget.reads in the parts")
 	}
 	return p, nil
 }
 
-func (f *fragment) addTo(p *chestnutstep.Publication) {
+func (f *fragment) appendTo(p *chestnutstep.Publication) {
 	p.Domains = append(p.Domains, f.Domains...)
 	p.Hosts = append(p.Hosts, f.Hosts...)
 	p.Models = append(p.Models, f.Models...)
@@ -255,7 +255,7 @@
 	}
 }
 
-func invalid(path, text string) error {
+func newErrInvalid(path, text string) error {
 	return ErrInvalid{Problems: []Problem{{Path: path, Text: text}}}
 }
 
--- a/config/publication.go
+++ b/config/publication.go
@@ -4,14 +4,14 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// publicationMax bounds a publication's file in bytes. It is a sixteenth of a
+// maxPublicationBytes bounds a publication's file in bytes. It is a sixteenth of a
 // process's memory; a publication of 3,000 targets takes less than a megabyte.
-const publicationMax = 4 << 20
+const maxPublicationBytes = 4 << 20
 
 // Parse reads and checks a publication as operators write it. The error
 // (ErrInvalid) lists all problems; name stands for the file in them.
 func Parse(name string, raw []byte) (*chestnutstep.Publication, error) {
-	if len(raw) > publicationMax {
+	if len(raw) > maxPublicationBytes {
 		return nil, ErrInvalid{Problems: []Problem{{File: name, Text: "larger than 4 MiB"}}}
 	}
 	d := document{file: name, raw: raw}
@@ -19,7 +19,7 @@
 	d.read(p)
 	var ps problems
 	checkPublication(&ps, p)
-	if err := d.settle(ps.list); err != nil {
+	if err := d.mergeProblems(ps.list); err != nil {
 		return nil, err
 	}
 	return p, nil
--- a/config/publication_check.go
+++ b/config/publication_check.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// multipleMin is the least multiple of the mean load that can be kept:
+	// minMultiple is the least multiple of the mean load that can be kept:
 	// closer to 1, the error of the estimated mean alone would refuse work that
 	// every target has room for.
-	multipleMin = 1.05
-	// readsMax is what the configuration service stands from all readers
+	minMultiple = 1.05
+	// maxReadRate is what the configuration service stands from all readers
 	// together; a budget above it would break the service and not the budget.
-	readsMax = 2000
-	// keysMax keeps one workspace, which can't be split, far below the size
+	maxReadRate = 2000
+	// maxKeys keeps one workspace, which can't be split, far below the size
 	// limit of a part.
-	keysMax = 1000
-	// triesMax bounds how many targets one request may be offered to: with the
+	maxKeys = 1000
+	// maxOffers bounds how many targets one request may be offered to: with the
 	// cap at 1.05 more than a few dozen full targets in a row mean saturation,
 	// which more offers only make worse.
-	triesMax = 64
+	maxOffers = 64
 	// keyBytes is the length of a caller's key hash, SHA-256.
 	keyBytes = 32
 )
@@ -64,8 +64,8 @@
 	ns[name] = path
 }
 
-// has checks that a reference names something that was given.
-func (ns names) has(ps *problems, path, kind, name string) {
+// checkReference checks that a reference names something that was given.
+func (ns names) checkReference(ps *problems, path, kind, name string) {
 	if name == "" {
 		ps.add(path, "missing")
 		return
@@ -75,12 +75,12 @@
 	}
 }
 
-func at(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
+func indexPath(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
 
 func (c *checker) checkDomains(list []chestnutstep.Domain) {
 	c.domains = make(names, len(list))
 	for i, d := range list {
-		path := at("domains", i)
+		path := indexPath("domains", i)
 		c.domains.add(c.problems, path, d.Name)
 		checkName(c.problems, path+".region", d.Region)
 	}
@@ -89,16 +89,16 @@
 func (c *checker) checkHosts(list []chestnutstep.Host) {
 	c.hosts = make(names, len(list))
 	for i, h := range list {
-		path := at("hosts", i)
+		path := indexPath("hosts", i)
 		c.hosts.add(c.problems, path, h.Name)
-		c.domains.has(c.problems, path+".domain", "domain", h.Domain)
+		c.domains.checkReference(c.problems, path+".domain", "domain", h.Domain)
 	}
 }
 
 func (c *checker) checkModels(list []chestnutstep.Model) {
 	c.models = make(names, len(list))
 	for i, m := range list {
-		path := at("models", i)
+		path := indexPath("models", i)
 		c.models.add(c.problems, path, m.Name)
 		if m.Kind != chestnutstep.KindEngine && m.Kind != chestnutstep.KindService {
 			c.add(path+".kind", "want %q or %q, got %q", chestnutstep.KindEngine, chestnutstep.KindService, m.Kind)
@@ -108,8 +108,8 @@
 }
 
 func (c *checker) checkLimits(path string, m chestnutstep.Model) {
-	if !finite(m.Multiple) || (m.Multiple != 0 && m.Multiple < multipleMin) {
-		c.add(path+".multiple", "want %v or more, or 0 for no cap, got %v", multipleMin, m.Multiple)
+	if !isFinite(m.Multiple) || (m.Multiple != 0 && m.Multiple < minMultiple) {
+		c.add(path+".multiple", "want %v or more, or 0 for no cap, got %v", minMultiple, m.Multiple)
 	}
 	if m.Slots < 1 {
 		c.add(path+".slots", "want at least 1, got %d", m.Slots)
@@ -120,20 +120,20 @@
 	if m.Floor < 0 || m.Floor > max(m.Slots, 1) {
 		c.add(path+".floor", "want 0 to slots (%d), got %d", m.Slots, m.Floor)
 	}
-	if m.Queue < 0 {
-		c.add(path+".queue", "want 0 or more, got %d", m.Queue)
+	if m.QueueLimit < 0 {
+		c.add(path+".queue", "want 0 or more, got %d", m.QueueLimit)
 	}
-	if m.Cold < 1 || m.Cold > max(m.Slots, 1) {
-		c.add(path+".cold", "want 1 to slots (%d): a target that carries nothing never warms; got %d", m.Slots, m.Cold)
+	if m.ColdCap < 1 || m.ColdCap > max(m.Slots, 1) {
+		c.add(path+".cold", "want 1 to slots (%d): a target that carries nothing never warms; got %d", m.Slots, m.ColdCap)
 	}
-	if m.Warm < 0 {
-		c.add(path+".warm", "want 0 or more, got %d", m.Warm)
+	if m.WarmupAnswers < 0 {
+		c.add(path+".warm", "want 0 or more, got %d", m.WarmupAnswers)
 	}
-	if !finite(m.Prefill) || m.Prefill < 0 {
-		c.add(path+".prefill", "want 0 or more tokens a second, got %v", m.Prefill)
+	if !isFinite(m.PrefillRate) || m.PrefillRate < 0 {
+		c.add(path+".prefill", "want 0 or more tokens a second, got %v", m.PrefillRate)
 	}
-	if m.Cache < 0 {
-		c.add(path+".cache", "want 0 or more bytes, got %d", m.Cache)
+	if m.CacheBytesPerToken < 0 {
+		c.add(path+".cache", "want 0 or more bytes, got %d", m.CacheBytesPerToken)
 	}
 }
 
@@ -141,10 +141,10 @@
 	seen := make(names, len(list))
 	agents := make(names, len(list))
 	for i, t := range list {
-		path := at("targets", i)
+		path := indexPath("targets", i)
 		seen.add(c.problems, path, t.Name)
-		c.hosts.has(c.problems, path+".host", "host", t.Host)
-		c.models.has(c.problems, path+".model", "model", t.Model)
+		c.hosts.checkReference(c.problems, path+".host", "host", t.Host)
+		c.models.checkReference(c.problems, path+".model", "model", t.Model)
 		c.checkWeight(path+".weight", t.Weight)
 		checkAddress(c.problems, path+".agent", t.Agent)
 		if first, ok := agents[t.Agent]; ok && t.Agent != "" {
@@ -163,10 +163,10 @@
 func (c *checker) checkOrders(path string, list []chestnutstep.Order) {
 	for i, o := range list {
 		if !slices.Contains(orderKinds, o.Kind) {
-			c.add(at(path, i)+".kind", "want one of %q, got %q", orderKinds, o.Kind)
+			c.add(indexPath(path, i)+".kind", "want one of %q, got %q", orderKinds, o.Kind)
 		}
 		if o.Name == "" {
-			c.add(at(path, i)+".name", "is missing")
+			c.add(indexPath(path, i)+".name", "is missing")
 		}
 	}
 }
@@ -174,9 +174,9 @@
 func (c *checker) checkProfiles(list []chestnutstep.Profile) {
 	seen := make(names, len(list))
 	for i, p := range list {
-		path := at("profiles", i)
+		path := indexPath("profiles", i)
 		seen.add(c.problems, path, p.Name)
-		c.models.has(c.problems, path+".model", "model", p.Model)
+		c.models.checkReference(c.problems, path+".model", "model", p.Model)
 		switch p.Class {
 		case "urgent", "normal", "batch":
 		default:
@@ -188,14 +188,14 @@
 		if p.Patience < 0 || p.Patience > max(p.Timeout, 0) {
 			c.add(path+".patience", "want 0s to timeout (%s), got %s", p.Timeout.Std(), p.Patience.Std())
 		}
-		if p.Tries < 1 || p.Tries > triesMax {
-			c.add(path+".tries", "want 1 to %d, got %d", triesMax, p.Tries)
+		if p.MaxAttempts < 1 || p.MaxAttempts > maxOffers {
+			c.add(path+".tries", "want 1 to %d, got %d", maxOffers, p.MaxAttempts)
 		}
-		if p.Tokens < 0 {
-			c.add(path+".tokens", "want 0 or more, got %d", p.Tokens)
+		if p.ExpectedTokens < 0 {
+			c.add(path+".tokens", "want 0 or more, got %d", p.ExpectedTokens)
 		}
-		if p.Body < 0 {
-			c.add(path+".body", "want 0 or more, got %d", p.Body)
+		if p.MaxBodyBytes < 0 {
+			c.add(path+".body", "want 0 or more, got %d", p.MaxBodyBytes)
 		}
 	}
 }
@@ -204,14 +204,14 @@
 	seen := make(names, len(list))
 	keys := make(names, len(list))
 	for i, ws := range list {
-		path := at("workspaces", i)
+		path := indexPath("workspaces", i)
 		seen.add(c.problems, path, ws.Name)
 		c.checkWeight(path+".weight", ws.Weight)
 		c.checkKeys(path+".keys", ws.Keys, keys)
-		if !finite(ws.Rate) || ws.Rate < 0 {
+		if !isFinite(ws.Rate) || ws.Rate < 0 {
 			c.add(path+".rate", "want 0 (unlimited) or more, got %v", ws.Rate)
 		}
-		if !finite(ws.Burst) || ws.Burst < 0 || (ws.Rate > 0 && ws.Burst < 1) {
+		if !isFinite(ws.Burst) || ws.Burst < 0 || (ws.Rate > 0 && ws.Burst < 1) {
 			c.add(path+".burst", "want at least 1 with a rate, got %v: nothing would pass", ws.Burst)
 		}
 	}
@@ -220,8 +220,8 @@
 // checkKeys refuses a key of two workspaces: the caller would be served under
 // the limits of whichever came last.
 func (c *checker) checkKeys(path string, list []string, seen names) {
-	if len(list) > keysMax {
-		c.add(path, "want at most %d keys, got %d", keysMax, len(list))
+	if len(list) > maxKeys {
+		c.add(path, "want at most %d keys, got %d", maxKeys, len(list))
 		return
 	}
 	for i, key := range list {
@@ -241,24 +241,24 @@
 }
 
 func (c *checker) checkBudget(b chestnutstep.Budget) {
-	if !finite(b.Reads) || b.Reads <= 0 || b.Reads > readsMax {
-		c.add("budget.reads", "want more than 0 and at most %d calls a second, got %v", readsMax, b.Reads)
+	if !isFinite(b.ReadRate) || b.ReadRate <= 0 || b.ReadRate > maxReadRate {
+		c.add("budget.reads", "want more than 0 and at most %d calls a second, got %v", maxReadRate, b.ReadRate)
 	}
-	if !finite(b.Loads) || b.Loads < 0 {
-		c.add("budget.loads", "want 0 or more, got %v", b.Loads)
+	if !isFinite(b.LoadRate) || b.LoadRate < 0 {
+		c.add("budget.loads", "want 0 or more, got %v", b.LoadRate)
 	}
-	if !finite(b.Retries) || b.Retries < 0 || b.Retries > 1 {
-		c.add("budget.retries", "want a share from 0 to 1, got %v", b.Retries)
+	if !isFinite(b.RetryRatio) || b.RetryRatio < 0 || b.RetryRatio > 1 {
+		c.add("budget.retries", "want a share from 0 to 1, got %v", b.RetryRatio)
 	}
-	if b.Export < 0 {
-		c.add("budget.export", "want 0 or more, got %d", b.Export)
+	if b.ExportRate < 0 {
+		c.add("budget.export", "want 0 or more, got %d", b.ExportRate)
 	}
 }
 
 func (c *checker) checkWeight(path string, w float64) {
-	if !finite(w) || w < 0 {
+	if !isFinite(w) || w < 0 {
 		c.add(path, "want a weight above 0, or 0 for 1, got %v", w)
 	}
 }
 
-func finite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
+func isFinite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
--- a/config/publication_test.go
+++ b/config/publication_test.go
@@ -75,7 +75,7 @@
 			n, len(parts2), total, len(root2), fetched)
 		assert.Assert(t, len(root2)+fetched < 20<<10)
 		for _, raw := range parts2 {
-			assert.Assert(t, len(raw) < ValueMax)
+			assert.Assert(t, len(raw) < MaxValueBytes)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		parts[hash] = raw
 	}
 	for _, part := range []string{`{"budget":{"reads":50},"gravity":1}`, `{} {}`, `{"domains":3}`, ``} {
-		r := Root{Version: 2, Reads: 50, Nodes: 1, Parts: []string{Hash([]byte(part))}}
+		r := Root{Version: 2, ReadRate: 50, Nodes: 1, Parts: []string{Hash([]byte(part))}}
 		_, err := Unpack(encode(r), map[string][]byte{r.Parts[0]: []byte(part)})
 		assert.Assert(t, IsErrInvalid(err), "%v", err)
 	}
--- a/config/ramp_test.go
+++ b/config/ramp_test.go
@@ -15,22 +15,22 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// ramped is a part as a RAMP writer stores it: under a fixed name, with the
+// rampPart is a part as a RAMP writer stores it: under a fixed name, with the
 // version of the write and how many siblings it has.
-type ramped struct {
+type rampPart struct {
 	Version  uint64
 	Siblings int
 	Content  []byte
 }
 
-// reader reads a publication from the platform's stand-in.
-type reader struct {
+// platformReader reads a publication from the platform's stand-in.
+type platformReader struct {
 	t     *testing.T
 	url   string
 	parts map[string][]byte
 }
 
-func (r *reader) get(name string) []byte {
+func (r *platformReader) get(name string) []byte {
 	res, err := http.Get(r.url + "/v/" + name)
 	assert.NilError(r.t, err)
 	defer res.Body.Close()
@@ -40,8 +40,8 @@
 	return raw
 }
 
-// root reads the root and the parts that are new, as the fleet does.
-func (r *reader) root() {
+// readRoot reads the root and the parts that are new, as the fleet does.
+func (r *platformReader) readRoot() {
 	parsed, err := ParseRoot(r.get(RootName))
 	assert.NilError(r.t, err)
 	for _, hash := range parsed.Parts {
@@ -51,10 +51,10 @@
 	}
 }
 
-// ramp reads all parts in one round, and those that a newer sibling shows to be
+// readRAMP reads all parts in one round, and those that a newer sibling shows to be
 // old in a second one by their version.
-func (r *reader) ramp(n int) {
-	list := make([]ramped, n)
+func (r *platformReader) readRAMP(n int) {
+	list := make([]rampPart, n)
 	var newest uint64
 	for i := range list {
 		assert.NilError(r.t, json.Unmarshal(r.get(fmt.Sprintf("ramp/%d", i)), &list[i]))
@@ -80,7 +80,7 @@
 		assert.NilError(t, err)
 		n = len(parsed.Parts)
 		for i, hash := range parsed.Parts {
-			raw, err := json.Marshal(ramped{p.Version, n, parts[hash]})
+			raw, err := json.Marshal(rampPart{p.Version, n, parts[hash]})
 			assert.NilError(t, err)
 			platform.Put(fmt.Sprintf("ramp/%d/%d", i, p.Version), raw)
 			platform.Put(fmt.Sprintf("ramp/%d", i), raw)
@@ -93,15 +93,15 @@
 		read()
 		return platform.Calls().Read - before
 	}
-	r := &reader{t: t, url: srv.URL, parts: make(map[string][]byte)}
+	r := &platformReader{t: t, url: srv.URL, parts: make(map[string][]byte)}
 	p := fleet(1, 2700, 270)
 	publish(p)
-	rootStart, rampStart := calls(r.root), calls(func() { r.ramp(n) })
+	rootStart, rampStart := calls(r.readRoot), calls(func() { r.readRAMP(n) })
 	p.Targets[0].Out, p.Version = true, 2
 	publish(p)
-	rootChange, rampChange := calls(r.root), calls(func() { r.ramp(n) })
+	rootChange, rampChange := calls(r.readRoot), calls(func() { r.readRAMP(n) })
 	old := platform.Put("ramp/0", bytes.Clone(r.get("ramp/0/1"))) // one part not yet written
-	rampRace := calls(func() { r.ramp(n) })
+	rampRace := calls(func() { r.readRAMP(n) })
 	t.Logf("%d parts: calls at the start: root %d, RAMP %d; for a change: root %d, RAMP %d, during a write %d (revision %d)",
 		n, rootStart, rampStart, rootChange, rampChange, rampRace, old)
 	assert.Assert(t, rootStart <= rampStart+1)
--- a/config/reload.go
+++ b/config/reload.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// reloadEvery is how often a settings file is looked at: it may change without
+// reloadInterval is how often a settings file is looked at: it may change without
 // a signal, and reading a page of text costs next to nothing.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
 // Reloader reads a settings file again when it changed, or SIGHUP came. Set the
 // fields before Loop.
 type Reloader struct {
 	Path  string
-	Parse func(path string) (*Direct, error)
-	// Changed hears of settings that differ; Refused of a file that can't be
+	Parse func(path string) (*DirectSettings, error)
+	// OnChange hears of settings that differ; Refused of a file that can't be
 	// used, once for each state of the file. The former settings stay.
-	Changed func(s *Direct)
-	Refused func(err error)
-	// Every is reloadEvery when 0.
-	Every time.Duration
+	OnChange func(s *DirectSettings)
+	OnError  func(err error)
+	// Interval is reloadEvery when 0.
+	Interval time.Duration
 	// Read is what the settings in force were read from, before they were parsed. A file
 	// that changes between that and the first look would else never be noticed: the
 	// process would keep settings that nobody sees any more. Nil takes what the file holds
@@ -33,15 +33,15 @@
 	last []byte
 }
 
-// Loop looks until ctx ends.
-func (r *Reloader) Loop(ctx context.Context) {
+// Run looks until ctx ends.
+func (r *Reloader) Run(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	if r.Every == 0 {
-		r.Every = reloadEvery
+	if r.Interval == 0 {
+		r.Interval = reloadInterval
 	}
-	tick := time.NewTicker(r.Every)
+	tick := time.NewTicker(r.Interval)
 	defer tick.Stop()
 	r.last = r.Read
 	if r.last == nil {
@@ -54,14 +54,14 @@
 		case <-hup:
 		case <-tick.C:
 		}
-		r.look()
+		r.check()
 	}
 }
 
-func (r *Reloader) look() {
+func (r *Reloader) check() {
 	raw, err := os.ReadFile(r.Path)
 	if err != nil {
-		r.refuse(nil, err)
+		r.reportError(nil, err)
 		return
 	}
 	if bytes.Equal(raw, r.last) {
@@ -69,18 +69,18 @@
 	}
 	s, err := r.Parse(r.Path)
 	if err != nil {
-		r.refuse(raw, err)
+		r.reportError(raw, err)
 		return
 	}
 	r.last = raw
-	r.Changed(s)
+	r.OnChange(s)
 }
 
-// refuse tells of a state of the file once.
-func (r *Reloader) refuse(raw []byte, err error) {
+// reportError tells of a state of the file once.
+func (r *Reloader) reportError(raw []byte, err error) {
 	if raw == nil && r.last == nil {
 		return
 	}
 	r.last = raw
-	r.Refused(err)
+	r.OnError(err)
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -43,20 +43,20 @@
 	// TLS between the system's processes.
 	TLS TLS `json:"tls"`
 	// Callers is TLS towards the callers of an entry.
-	Callers Callers `json:"callers"`
-	// Drain is how long a stopping process waits for requests in progress.
-	Drain chestnutstep.Duration `json:"drain"`
+	Callers CallerTLS `json:"callers"`
+	// DrainTimeout is how long a stopping process waits for requests in progress.
+	DrainTimeout chestnutstep.Duration `json:"drain"`
 	// Keep bounds the answers that an agent records for repeats.
-	Keep Keep `json:"keep"`
+	Keep KeepLimits `json:"keep"`
 	// Linger is how long a run goes on whose entry has vanished.
 	Linger chestnutstep.Duration `json:"linger"`
-	// Idle closes connections between processes that carried nothing so long.
-	Idle chestnutstep.Duration `json:"idle"`
-	// Streams bounds the requests that are open at once in this process.
-	Streams int `json:"streams"`
-	// Pool bounds the idle connections that are kept, to agents by an entry and
+	// IdleTimeout closes connections between processes that carried nothing so long.
+	IdleTimeout chestnutstep.Duration `json:"idle"`
+	// MaxStreams bounds the requests that are open at once in this process.
+	MaxStreams int `json:"streams"`
+	// MaxIdleConns bounds the idle connections that are kept, to agents by an entry and
 	// to the target by an agent.
-	Pool int `json:"pool"`
+	MaxIdleConns int `json:"pool"`
 }
 
 // Target is the back end that an agent stands beside.
@@ -74,58 +74,58 @@
 	Key  string `json:"key"`
 	// CA signs the certificates of the other processes.
 	CA string `json:"ca"`
-	// Plain switches TLS off, also away from loopback.
-	Plain bool `json:"plain"`
+	// Plaintext switches TLS off, also away from loopback.
+	Plaintext bool `json:"plain"`
 }
 
-// Callers names the files for TLS towards callers.
-type Callers struct {
+// CallerTLS names the files for TLS towards callers.
+type CallerTLS struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// Plain switches TLS off, also away from loopback.
-	Plain bool `json:"plain"`
+	// Plaintext switches TLS off, also away from loopback.
+	Plaintext bool `json:"plain"`
 }
 
-// Keep bounds the recorded answers.
-type Keep struct {
-	Bytes int64                 `json:"bytes"`
-	Time  chestnutstep.Duration `json:"time"`
+// KeepLimits bounds the recorded answers.
+type KeepLimits struct {
+	MaxBytes int64                 `json:"bytes"`
+	MaxAge   chestnutstep.Duration `json:"time"`
 }
 
 // Defaults of Settings.
 const (
-	// drainDefault covers nearly all streamed answers: a planned stop waits for
+	// defaultDrain covers nearly all streamed answers: a planned stop waits for
 	// them instead of cutting them.
-	drainDefault = 30 * time.Second
-	// keepBytesDefault is half of the 64 MB that a process may use, so that the
+	defaultDrain = 30 * time.Second
+	// defaultKeepBytes is half of the 64 MB that a process may use, so that the
 	// recorded answers of a surge can't push it over.
-	keepBytesDefault = 32 << 20
-	// keepTimeDefault covers a caller's repeat after its own timeout.
-	keepTimeDefault = time.Minute
-	// lingerDefault covers the time a caller needs to repeat a request through
+	defaultKeepBytes = 32 << 20
+	// defaultKeepTime covers a caller's repeat after its own timeout.
+	defaultKeepTime = time.Minute
+	// defaultLinger covers the time a caller needs to repeat a request through
 	// another entry; after that the target's work is more likely wasted.
-	lingerDefault = 10 * time.Second
-	// idleDefault outlives the gap between two requests to the same busy agent,
+	defaultLinger = 10 * time.Second
+	// defaultIdle outlives the gap between two requests to the same busy agent,
 	// and lets an entry's memory shrink soon after a surge.
-	idleDefault = time.Minute
-	// streamsDefault leaves a wide margin over the 500 streams of a busy entry.
-	streamsDefault = 4096
-	// poolDefault keeps the connections of an entry's usual targets open.
-	poolDefault = 256
+	defaultIdle = time.Minute
+	// defaultStreams leaves a wide margin over the 500 streams of a busy entry.
+	defaultStreams = 4096
+	// defaultPool keeps the connections of an entry's usual targets open.
+	defaultPool = 256
 )
 
-// settingsMax bounds a settings file in bytes: far above any real one.
-const settingsMax = 1 << 20
+// maxSettingsBytes bounds a settings file in bytes: far above any real one.
+const maxSettingsBytes = 1 << 20
 
 // Defaults returns settings in which only what has a default is set.
 func Defaults() *Settings {
 	return &Settings{
-		Drain:   chestnutstep.Duration(drainDefault),
-		Keep:    Keep{Bytes: keepBytesDefault, Time: chestnutstep.Duration(keepTimeDefault)},
-		Linger:  chestnutstep.Duration(lingerDefault),
-		Idle:    chestnutstep.Duration(idleDefault),
-		Streams: streamsDefault,
-		Pool:    poolDefault,
+		DrainTimeout: chestnutstep.Duration(defaultDrain),
+		Keep:         KeepLimits{MaxBytes: defaultKeepBytes, MaxAge: chestnutstep.Duration(defaultKeepTime)},
+		Linger:       chestnutstep.Duration(defaultLinger),
+		IdleTimeout:  chestnutstep.Duration(defaultIdle),
+		MaxStreams:   defaultStreams,
+		MaxIdleConns: defaultPool,
 	}
 }
 
@@ -142,7 +142,7 @@
 // ParseSettings is Load for content that was read already; name stands for the
 // file in errors.
 func ParseSettings(name string, raw []byte, role Role) (*Settings, error) {
-	if len(raw) > settingsMax {
+	if len(raw) > maxSettingsBytes {
 		return nil, ErrInvalid{Problems: []Problem{{File: name, Text: "larger than 1 MiB"}}}
 	}
 	d := document{file: name, raw: raw}
@@ -153,7 +153,7 @@
 	}
 	var ps problems
 	s.check(&ps, role)
-	if err := d.settle(ps.list); err != nil {
+	if err := d.mergeProblems(ps.list); err != nil {
 		return nil, err
 	}
 	return s, nil
--- a/config/settings_check.go
+++ b/config/settings_check.go
@@ -7,19 +7,19 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// name is the form of every name in settings and publications. Names become
+// namePattern is the form of every name in settings and publications. Names become
 // metric labels, header values and map keys, so they hold nothing that needs
 // quoting there.
-var name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-const nameWanted = "want a name of letters, digits, '.', '_' and '-', at most 63 long"
+const nameRule = "want a name of letters, digits, '.', '_' and '-', at most 63 long"
 
 func checkName(ps *problems, path, s string) bool {
 	switch {
 	case s == "":
 		ps.add(path, "missing")
-	case !name.MatchString(s):
-		ps.add(path, "%s, got %q", nameWanted, s)
+	case !namePattern.MatchString(s):
+		ps.add(path, "%s, got %q", nameRule, s)
 	default:
 		return true
 	}
@@ -27,13 +27,13 @@
 }
 
 func checkAddress(ps *problems, path, s string) {
-	if text := address(s); text != "" {
+	if text := addressProblem(s); text != "" {
 		ps.add(path, "%s", text)
 	}
 }
 
 func checkURL(ps *problems, path, s string) {
-	if text := baseURL(s); text != "" {
+	if text := urlProblem(s); text != "" {
 		ps.add(path, "%s", text)
 	}
 }
@@ -70,10 +70,10 @@
 	if (c.Cert == "") != (c.Key == "") {
 		ps.add("callers", "want both cert and key, or neither")
 	}
-	if c.Plain && c.Cert != "" {
+	if c.Plaintext && c.Cert != "" {
 		ps.add("callers", "plain excludes cert and key")
 	}
-	if c.Cert == "" && !c.Plain && !loopback(s.Listen) {
+	if c.Cert == "" && !c.Plaintext && !isLoopback(s.Listen) {
 		ps.add("callers", "want cert and key, or \"plain\": true, as listen is not on loopback")
 	}
 }
@@ -82,7 +82,7 @@
 	if s.Peer != "" {
 		ps.add("peer", "an agent answers its peers at listen")
 	}
-	if s.Callers != (Callers{}) {
+	if s.Callers != (CallerTLS{}) {
 		ps.add("callers", "an agent has no callers of its own")
 	}
 	checkName(ps, "target.name", s.Target.Name)
@@ -98,24 +98,24 @@
 // say so in so many words: a forgotten certificate must not pass for a choice.
 func (s *Settings) checkTLS(ps *problems) {
 	t := s.TLS
-	given := t.Cert != "" || t.Key != "" || t.CA != ""
+	hasFiles := t.Cert != "" || t.Key != "" || t.CA != ""
 	switch {
-	case given && (t.Cert == "" || t.Key == "" || t.CA == ""):
+	case hasFiles && (t.Cert == "" || t.Key == "" || t.CA == ""):
 		ps.add("tls", "want all of cert, key and ca, or none")
-	case given && t.Plain:
+	case hasFiles && t.Plaintext:
 		ps.add("tls", "plain excludes cert, key and ca")
-	case !given && !t.Plain && !s.local():
+	case !hasFiles && !t.Plaintext && !s.isLoopbackOnly():
 		ps.add("tls", "want cert, key and ca, or \"plain\": true, as addresses are not all on loopback")
 	}
 }
 
-// local says whether the process talks to other processes on loopback only.
-func (s *Settings) local() bool {
-	if !loopback(s.Listen) || (s.Peer != "" && !loopback(s.Peer)) {
+// isLoopbackOnly says whether the process talks to other processes on loopback only.
+func (s *Settings) isLoopbackOnly() bool {
+	if !isLoopback(s.Listen) || (s.Peer != "" && !isLoopback(s.Peer)) {
 		return false
 	}
 	for _, p := range s.Peers {
-		if !loopback(p) {
+		if !isLoopback(p) {
 			return false
 		}
 	}
@@ -127,20 +127,20 @@
 		path string
 		d    chestnutstep.Duration
 	}{
-		{"drain", s.Drain}, {"keep.time", s.Keep.Time}, {"linger", s.Linger}, {"idle", s.Idle},
+		{"drain", s.DrainTimeout}, {"keep.time", s.Keep.MaxAge}, {"linger", s.Linger}, {"idle", s.IdleTimeout},
 	} {
 		if c.d <= 0 {
 			ps.add(c.path, "want a duration above 0, got %s", c.d.Std())
 		}
 	}
-	if s.Keep.Bytes <= 0 {
-		ps.add("keep.bytes", "want a number of bytes above 0, got %d", s.Keep.Bytes)
+	if s.Keep.MaxBytes <= 0 {
+		ps.add("keep.bytes", "want a number of bytes above 0, got %d", s.Keep.MaxBytes)
 	}
-	if s.Streams < 1 {
-		ps.add("streams", "want at least 1, got %d", s.Streams)
+	if s.MaxStreams < 1 {
+		ps.add("streams", "want at least 1, got %d", s.MaxStreams)
 	}
-	if s.Pool < 1 {
-		ps.add("pool", "want at least 1, got %d", s.Pool)
+	if s.MaxIdleConns < 1 {
+		ps.add("pool", "want at least 1, got %d", s.MaxIdleConns)
 	}
 }
 
--- a/config/store.go
+++ b/config/store.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// refusedMax bounds how many refused publications are remembered. Operators
+	// maxRefused bounds how many refused publications are remembered. Operators
 	// mend a bad one within minutes; forgetting one only costs a second fetch.
-	refusedMax = 64
-	// spareMax bounds the bytes of parts that are kept before their publication
+	maxRefused = 64
+	// maxPendingBytes bounds the bytes of parts that are kept before their publication
 	// is whole: several times the largest sensible publication, and an eighth of
 	// a process's memory.
-	spareMax = 8 << 20
+	maxPendingBytes = 8 << 20
 )
 
 // Change is a publication that came into force.
@@ -26,9 +26,9 @@
 	// From is nil for the first.
 	From, To *chestnutstep.View
 	Stamp    Stamp
-	// Clash says that it replaced other content of the same version: two
+	// Conflict says that it replaced other content of the same version: two
 	// operators published against each other.
-	Clash bool
+	Conflict bool
 }
 
 // Refusal is a publication that was not put in force.
@@ -38,37 +38,37 @@
 	Err   error
 }
 
-// ErrOld says that a publication does not replace the one in force. It guards
+// ErrStale says that a publication does not replace the one in force. It guards
 // against a configuration service that is stale or goes back: one would notice
 // a domain that operators took out receiving work again.
-type ErrOld struct {
+type ErrStale struct {
 	Stamp, InForce Stamp
 }
 
 // Error names both publications.
-func (err ErrOld) Error() string {
+func (err ErrStale) Error() string {
 	return "publication " + err.Stamp.String() + " does not replace " + err.InForce.String()
 }
 
-// IsErrOld checks whether a publication was refused for its version.
-func IsErrOld(err error) bool {
-	return errors.As(err, new(ErrOld))
+// IsErrStale checks whether a publication was refused for its version.
+func IsErrStale(err error) bool {
+	return errors.As(err, new(ErrStale))
 }
 
-// ErrClash says that a publication lost against another of the same version.
-type ErrClash struct {
+// ErrConflict says that a publication lost against another of the same version.
+type ErrConflict struct {
 	Stamp, InForce Stamp
 }
 
 // Error names both publications and what to do.
-func (err ErrClash) Error() string {
+func (err ErrConflict) Error() string {
 	return "publication " + err.Stamp.String() + " and " + err.InForce.String() +
 		" share a version and differ; publish a higher one"
 }
 
-// IsErrClash checks whether two publications share a version.
-func IsErrClash(err error) bool {
-	return errors.As(err, new(ErrClash))
+// IsErrConflict checks whether two publications share a version.
+func IsErrConflict(err error) bool {
+	return errors.As(err, new(ErrConflict))
 }
 
 // Store holds the publication that is in force in this process. It moves only
@@ -84,17 +84,17 @@
 	// view is read by every request, so it takes no lock.
 	view atomic.Pointer[chestnutstep.View]
 
-	// put serialises Put, and with it the calls of the hooks.
-	put sync.Mutex
+	// applyMu serialises Put, and with it the calls of the hooks.
+	applyMu sync.Mutex
 
-	mu      sync.Mutex
-	stamp   Stamp
-	root    []byte
-	parts   map[string][]byte
-	changed chan struct{}
-	refused map[Stamp]error
-	order   []Stamp // of refused, oldest first
-	spare   spare
+	mu           sync.Mutex
+	stamp        Stamp
+	root         []byte
+	parts        map[string][]byte
+	changed      chan struct{}
+	refused      map[Stamp]error
+	refusedOrder []Stamp // of refused, oldest first
+	pending      pendingParts
 }
 
 // View returns the publication in force, or nil before the first.
@@ -127,7 +127,7 @@
 	if raw, ok := s.parts[hash]; ok {
 		return raw, true
 	}
-	return s.spare.get(hash)
+	return s.pending.get(hash)
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -140,9 +140,9 @@
 	return s.changed
 }
 
-// Wants says whether a publication would replace the one in force and was not
+// ShouldFetch says whether a publication would replace the one in force and was not
 // refused before. A process asks before it fetches anything.
-func (s *Store) Wants(st Stamp) bool {
+func (s *Store) ShouldFetch(st Stamp) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stamp.Compare(st) < 0 && s.refused[st] == nil
@@ -151,11 +151,11 @@
 // Missing lists the parts of a root that this process does not hold, or says
 // why the root is not wanted (ErrInvalid, ErrOld, ErrClash).
 func (s *Store) Missing(now time.Time, root []byte) ([]string, error) {
-	s.put.Lock()
-	defer s.put.Unlock()
-	r, err := s.judge(root)
+	s.applyMu.Lock()
+	defer s.applyMu.Unlock()
+	r, err := s.checkRoot(root)
 	if err != nil {
-		return nil, s.refuse(now, root, r, err)
+		return nil, s.reportRefusal(now, root, r, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,46 +171,46 @@
 	return list, nil
 }
 
-// Keep holds a part until its publication is whole. The error is an ErrPart
+// AddPart holds a part until its publication is whole. The error is an ErrPart
 // when the content is not what the hash says.
-func (s *Store) Keep(hash string, raw []byte) error {
-	if len(raw) > ValueMax || Hash(raw) != hash {
+func (s *Store) AddPart(hash string, raw []byte) error {
+	if len(raw) > MaxValueBytes || Hash(raw) != hash {
 		return ErrPart{Hash: hash}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spare.add(hash, raw)
+	s.pending.add(hash, raw)
 	return nil
 }
 
-// Put puts a publication in force: the parts given and those held already must
+// Apply puts a publication in force: the parts given and those held already must
 // make it whole. On an error the one in force stays. A missing part (ErrPart)
 // is no verdict on the publication: Put may be called again; ErrInvalid,
 // ErrOld and ErrClash are final.
-func (s *Store) Put(now time.Time, root []byte, parts map[string][]byte) error {
-	s.put.Lock()
-	defer s.put.Unlock()
-	r, err := s.judge(root)
+func (s *Store) Apply(now time.Time, root []byte, parts map[string][]byte) error {
+	s.applyMu.Lock()
+	defer s.applyMu.Unlock()
+	r, err := s.checkRoot(root)
 	if err != nil {
-		return s.refuse(now, root, r, err)
+		return s.reportRefusal(now, root, r, err)
 	}
-	whole, err := s.gather(r, parts)
+	complete, err := s.collectParts(r, parts)
 	if err != nil {
 		return err
 	}
-	p, err := Unpack(root, whole)
+	p, err := Unpack(root, complete)
 	if err != nil {
-		return s.refuse(now, root, r, err)
+		return s.reportRefusal(now, root, r, err)
 	}
-	c := s.enforce(now, r, root, whole, chestnutstep.NewView(p))
+	c := s.activate(now, r, root, complete, chestnutstep.NewView(p))
 	for _, f := range s.OnChange {
 		f(c)
 	}
 	return nil
 }
 
-// judge checks all that can be told from the root alone.
-func (s *Store) judge(root []byte) (*Root, error) {
+// checkRoot checks all that can be told from the root alone.
+func (s *Store) checkRoot(root []byte) (*Root, error) {
 	digest := Hash(root)
 	r, err := ParseRoot(root)
 	if err != nil {
@@ -226,16 +226,16 @@
 		return r, nil
 	}
 	if s.stamp.Version == st.Version && s.stamp.Digest != st.Digest {
-		return r, ErrClash{Stamp: st, InForce: s.stamp}
+		return r, ErrConflict{Stamp: st, InForce: s.stamp}
 	}
-	return r, ErrOld{Stamp: st, InForce: s.stamp}
+	return r, ErrStale{Stamp: st, InForce: s.stamp}
 }
 
-// gather joins the parts of a root from what was given and what is held.
-func (s *Store) gather(r *Root, given map[string][]byte) (map[string][]byte, error) {
+// collectParts joins the parts of a root from what was given and what is held.
+func (s *Store) collectParts(r *Root, given map[string][]byte) (map[string][]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	whole := make(map[string][]byte, len(r.Parts))
+	complete := make(map[string][]byte, len(r.Parts))
 	for _, hash := range r.Parts {
 		raw, ok := s.part(hash)
 		if !ok {
@@ -247,19 +247,19 @@
 		if Hash(raw) != hash {
 			return nil, ErrPart{Hash: hash}
 		}
-		whole[hash] = raw
+		complete[hash] = raw
 	}
-	return whole, nil
+	return complete, nil
 }
 
-func (s *Store) enforce(now time.Time, r *Root, root []byte, parts map[string][]byte, v *chestnutstep.View) Change {
+func (s *Store) activate(now time.Time, r *Root, root []byte, parts map[string][]byte, v *chestnutstep.View) Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.stamp
+	prev := s.stamp
 	s.stamp = Stamp{Version: r.Version, Digest: Hash(root)}
 	s.root, s.parts = root, parts
-	s.spare.clear()
-	c := Change{Now: now, From: s.view.Load(), To: v, Stamp: s.stamp, Clash: was.Version == r.Version}
+	s.pending.clear()
+	c := Change{Now: now, From: s.view.Load(), To: v, Stamp: s.stamp, Conflict: prev.Version == r.Version}
 	s.view.Store(v)
 	if s.changed != nil {
 		close(s.changed)
@@ -268,9 +268,9 @@
 	return c
 }
 
-// refuse remembers a refusal and reports it once. What is in force again under
+// reportRefusal remembers a refusal and reports it once. What is in force again under
 // its own stamp is no refusal worth a report.
-func (s *Store) refuse(now time.Time, root []byte, r *Root, err error) error {
+func (s *Store) reportRefusal(now time.Time, root []byte, r *Root, err error) error {
 	st := Stamp{Digest: Hash(root)}
 	if r != nil {
 		st.Version = r.Version
@@ -278,7 +278,7 @@
 	s.mu.Lock()
 	known := st == s.stamp || s.refused[st] != nil
 	if !known {
-		s.remember(st, err)
+		s.addRefused(st, err)
 	}
 	s.mu.Unlock()
 	if known {
@@ -290,14 +290,14 @@
 	return err
 }
 
-func (s *Store) remember(st Stamp, err error) {
+func (s *Store) addRefused(st Stamp, err error) {
 	if s.refused == nil {
 		s.refused = make(map[Stamp]error)
 	}
-	if len(s.order) == refusedMax {
-		delete(s.refused, s.order[0])
-		s.order = s.order[1:]
+	if len(s.refusedOrder) == maxRefused {
+		delete(s.refused, s.refusedOrder[0])
+		s.refusedOrder = s.refusedOrder[1:]
 	}
 	s.refused[st] = err
-	s.order = append(s.order, st)
+	s.refusedOrder = append(s.refusedOrder, st)
 }
--- a/config/store_test.go
+++ b/config/store_test.go
@@ -37,25 +37,25 @@
 	return packed{root, parts, valid, Stamp{version, Hash(root)}}
 }
 
-// half leaves out all parts but the last n.
-func (p packed) half(n int) map[string][]byte {
+// lastParts leaves out all parts but the last n.
+func (p packed) lastParts(n int) map[string][]byte {
 	r, _ := ParseRoot(p.root)
-	some := make(map[string][]byte)
+	subset := make(map[string][]byte)
 	for _, hash := range r.Parts[len(r.Parts)-n:] {
-		some[hash] = p.parts[hash]
+		subset[hash] = p.parts[hash]
 	}
-	return some
+	return subset
 }
 
 // The scripts in testdata/store play what a configuration service and peers may
 // bring to one process, in which order, and show what is in force after it.
 func TestStore(t *testing.T) {
 	datadriven.Walk(t, "testdata/store", func(t *testing.T, path string) {
-		var heard strings.Builder
-		pubs, s := make(map[string]packed), newStore(&heard)
+		var output strings.Builder
+		pubs, s := make(map[string]packed), newStore(&output)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			now := time.Unix(0, 0)
-			heard.Reset()
+			output.Reset()
 			key, out, parts := d.CmdArgs[0].Key, "", 99
 			version := uint64(0)
 			d.MaybeScanArgs(t, "version", &version)
@@ -68,47 +68,47 @@
 				pubs[key] = publish(version, out, !d.HasArg("invalid"))
 				return ""
 			case "start":
-				s = newStore(&heard)
+				s = newStore(&output)
 			case "put":
 				if parts < len(p.parts) {
-					err = s.Put(now, p.root, p.half(parts))
+					err = s.Apply(now, p.root, p.lastParts(parts))
 				} else {
-					err = s.Put(now, p.root, p.parts)
+					err = s.Apply(now, p.root, p.parts)
 				}
 			case "keep":
-				for hash, raw := range p.half(parts) {
-					assert.NilError(t, s.Keep(hash, raw))
-					assert.Assert(t, IsErrPart(s.Keep(hash, raw[1:])))
+				for hash, raw := range p.lastParts(parts) {
+					assert.NilError(t, s.AddPart(hash, raw))
+					assert.Assert(t, IsErrPart(s.AddPart(hash, raw[1:])))
 				}
 			case "missing":
 				var list []string
 				list, err = s.Missing(now, p.root)
-				fmt.Fprintf(&heard, "missing %d of %d\n", len(list), len(p.parts))
+				fmt.Fprintf(&output, "missing %d of %d\n", len(list), len(p.parts))
 			}
-			fmt.Fprintf(&heard, "%s%s\n", kind(err), state(s))
-			return heard.String()
+			fmt.Fprintf(&output, "%s%s\n", errorText(err), storeState(s))
+			return output.String()
 		})
 	})
 }
 
-func newStore(heard *strings.Builder) *Store {
+func newStore(output *strings.Builder) *Store {
 	return &Store{
 		OnChange: []func(Change){func(c Change) {
-			fmt.Fprintf(heard, "change to %d, clash %v\n", c.Stamp.Version, c.Clash)
+			fmt.Fprintf(output, "change to %d, clash %v\n", c.Stamp.Version, c.Conflict)
 		}},
 		OnRefuse: []func(Refusal){func(r Refusal) {
-			fmt.Fprintf(heard, "refused %d: %s", r.Stamp.Version, kind(r.Err))
+			fmt.Fprintf(output, "refused %d: %s", r.Stamp.Version, errorText(r.Err))
 		}},
 	}
 }
 
-func kind(err error) string {
+func errorText(err error) string {
 	switch {
 	case err == nil:
 		return ""
-	case IsErrOld(err):
+	case IsErrStale(err):
 		return "old\n"
-	case IsErrClash(err):
+	case IsErrConflict(err):
 		return "clash\n"
 	case IsErrPart(err):
 		return "part missing\n"
@@ -117,7 +117,7 @@
 	}
 }
 
-func state(s *Store) string {
+func storeState(s *Store) string {
 	v := s.View()
 	if v == nil {
 		return "nothing in force"
@@ -131,19 +131,19 @@
 	return fmt.Sprintf("in force: version %d, out %s", v.Publication.Version, out)
 }
 
-// holder is what the schedules below drive: the store or a naive version.
-type holder interface {
-	Put(now time.Time, root []byte, parts map[string][]byte) error
+// publicationStore is what the schedules below drive: the store or a naive version.
+type publicationStore interface {
+	Apply(now time.Time, root []byte, parts map[string][]byte) error
 	View() *chestnutstep.View
 }
 
-// naive takes whatever parses and came last, and lets the parts it has stand in
+// naiveStore takes whatever parses and came last, and lets the parts it has stand in
 // for those that it lacks.
-type naive struct{ view *chestnutstep.View }
+type naiveStore struct{ view *chestnutstep.View }
 
-func (n *naive) View() *chestnutstep.View { return n.view }
+func (n *naiveStore) View() *chestnutstep.View { return n.view }
 
-func (n *naive) Put(_ time.Time, root []byte, parts map[string][]byte) error {
+func (n *naiveStore) Apply(_ time.Time, root []byte, parts map[string][]byte) error {
 	r, err := ParseRoot(root)
 	if err != nil {
 		return err
@@ -152,36 +152,36 @@
 	for _, hash := range r.Parts {
 		var f fragment
 		if raw, ok := parts[hash]; ok && decode(raw, &f) == nil {
-			f.addTo(p)
+			f.appendTo(p)
 		}
 	}
 	n.view = chestnutstep.NewView(p)
 	return nil
 }
 
-// published is what operators publish in the schedules.
-var published = sync.OnceValue(func() []packed {
+// allPublications is what operators publish in the schedules.
+var allPublications = sync.OnceValue(func() []packed {
 	return []packed{
 		publish(1, "", true), publish(2, "a", true), publish(2, "b", true), publish(3, "", false),
 		publish(4, "c", true), publish(4, "", true), publish(5, "a", false),
 	}
 })
 
-// schedule lets five processes meet publications in an arbitrary order: from a
+// runSchedule lets five processes meet publications in an arbitrary order: from a
 // service that is stale or goes back, in halves, from operators who publish
 // against each other, invalid ones, across cuts and restarts. It returns the
 // first broken promise.
-func schedule(draw func(label string, n int) int, fresh func() holder) error {
-	pubs := published()
+func runSchedule(draw func(label string, n int) int, create func() publicationStore) error {
+	pubs := allPublications()
 	byStamp := make(map[Stamp]packed)
 	for _, p := range pubs {
 		byStamp[p.stamp] = p
 	}
 	const processes = 5
-	holders := make([]holder, processes)
+	stores := make([]publicationStore, processes)
 	seen := make([]Stamp, processes)
 	check := func(i int) error {
-		v := holders[i].View()
+		v := stores[i].View()
 		if v == nil {
 			return nil
 		}
@@ -199,15 +199,15 @@
 		return nil
 	}
 	exchange := func(i, j int) error {
-		if v := holders[j].View(); v != nil {
+		if v := stores[j].View(); v != nil {
 			root, _ := Pack(v.Publication)
 			p := byStamp[Stamp{v.Publication.Version, Hash(root)}]
-			_ = holders[i].Put(time.Time{}, p.root, p.parts)
+			_ = stores[i].Apply(time.Time{}, p.root, p.parts)
 		}
 		return check(i)
 	}
-	for i := range holders {
-		holders[i] = fresh()
+	for i := range stores {
+		stores[i] = create()
 	}
 	for range 40 {
 		i := draw("process", processes)
@@ -215,12 +215,12 @@
 		var err error
 		switch draw("event", 6) {
 		case 0:
-			holders[i], seen[i] = fresh(), Stamp{}
+			stores[i], seen[i] = create(), Stamp{}
 		case 1:
-			_ = holders[i].Put(time.Time{}, p.root, p.half(draw("parts", len(p.parts))))
+			_ = stores[i].Apply(time.Time{}, p.root, p.lastParts(draw("parts", len(p.parts))))
 			err = check(i)
 		case 2:
-			_ = holders[i].Put(time.Time{}, p.root, p.parts)
+			_ = stores[i].Apply(time.Time{}, p.root, p.parts)
 			err = check(i)
 		default:
 			err = exchange(i, draw("peer", processes))
@@ -229,21 +229,21 @@
 			return err
 		}
 	}
-	return converge(holders, seen, exchange)
+	return converge(stores, seen, exchange)
 }
 
 // converge lets each process hear each other one twice and wants them alike, on
 // the highest that any of them held.
-func converge(holders []holder, seen []Stamp, exchange func(i, j int) error) error {
-	var top Stamp
+func converge(stores []publicationStore, seen []Stamp, exchange func(i, j int) error) error {
+	var highest Stamp
 	for _, st := range seen {
-		if top.Compare(st) < 0 {
-			top = st
+		if highest.Compare(st) < 0 {
+			highest = st
 		}
 	}
 	for range 2 {
-		for i := range holders {
-			for j := range holders {
+		for i := range stores {
+			for j := range stores {
 				if err := exchange(i, j); err != nil {
 					return err
 				}
@@ -251,8 +251,8 @@
 		}
 	}
 	for i, st := range seen {
-		if st != top {
-			return fmt.Errorf("process %d ends on %s, not on %s", i, st, top)
+		if st != highest {
+			return fmt.Errorf("process %d ends on %s, not on %s", i, st, highest)
 		}
 	}
 	return nil
@@ -264,7 +264,7 @@
 func TestStoreSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
-		if err := schedule(draw, func() holder { return new(Store) }); err != nil {
+		if err := runSchedule(draw, func() publicationStore { return new(Store) }); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -272,8 +272,8 @@
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		draw := func(_ string, n int) int { return r.IntN(n) }
-		assert.NilError(t, schedule(draw, func() holder { return new(Store) }))
-		if err := schedule(draw, func() holder { return new(naive) }); err != nil {
+		assert.NilError(t, runSchedule(draw, func() publicationStore { return new(Store) }))
+		if err := runSchedule(draw, func() publicationStore { return new(naiveStore) }); err != nil {
 			broken[strings.Fields(err.Error())[2]]++
 		}
 	}
--- a/crash/bound.go
+++ b/crash/bound.go
@@ -25,7 +25,7 @@
 	slices.SortFunc(all, func(a, b *file) int {
 		return cmp.Or(
 			cmp.Compare(j.weight(now, a), j.weight(now, b)),
-			a.Seen.Compare(b.Seen),
+			a.SeenAt.Compare(b.SeenAt),
 			cmp.Compare(a.Fingerprint, b.Fingerprint),
 		)
 	})
@@ -35,7 +35,7 @@
 }
 
 func (j *Detector) weight(now time.Time, f *file) int {
-	if j.Judge(now, f.Fingerprint) == chestnutstep.Condemned {
+	if j.Check(now, f.Fingerprint) == chestnutstep.ContentCondemned {
 		return 1
 	}
 	return 0
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -48,9 +48,9 @@
 	case "crash":
 		return say(j.Crash(p.now))
 	case "tell":
-		told := j.Tell(p.now, 2)
+		told := j.Suspicions(p.now, 2)
 		for _, to := range f[2:] {
-			p.detector(to).Learn(p.now, told)
+			p.detector(to).Merge(p.now, told)
 		}
 		return say(told)
 	}
@@ -61,13 +61,13 @@
 	case "served", "failed":
 		j.End(p.now, fingerprint, f[0] == "served")
 	}
-	return [...]string{"clear", "suspect", "condemned"}[j.Judge(p.now, fingerprint)]
+	return [...]string{"clear", "suspect", "condemned"}[j.Check(p.now, fingerprint)]
 }
 
 func say(s []chestnutstep.Suspicion) string {
 	var all []string
 	for _, one := range s {
-		all = append(all, fmt.Sprint(one.Fingerprint, one.Crashed, one.Cleared))
+		all = append(all, fmt.Sprint(one.Fingerprint, one.CrashedTargets, one.Cleared))
 	}
 	return strings.Join(all, " ")
 }
@@ -79,8 +79,8 @@
 		crashed = []string{crashed[0], crashed[0]}
 	}
 	return chestnutstep.Suspicion{
-		Fingerprint: 7, Crashed: crashed, Cleared: rapid.Bool().Draw(t, "cleared"),
-		Seen: script.Epoch.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "seen"))),
+		Fingerprint: 7, CrashedTargets: crashed, Cleared: rapid.Bool().Draw(t, "cleared"),
+		SeenAt: script.Epoch.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "seen"))),
 	}
 }
 
@@ -130,10 +130,10 @@
 	o.now = o.now.Add(time.Second)
 	news := o.late
 	o.late = nil
-	judged := j.Judge(o.now, poison)
-	if blind || judged != chestnutstep.Condemned {
+	judged := j.Check(o.now, poison)
+	if blind || judged != chestnutstep.ContentCondemned {
 		for f := range uint64(popular) {
-			if judged == chestnutstep.Clear && j.Judge(o.now, poison+1+f) == chestnutstep.Clear {
+			if judged == chestnutstep.ContentClear && j.Check(o.now, poison+1+f) == chestnutstep.ContentClear {
 				j.Start(o.now, poison+1+f)
 			}
 		}
@@ -146,7 +146,7 @@
 		o.late = nil
 	}
 	for _, j := range o.juries {
-		j.Learn(o.now, news)
+		j.Merge(o.now, news)
 	}
 }
 
@@ -154,7 +154,7 @@
 	n := 0
 	for _, j := range o.juries {
 		for f := range uint64(popular) {
-			if j.Judge(o.now, poison+1+f) == chestnutstep.Condemned {
+			if j.Check(o.now, poison+1+f) == chestnutstep.ContentCondemned {
 				n++
 			}
 		}
@@ -193,7 +193,7 @@
 // bounded, and a condemned request is not pushed out by mere suspects.
 func TestSuspicionsAreBounded(t *testing.T) {
 	j := &Detector{Target: "t", Most: 100}
-	j.Learn(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: 1, Crashed: []string{"a", "b"}, Seen: script.Epoch}})
+	j.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
 	for n := uint64(2); n < 1000; n++ {
 		now := script.Epoch.Add(time.Duration(n) * time.Millisecond)
 		j.Start(now, n)
@@ -201,12 +201,12 @@
 		j.End(now, n, false)
 		assert.Assert(t, len(j.cases) <= 100 && len(j.owed)+len(j.running) == 0)
 	}
-	assert.Equal(t, j.Judge(script.Epoch, 1), chestnutstep.Condemned)
+	assert.Equal(t, j.Check(script.Epoch, 1), chestnutstep.ContentCondemned)
 	later := script.Epoch.Add(2 * DefaultKeep)
-	assert.Equal(t, len(j.Tell(later, 1)), 0)
-	j.Learn(later, []chestnutstep.Suspicion{{Fingerprint: 1, Crashed: []string{"c"}, Seen: later}})
-	j.Learn(later, []chestnutstep.Suspicion{{Fingerprint: 1, Crashed: []string{"a", "b"}, Seen: script.Epoch}})
-	assert.Equal(t, j.Judge(later, 1), chestnutstep.Suspect, "news that had expired were taken in")
+	assert.Equal(t, len(j.Suspicions(later, 1)), 0)
+	j.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"c"}, SeenAt: later}})
+	j.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
+	assert.Equal(t, j.Check(later, 1), chestnutstep.ContentSuspect, "news that had expired were taken in")
 }
 
 func ExampleFingerprint() {
@@ -224,7 +224,7 @@
 	before := script.Heap()
 	for n := range uint64(DefaultMost) {
 		target := fmt.Sprint("bay-engine-", n)
-		j.Learn(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: n + 1, Crashed: []string{target}, Seen: script.Epoch}})
+		j.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: n + 1, CrashedTargets: []string{target}, SeenAt: script.Epoch}})
 	}
 	between := script.Heap()
 	for n := range uint64(DefaultServed) {
@@ -235,7 +235,7 @@
 	var n uint64
 	for b.Loop() {
 		n++
-		j.Judge(script.Epoch, n%(2*DefaultMost))
+		j.Check(script.Epoch, n%(2*DefaultMost))
 	}
 	b.ReportMetric((between-before)/DefaultMost, "B/suspicion")
 	b.ReportMetric((after-between)/DefaultServed, "B/served")
--- a/crash/detector.go
+++ b/crash/detector.go
@@ -86,7 +86,7 @@
 	j.served = memory{most: j.Served, at: map[uint64]time.Time{}}
 }
 
-// Judge says how a request may run.
+// Check says how a request may run.
 //
 // Condemned is what crashed a target while it ran alone, and what stood at the
 // crash of two targets and was served by none. The first needs no doubt. The
@@ -96,32 +96,32 @@
 //
 // What was served elsewhere is clear after one crash. After a crash here, or
 // two anywhere, it runs alone once more at this target.
-func (j *Detector) Judge(now time.Time, fingerprint uint64) chestnutstep.Judgement {
+func (j *Detector) Check(now time.Time, fingerprint uint64) chestnutstep.ContentState {
 	j.init()
 	f := j.find(now, fingerprint)
 	if f == nil {
-		return chestnutstep.Clear
+		return chestnutstep.ContentClear
 	}
-	if aloneAt(f.Crashed) != "" {
-		return chestnutstep.Condemned
+	if aloneAt(f.CrashedTargets) != "" {
+		return chestnutstep.ContentCondemned
 	}
-	if len(f.Crashed) >= maxCrashed && !f.Cleared {
-		return chestnutstep.Condemned
+	if len(f.CrashedTargets) >= maxCrashed && !f.Cleared {
+		return chestnutstep.ContentCondemned
 	}
 	if f.passed {
-		return chestnutstep.Clear
+		return chestnutstep.ContentClear
 	}
-	here := slices.Contains(f.Crashed, j.Target)
-	if f.Cleared && !here && len(f.Crashed) < maxCrashed {
-		return chestnutstep.Clear
+	here := slices.Contains(f.CrashedTargets, j.Target)
+	if f.Cleared && !here && len(f.CrashedTargets) < maxCrashed {
+		return chestnutstep.ContentClear
 	}
-	return chestnutstep.Suspect
+	return chestnutstep.ContentSuspect
 }
 
 // find returns the suspicion of a fingerprint unless it has expired.
 func (j *Detector) find(now time.Time, fingerprint uint64) *file {
 	f := j.cases[fingerprint]
-	if f == nil || now.Sub(f.Seen) < j.Keep {
+	if f == nil || now.Sub(f.SeenAt) < j.Keep {
 		return f
 	}
 	delete(j.cases, fingerprint)
@@ -187,13 +187,13 @@
 	var changed []chestnutstep.Suspicion
 	for _, fingerprint := range j.suspects() {
 		s := chestnutstep.Suspicion{
-			Fingerprint: fingerprint,
-			Crashed:     []string{j.Target},
-			Cleared:     j.served.recent(now, j.Keep, fingerprint),
-			Seen:        now,
+			Fingerprint:    fingerprint,
+			CrashedTargets: []string{j.Target},
+			Cleared:        j.served.recent(now, j.Keep, fingerprint),
+			SeenAt:         now,
 		}
-		if j.total == 1 && j.Judge(now, fingerprint) != chestnutstep.Clear {
-			s.Crashed = []string{j.Target, j.Target}
+		if j.total == 1 && j.Check(now, fingerprint) != chestnutstep.ContentClear {
+			s.CrashedTargets = []string{j.Target, j.Target}
 		}
 		j.merge(s)
 		f := j.cases[fingerprint]
@@ -222,16 +222,16 @@
 	return all
 }
 
-// Learn takes suspicions of other agents. Content that this target has served
+// Merge takes suspicions of other agents. Content that this target has served
 // of late is cleared at once, so that a popular request does not run alone at
 // every target because it stood beside a crash at one.
-func (j *Detector) Learn(now time.Time, s []chestnutstep.Suspicion) {
+func (j *Detector) Merge(now time.Time, s []chestnutstep.Suspicion) {
 	j.init()
 	for _, one := range s {
-		if one.Fingerprint == 0 || len(one.Crashed) == 0 || now.Sub(one.Seen) >= j.Keep {
+		if one.Fingerprint == 0 || len(one.CrashedTargets) == 0 || now.Sub(one.SeenAt) >= j.Keep {
 			continue
 		}
-		one.Crashed = mergeCrashed(one.Crashed, nil)
+		one.CrashedTargets = mergeCrashed(one.CrashedTargets, nil)
 		j.merge(one)
 		if j.served.recent(now, j.Keep, one.Fingerprint) {
 			j.clear(j.cases[one.Fingerprint])
@@ -247,7 +247,7 @@
 		return
 	}
 	merged := Merge(f.Suspicion, s)
-	if !slices.Equal(merged.Crashed, f.Crashed) {
+	if !slices.Equal(merged.CrashedTargets, f.CrashedTargets) {
 		f.passed = false
 		f.told = 0
 	}
@@ -257,9 +257,9 @@
 	f.Suspicion = merged
 }
 
-// Tell returns at most n suspicions worth passing on: those told least often
+// Suspicions returns at most n suspicions worth passing on: those told least often
 // since they changed, so that news goes out first and all have their turn.
-func (j *Detector) Tell(now time.Time, n int) []chestnutstep.Suspicion {
+func (j *Detector) Suspicions(now time.Time, n int) []chestnutstep.Suspicion {
 	j.init()
 	j.bound(now)
 	all := make([]*file, 0, len(j.cases))
@@ -269,7 +269,7 @@
 	slices.SortFunc(all, func(a, b *file) int {
 		return cmp.Or(
 			cmp.Compare(a.told, b.told),
-			b.Seen.Compare(a.Seen),
+			b.SeenAt.Compare(a.SeenAt),
 			cmp.Compare(a.Fingerprint, b.Fingerprint),
 		)
 	})
--- a/crash/merge.go
+++ b/crash/merge.go
@@ -16,11 +16,11 @@
 // A target that is listed twice crashed while the fingerprint ran there alone,
 // as a suspect; that outweighs any list of two different targets.
 func Merge(a, b chestnutstep.Suspicion) chestnutstep.Suspicion {
-	if b.Seen.After(a.Seen) {
-		a.Seen = b.Seen
+	if b.SeenAt.After(a.SeenAt) {
+		a.SeenAt = b.SeenAt
 	}
 	a.Cleared = a.Cleared || b.Cleared
-	a.Crashed = mergeCrashed(a.Crashed, b.Crashed)
+	a.CrashedTargets = mergeCrashed(a.CrashedTargets, b.CrashedTargets)
 	return a
 }
 
--- a/decide.go
+++ b/decide.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Place says what a request wants of a target, for ranking.
-type Place struct {
+// RankQuery says what a request wants of a target, for ranking.
+type RankQuery struct {
 	Workspace string
 	Chat      string
 	Model     string
@@ -18,7 +18,7 @@
 type Ranker interface {
 	// Rank appends at most n targets to dst, best first, and returns it. It
 	// allocates nothing when dst has room.
-	Rank(dst []*Target, ask Place, n int) []*Target
+	Rank(dst []*Target, ask RankQuery, n int) []*Target
 }
 
 // Work is one request as the decisions at a target see it.
@@ -30,12 +30,12 @@
 	Cost float64
 	// Deadline by the agent's own clock.
 	Deadline time.Time
-	// Patience is the latest moment up to which the request may wait here.
-	Patience time.Time
-	// Home says that the chat's prompt prefix is here: waiting may pay.
-	Home bool
-	// Alone says that the request is a crash suspect: it runs by itself.
-	Alone bool
+	// WaitUntil is the latest moment up to which the request may wait here.
+	WaitUntil time.Time
+	// HasCachedPrefix says that the chat's prompt prefix is here: waiting may pay.
+	HasCachedPrefix bool
+	// Exclusive says that the request is a crash suspect: it runs by itself.
+	Exclusive bool
 }
 
 // Verdict is an answer to an offer.
@@ -43,9 +43,9 @@
 
 // The verdicts.
 const (
-	Refuse Verdict = iota
-	Accept
-	Queue
+	VerdictRefuse Verdict = iota
+	VerdictAccept
+	VerdictQueue
 )
 
 // Decision is a verdict with its reason and what the caller should know.
@@ -53,10 +53,10 @@
 	Verdict Verdict
 	// Reason of a refusal.
 	Reason Reason
-	// Wait is the predicted wait of a queued request.
-	Wait time.Duration
-	// Retry is when a refused caller may come back.
-	Retry time.Duration
+	// PredictedWait is the predicted wait of a queued request.
+	PredictedWait time.Duration
+	// RetryAfter is when a refused caller may come back.
+	RetryAfter time.Duration
 }
 
 // Outcome is how a running request ended.
@@ -64,21 +64,21 @@
 
 // The outcomes.
 const (
-	Served   Outcome = iota // whole answer
-	Failed                  // the target answered badly or not at all
-	Withdraw                // the caller gave up, or the body never came
+	OutcomeServed    Outcome = iota // whole answer
+	OutcomeFailed                   // the target answered badly or not at all
+	OutcomeAbandoned                // the caller gave up, or the body never came
 )
 
-// Next is what became of waiting work.
-type Next struct {
-	// Start lists the requests that run from now on, in order.
-	Start []string
-	// Drop lists the requests that are refused after all.
-	Drop []Dropped
+// QueueUpdate is what became of waiting work.
+type QueueUpdate struct {
+	// Started lists the requests that run from now on, in order.
+	Started []string
+	// Dropped lists the requests that are refused after all.
+	Dropped []DroppedRequest
 }
 
-// Dropped is a waiting request that is refused after all; it never ran.
-type Dropped struct {
+// DroppedRequest is a waiting request that is refused after all; it never ran.
+type DroppedRequest struct {
 	ID       string
 	Decision Decision
 }
@@ -88,9 +88,9 @@
 	Model Model
 	// Weight of the target against others of its model.
 	Weight float64
-	// Single says that no other target serves the model: its load is the mean,
+	// IsOnlyTarget says that no other target serves the model: its load is the mean,
 	// and the multiple has nothing to compare. False is the safe value.
-	Single bool
+	IsOnlyTarget bool
 	// Out says that operators took the target out of service.
 	Out bool
 	// Workspaces gives each workspace's weight; 1 where it is missing.
@@ -124,22 +124,22 @@
 // Gate decides what a target takes, what waits and what is turned away. It is
 // pure: it neither blocks nor reads a clock. Its owner calls it under one lock.
 type Gate interface {
-	// Limit puts the limits of a publication in force.
-	Limit(now time.Time, l Limits)
-	// Measure takes a new estimate of the mean load.
-	Measure(now time.Time, m Mean)
+	// SetLimits puts the limits of a publication in force.
+	SetLimits(now time.Time, l Limits)
+	// SetMean takes a new estimate of the mean load.
+	SetMean(now time.Time, m Mean)
 	// Offer decides on new work. Accepted work counts as running at once.
 	Offer(now time.Time, w Work) Decision
 	// End says that running or waiting work is over; unknown ids are ignored.
 	End(now time.Time, id string, o Outcome)
-	// Next returns what became of waiting work. Call it after End, Limit,
+	// AdvanceQueue returns what became of waiting work. Call it after End, Limit,
 	// Measure, Chill and every tick.
-	Next(now time.Time) Next
-	// Chill says that the target is cold: it started, restarted, or dropped
+	AdvanceQueue(now time.Time) QueueUpdate
+	// MarkCold says that the target is cold: it started, restarted, or dropped
 	// its connections.
-	Chill(now time.Time)
-	// Leave says that the target takes no new work from now on.
-	Leave(now time.Time, leaving bool)
+	MarkCold(now time.Time)
+	// SetLeaving says that the target takes no new work from now on.
+	SetLeaving(now time.Time, leaving bool)
 	// Load reports the target's state.
 	Load(now time.Time) Load
 }
@@ -150,79 +150,79 @@
 	Model  string
 	// Load in running and waiting requests for one unit of weight.
 	Load float64
-	// Seen is when, by the receiver's clock.
-	Seen time.Time
+	// SeenAt is when, by the receiver's clock.
+	SeenAt time.Time
 }
 
 // Sampler estimates the mean load of a model from what agents tell each other.
 type Sampler interface {
-	// Own sets this target's load.
-	Own(now time.Time, s Sample)
-	// Learn takes samples from a peer.
-	Learn(now time.Time, s []Sample)
-	// Tell returns at most n samples worth passing on, this target's first.
-	Tell(now time.Time, n int) []Sample
+	// SetLocal sets this target's load.
+	SetLocal(now time.Time, s Sample)
+	// Merge takes samples from a peer.
+	Merge(now time.Time, s []Sample)
+	// Samples returns at most n samples worth passing on, this target's first.
+	Samples(now time.Time, n int) []Sample
 	// Mean estimates the mean over all targets of the model, this one included.
 	Mean(now time.Time) Mean
 }
 
-// Allowance is a budget for repeats, kept by each entry for itself.
-type Allowance interface {
-	// Earn counts a first offer.
-	Earn(now time.Time)
-	// Spend takes one repeat from the budget; false means that none is left.
-	Spend(now time.Time) bool
+// RetryBudget is a budget for repeats, kept by each entry for itself.
+type RetryBudget interface {
+	// Deposit counts a first offer.
+	Deposit(now time.Time)
+	// TryWithdraw takes one repeat from the budget; false means that none is left.
+	TryWithdraw(now time.Time) bool
 }
 
-// Judgement is what is known of a request's content.
-type Judgement uint8
+// ContentState is what is known of a request's content.
+type ContentState uint8
 
 // The judgements.
 const (
-	Clear     Judgement = iota
-	Suspect             // was running when a target crashed: runs alone
-	Condemned           // crashed a target while it ran alone, or two targets
+	ContentClear     ContentState = iota
+	ContentSuspect                // was running when a target crashed: runs alone
+	ContentCondemned              // crashed a target while it ran alone, or two targets
 )
 
 // String returns the judgement's name in logs.
-func (j Judgement) String() string { return [...]string{"clear", "suspect", "condemned"}[j] }
+func (j ContentState) String() string { return [...]string{"clear", "suspect", "condemned"}[j] }
 
 // Suspicion is a content fingerprint that was running when targets crashed.
 type Suspicion struct {
 	Fingerprint uint64
-	// Crashed lists the targets, at most two.
-	Crashed []string
+	// CrashedTargets lists the targets, at most two.
+	CrashedTargets []string
 	// Cleared says that it ran to its end since.
 	Cleared bool
-	// Seen is when, by the receiver's clock.
-	Seen time.Time
+	// SeenAt is when, by the receiver's clock.
+	SeenAt time.Time
 }
 
 // Detector keeps the crash suspicions of one process: an agent's are of its own
 // target and what it was told, an entry's of the breaks that it saw and what it
 // was told.
 type Detector interface {
-	Judge(now time.Time, fingerprint uint64) Judgement
+	Check(now time.Time, fingerprint uint64) ContentState
 	// Start and End bracket a run of the content at this target.
 	Start(now time.Time, fingerprint uint64)
 	End(now time.Time, fingerprint uint64, served bool)
 	// Crash says that the target died; what was running becomes suspect. It
 	// returns the fingerprints whose judgement changed.
 	Crash(now time.Time) []Suspicion
-	Learn(now time.Time, s []Suspicion)
-	Tell(now time.Time, n int) []Suspicion
+	Merge(now time.Time, s []Suspicion)
+	Suspicions(now time.Time, n int) []Suspicion
 }
 
-// Stub is what an agent knows of a ticket.
-type Stub struct {
+// TicketStatus is what an agent knows of a ticket.
+type TicketStatus struct {
 	// State of the ticket.
 	State TicketState
 	// Reason when the ticket can't be used.
 	Reason Reason
 	// Run is the true answer to whether the ticketed request ran.
-	Run Run
-	// Request is the id of the request that spent the ticket.
-	Request string
+	Run RunStatus
+	// RequestID is the id of the request that spent the ticket.
+	RequestID string
 }
 
 // TicketState is a state of the ticket's chart.
@@ -246,17 +246,17 @@
 	Mint(now time.Time, workspace string, n int) []string
 	// Hold binds a ticket to a request. A repeat of the same request finds the
 	// state it is in; another request finds ReasonSpent.
-	Hold(now time.Time, token, workspace, request string) Stub
-	// Run marks a held ticket as handed to the target. False means that it must
+	Hold(now time.Time, token, workspace, request string) TicketStatus
+	// Start marks a held ticket as handed to the target. False means that it must
 	// not run: the owner asks right before it calls the target.
-	Run(now time.Time, token string) bool
+	Start(now time.Time, token string) bool
 	// Release gives a held ticket back unused: it may be held again.
 	Release(now time.Time, token string)
-	// Done ends a running ticket; known says whether the outcome is known.
-	Done(now time.Time, token string, known bool)
-	// Unsent ends a running ticket whose request never left the agent, as its
+	// Finish ends a running ticket; known says whether the outcome is known.
+	Finish(now time.Time, token string, known bool)
+	// MarkUnsent ends a running ticket whose request never left the agent, as its
 	// connection was refused: a tombstone, as nothing ran and nothing will.
-	Unsent(now time.Time, token string) Stub
+	MarkUnsent(now time.Time, token string) TicketStatus
 	// Drop writes a tombstone when the ticket has not run, and says the truth.
-	Drop(now time.Time, token, workspace string) Stub
+	Drop(now time.Time, token, workspace string) TicketStatus
 }
--- a/entry/ask.go
+++ b/entry/ask.go
@@ -50,7 +50,7 @@
 	if v == nil {
 		return nil, &ErrRefused{Reason: chestnutstep.ReasonVersion, Run: chestnutstep.RunNo, Retry: time.Second}
 	}
-	a := &ask{view: v, request: r, id: r.Header.Get(chestnutstep.HeaderIdempotency)}
+	a := &ask{view: v, request: r, id: r.Header.Get(chestnutstep.HeaderIdempotencyKey)}
 	if a.workspace = authenticate(v, r); a.workspace == nil {
 		return nil, &ErrRefused{Reason: chestnutstep.ReasonKey, Run: chestnutstep.RunNo}
 	}
@@ -72,7 +72,7 @@
 
 // unrun is what an entry may say of a request that it did not pass on. A
 // ticketed one may run by an earlier repeat; only its agent knows.
-func (a *ask) unrun() chestnutstep.Run {
+func (a *ask) unrun() chestnutstep.RunStatus {
 	if a.ticket != "" {
 		return chestnutstep.RunMaybe
 	}
@@ -93,7 +93,7 @@
 	a.hint = h.Get(chestnutstep.HeaderHint)
 	a.ticket = h.Get(chestnutstep.HeaderTicket)
 	for _, name := range []string{
-		chestnutstep.HeaderChat, chestnutstep.HeaderHint, chestnutstep.HeaderIdempotency, chestnutstep.HeaderTicket,
+		chestnutstep.HeaderChat, chestnutstep.HeaderHint, chestnutstep.HeaderIdempotencyKey, chestnutstep.HeaderTicket,
 	} {
 		if err := checkName(name, h.Get(name)); err != nil {
 			return err
@@ -148,7 +148,7 @@
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(a.deadline)
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	body := http.MaxBytesReader(w, a.request.Body, a.profile.Body)
+	body := http.MaxBytesReader(w, a.request.Body, a.profile.MaxBodyBytes)
 	b, err := io.ReadAll(body)
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
@@ -174,13 +174,13 @@
 		Model:       a.profile.Model,
 		Chat:        a.chat,
 		Class:       uint32(class),
-		Cost:        float64(a.profile.Tokens) + math.Ceil(float64(len(a.body))/bytesPerToken),
+		Cost:        float64(a.profile.ExpectedTokens) + math.Ceil(float64(len(a.body))/bytesPerToken),
 		Remain:      int64(a.deadline.Sub(now)),
 		Patience:    int64(patience),
 		Version:     a.view.Publication.Version,
 		Ticket:      a.ticket,
 		Fingerprint: a.fingerprint,
-		Idempotent:  !a.profile.Once,
+		Idempotent:  !a.profile.RequiresTicket,
 		Method:      a.request.Method,
 		Path:        a.request.URL.RequestURI(),
 		Headers:     headers(a.request.Header),
@@ -190,12 +190,12 @@
 }
 
 // place is what the ranking needs. A request without a chat spreads by its id.
-func (a *ask) place(region string) chestnutstep.Place {
+func (a *ask) place(region string) chestnutstep.RankQuery {
 	chat := a.chat
 	if chat == "" {
 		chat = a.id
 	}
-	return chestnutstep.Place{
+	return chestnutstep.RankQuery{
 		Workspace: a.workspace.Name,
 		Chat:      chat,
 		Model:     a.profile.Model,
--- a/entry/attach.go
+++ b/entry/attach.go
@@ -69,7 +69,7 @@
 // where nobody else can go on with it, as for an action, or an answer that its
 // caller has in part.
 func (k *walk) attachTime() time.Duration {
-	if k.ask.profile.Once || k.out.started {
+	if k.ask.profile.RequiresTicket || k.out.started {
 		return k.left()
 	}
 	return k.silence(true)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -45,8 +45,8 @@
 	Hosts  Hosts
 	// Repeats is the budget for what may have run; Steps for offers down the
 	// ranking after a refusal.
-	Repeats chestnutstep.Allowance
-	Steps   chestnutstep.Allowance
+	Repeats chestnutstep.RetryBudget
+	Steps   chestnutstep.RetryBudget
 	// Detector keeps the crash suspicions; nil switches them off. Lock guards it.
 	Detector chestnutstep.Detector
 	// Entries returns how many entries share the callers, for rate limits.
@@ -76,7 +76,7 @@
 	Chat      string
 	Target    string
 	Reason    chestnutstep.Reason
-	Run       chestnutstep.Run
+	Run       chestnutstep.RunStatus
 	Status    int
 	// Offers is how many agents were asked, Hint what the caller hoped for.
 	Offers int
@@ -133,7 +133,7 @@
 	}
 	e.detector.Lock()
 	defer e.detector.Unlock()
-	return e.Detector.Judge(e.Clock(), fingerprint) == chestnutstep.Condemned
+	return e.Detector.Check(e.Clock(), fingerprint) == chestnutstep.ContentCondemned
 }
 
 // accuse notes the targets that died while they ran the content.
@@ -144,7 +144,7 @@
 	e.detector.Lock()
 	defer e.detector.Unlock()
 	now := e.Clock()
-	e.Detector.Learn(now, []chestnutstep.Suspicion{{Fingerprint: fingerprint, Crashed: crashed, Seen: now}})
+	e.Detector.Merge(now, []chestnutstep.Suspicion{{Fingerprint: fingerprint, CrashedTargets: crashed, SeenAt: now}})
 }
 
 // Ready says whether the balancer should send callers here.
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -42,7 +42,7 @@
 // ErrRefused is the final word on a request that got no whole answer.
 type ErrRefused struct {
 	Reason chestnutstep.Reason
-	Run    chestnutstep.Run
+	Run    chestnutstep.RunStatus
 	// Retry is when the caller may come back; zero if it should not.
 	Retry time.Duration
 	// Ticket is a fresh one, where that is what the caller needs.
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -28,7 +28,7 @@
 		r := httptest.NewRequest(http.MethodPost, "/v1", nil)
 		r.Header = http.Header{
 			chestnutstep.HeaderTimeout: {limit}, chestnutstep.HeaderChat: {chat}, chestnutstep.HeaderHint: {hint},
-			chestnutstep.HeaderIdempotency: {key}, chestnutstep.HeaderTicket: {ticket}, "Connection": {connection},
+			chestnutstep.HeaderIdempotencyKey: {key}, chestnutstep.HeaderTicket: {ticket}, "Connection": {connection},
 			"Authorization": {"Bearer secret"},
 		}
 		a := &ask{view: v, workspace: &v.Publication.Workspaces[0], profile: p, request: r, id: key}
--- a/entry/header.go
+++ b/entry/header.go
@@ -31,7 +31,7 @@
 	if name == "Authorization" || name == "Content-Length" {
 		return false
 	}
-	if chestnutstep.IsOwnHeader(name) || chestnutstep.IsHopHeader(name) {
+	if chestnutstep.IsChestnutHeader(name) || chestnutstep.IsHopHeader(name) {
 		return false
 	}
 	for _, c := range connection {
--- a/entry/moved_test.go
+++ b/entry/moved_test.go
@@ -23,7 +23,7 @@
 	p.onOffer = got.add
 	p.addEntry()
 	ask := []string{
-		chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c", chestnutstep.HeaderIdempotency, "id",
+		chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c", chestnutstep.HeaderIdempotencyKey, "id",
 		chestnutstep.HeaderTimeout, "8s",
 	}
 	rs, body := p.ask(0, "/v1/chat", `{"prompt":1,"output":1}`, ask...)
--- a/entry/offer_test.go
+++ b/entry/offer_test.go
@@ -53,7 +53,7 @@
 	var got offers
 	p.onOffer = got.add
 	p.addEntry()
-	place := chestnutstep.Place{Workspace: "desk", Chat: "c", Model: "label", Region: "r"}
+	place := chestnutstep.RankQuery{Workspace: "desk", Chat: "c", Model: "label", Region: "r"}
 	first := ranker(p.current()).Rank(nil, place, 1)[0].Name
 	for i := range p.pub.Targets {
 		if p.pub.Targets[i].Name == first {
@@ -62,7 +62,7 @@
 	}
 	p.publish()
 	rs, body := p.ask(2, "/v1/chat", `{"prompt":1,"output":1}`,
-		chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c", chestnutstep.HeaderIdempotency, "id")
+		chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c", chestnutstep.HeaderIdempotencyKey, "id")
 	assert.Equal(t, rs.StatusCode, http.StatusOK, body)
 	got.mu.Lock()
 	defer got.mu.Unlock()
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -70,12 +70,12 @@
 		Domains: []chestnutstep.Domain{{Name: "a", Region: "r"}},
 		Hosts:   []chestnutstep.Host{{Name: "h", Domain: "a"}},
 		Models: []chestnutstep.Model{
-			{Name: "label", Kind: chestnutstep.KindEngine, Floor: 8, Slots: 8, Queue: 8, Cold: 8, Done: "event: done"},
-			{Name: "desk", Kind: chestnutstep.KindService, Floor: 8, Slots: 8, Queue: 8, Cold: 8},
+			{Name: "label", Kind: chestnutstep.KindEngine, Floor: 8, Slots: 8, QueueLimit: 8, ColdCap: 8, DoneMarker: "event: done"},
+			{Name: "desk", Kind: chestnutstep.KindService, Floor: 8, Slots: 8, QueueLimit: 8, ColdCap: 8},
 		},
 		Profiles: []chestnutstep.Profile{
-			{Name: "quick", Model: "label", Class: "urgent", Timeout: chestnutstep.Duration(20 * time.Second), Tries: 2, Tokens: 10, Body: 1 << 20},
-			{Name: "book", Model: "desk", Class: "normal", Timeout: chestnutstep.Duration(20 * time.Second), Tries: 2, Tokens: 1, Body: 1 << 20, Once: true},
+			{Name: "quick", Model: "label", Class: "urgent", Timeout: chestnutstep.Duration(20 * time.Second), MaxAttempts: 2, ExpectedTokens: 10, MaxBodyBytes: 1 << 20},
+			{Name: "book", Model: "desk", Class: "normal", Timeout: chestnutstep.Duration(20 * time.Second), MaxAttempts: 2, ExpectedTokens: 1, MaxBodyBytes: 1 << 20, RequiresTicket: true},
 		},
 		Workspaces: []chestnutstep.Workspace{{Name: "desk", Keys: []string{hash("k")}}},
 	}
@@ -232,7 +232,7 @@
 // read the answer of the first.
 func TestSameKeyInAnotherChatDoesNotJoin(t *testing.T) {
 	p := newPath(t)
-	ask := []string{chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderIdempotency, "k1", chestnutstep.HeaderChat}
+	ask := []string{chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderIdempotencyKey, "k1", chestnutstep.HeaderChat}
 	rs, text := p.ask(0, "/v1/chat", `{"prompt":10,"output":5}`, append(ask, "c1")...)
 	assert.Equal(t, rs.StatusCode, 200, text)
 	rs, text = p.ask(0, "/v1/chat", `{"prompt":10,"output":5}`, append(ask, "c2")...)
@@ -247,8 +247,8 @@
 	other := &fake.Engine{}
 	p.addAgent("label-2", "label", other)
 	// Reading 4,000 tokens again takes 4 s by publication, moving them far less.
-	p.pub.Models[0].Prefill, p.pub.Models[0].Cache = 1000, 64
-	p.pub.Budget.Export = 100 << 20
+	p.pub.Models[0].PrefillRate, p.pub.Models[0].CacheBytesPerToken = 1000, 64
+	p.pub.Budget.ExportRate = 100 << 20
 	p.publish()
 	ask := []string{chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c1"}
 	rs, text := p.ask(0, "/v1/chat", `{"prompt":4000,"output":5}`, ask...)
@@ -259,7 +259,7 @@
 	rs, text = p.ask(1, "/v1/chat", `{"prompt":4100,"output":5}`, append(ask, chestnutstep.HeaderHint, home)...)
 	assert.Equal(t, rs.StatusCode, 200, text)
 	assert.Assert(t, rs.Header.Get(chestnutstep.HeaderHint) != home)
-	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderCached), "4005")
+	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderCachedTokens), "4005")
 }
 
 // takeOut publishes the target in and out of service until its engine's late
--- a/entry/status_test.go
+++ b/entry/status_test.go
@@ -17,8 +17,8 @@
 func TestRefusals(t *testing.T) {
 	p := newPath(t)
 	p.pub.Profiles = append(p.pub.Profiles,
-		chestnutstep.Profile{Name: "small", Model: "label", Class: "batch", Timeout: chestnutstep.Duration(time.Second), Tries: 1, Body: 8},
-		chestnutstep.Profile{Name: "nowhere", Model: "none", Class: "batch", Timeout: chestnutstep.Duration(time.Second), Tries: 1, Body: 8},
+		chestnutstep.Profile{Name: "small", Model: "label", Class: "batch", Timeout: chestnutstep.Duration(time.Second), MaxAttempts: 1, MaxBodyBytes: 8},
+		chestnutstep.Profile{Name: "nowhere", Model: "none", Class: "batch", Timeout: chestnutstep.Duration(time.Second), MaxAttempts: 1, MaxBodyBytes: 8},
 	)
 	p.pub.Workspaces = append(p.pub.Workspaces,
 		chestnutstep.Workspace{Name: "slow", Keys: []string{hash("s")}, Rate: 0.001, Burst: 1})
--- a/entry/step.go
+++ b/entry/step.go
@@ -40,7 +40,7 @@
 	}
 	ref := &ErrRefused{
 		Reason: chestnutstep.Reason(r.Reason),
-		Run:    chestnutstep.Run(r.Run),
+		Run:    chestnutstep.RunStatus(r.Run),
 		Retry:  time.Duration(r.Retry),
 		Ticket: r.Ticket,
 	}
@@ -63,7 +63,7 @@
 	k.ruleOut(k.served)
 	ref := &ErrRefused{
 		Reason: chestnutstep.Reason(b.Reason),
-		Run:    chestnutstep.Run(b.Run),
+		Run:    chestnutstep.RunStatus(b.Run),
 		Retry:  time.Duration(b.Retry),
 	}
 	if ref.Run != chestnutstep.RunNo {
@@ -102,7 +102,7 @@
 		// The caller has bytes of this answer; another run would give others.
 		return step{done: true, err: ref}
 	}
-	v := retry.May(ref.Reason, ref.Run, !k.ask.profile.Once)
+	v := retry.May(ref.Reason, ref.Run, !k.ask.profile.RequiresTicket)
 	if v == retry.Move || v == retry.Repeat && k.repeat() {
 		return step{}
 	}
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -87,7 +87,7 @@
 // mint asks the targets in the order of their ranking. A batch is spread by
 // its random id, so that one target does not get all actions.
 func (e *Entry) mint(ctx context.Context, a *ask, count int) ([]string, error) {
-	targets := e.Ranker(a.view).Rank(nil, a.place(e.Region), max(a.profile.Tries, 1))
+	targets := e.Ranker(a.view).Rank(nil, a.place(e.Region), max(a.profile.MaxAttempts, 1))
 	for _, t := range targets {
 		reply, err := e.mintAt(ctx, t, a.workspace.Name, count)
 		if err == nil {
--- a/entry/walk.go
+++ b/entry/walk.go
@@ -77,7 +77,7 @@
 		return &ErrRefused{Reason: chestnutstep.ReasonTarget, Run: chestnutstep.RunNo, Retry: time.Second}
 	}
 	k.earn()
-	tries := min(len(k.targets), max(k.ask.profile.Tries, 1))
+	tries := min(len(k.targets), max(k.ask.profile.MaxAttempts, 1))
 	for i := range tries {
 		if i > 0 && !k.spend() {
 			break
@@ -93,7 +93,7 @@
 // of a displaced chat's requests that take it home.
 func (k *walk) rank() {
 	ranker := k.entry.Ranker(k.ask.view)
-	n := min(max(k.ask.profile.Tries, 1), triesMost)
+	n := min(max(k.ask.profile.MaxAttempts, 1), triesMost)
 	place := k.ask.place(k.entry.Region)
 	k.targets = ranker.Rank(make([]*chestnutstep.Target, 0, n), place, n)
 	if place.Hint == "" || len(k.targets) == 0 {
--- a/event/async.go
+++ b/event/async.go
@@ -5,15 +5,15 @@
 	"sync/atomic"
 )
 
-// asyncLines is how many lines wait for a slow reader: some seconds' worth of a
+// maxQueuedLines is how many lines wait for a slow reader: some seconds' worth of a
 // busy process, in about a megabyte.
-const asyncLines = 2048
+const maxQueuedLines = 2048
 
-// Async is a writer that never blocks: lines wait in a bounded queue, and are
+// AsyncWriter is a writer that never blocks: lines wait in a bounded queue, and are
 // counted and dropped when it is full. A pipe whose reader has stopped would
 // otherwise hold up every request at its next line of the log. Make it with
 // NewAsync.
-type Async struct {
+type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	quit    chan struct{}
@@ -21,18 +21,18 @@
 	dropped atomic.Int64
 }
 
-// NewAsync returns a writer in front of another. Close it at the end.
-func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: make(chan []byte, asyncLines), quit: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter returns a writer in front of another. Close it at the end.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	a := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{})}
 	go a.loop()
 	return a
 }
 
 // Write takes one line, or drops it.
-func (a *Async) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+func (a *AsyncWriter) Write(line []byte) (int, error) {
+	queued := append([]byte(nil), line...)
 	select {
-	case a.lines <- kept:
+	case a.lines <- queued:
 	default:
 		a.dropped.Add(1)
 	}
@@ -40,13 +40,13 @@
 }
 
 // Dropped is how many lines were dropped so far.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// batchMost bounds the bytes of one write.
-const batchMost = 32 << 10
+// maxBatchBytes bounds the bytes of one write.
+const maxBatchBytes = 32 << 10
 
 // loop writes lines until Close, and then what still waits.
-func (a *Async) loop() {
+func (a *AsyncWriter) loop() {
 	defer close(a.done)
 	for {
 		select {
@@ -60,7 +60,7 @@
 }
 
 // drain writes what waits.
-func (a *Async) drain() {
+func (a *AsyncWriter) drain() {
 	for {
 		select {
 		case line := <-a.lines:
@@ -72,8 +72,8 @@
 }
 
 // write writes a line and those that wait behind it: each write costs a system call.
-func (a *Async) write(batch []byte) {
-	for len(batch) < batchMost {
+func (a *AsyncWriter) write(batch []byte) {
+	for len(batch) < maxBatchBytes {
 		select {
 		case next := <-a.lines:
 			batch = append(batch, next...)
@@ -89,7 +89,7 @@
 
 // Close writes what waits, unless the reader has stopped. Lines that come later are
 // lost: whatever still runs while a process ends must not fail for its log.
-func (a *Async) Close(stopped <-chan struct{}) {
+func (a *AsyncWriter) Close(stopped <-chan struct{}) {
 	close(a.quit)
 	select {
 	case <-a.done:
--- a/event/async_test.go
+++ b/event/async_test.go
@@ -10,29 +10,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// reader is what a log is written to; it can stop reading.
-type reader struct {
+// blockableWriter is what a log is written to; it can stop reading.
+type blockableWriter struct {
 	mu  sync.Mutex
-	got bytes.Buffer
+	buf bytes.Buffer
 }
 
-func (r *reader) Write(b []byte) (int, error) {
+func (r *blockableWriter) Write(b []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.got.Write(b)
+	return r.buf.Write(b)
 }
 
 // Whatever reads the log stops for a while, as a full disk or a stuck shipper makes
 // it do. A log that waits for it holds up every request, and callers see a service
 // that stands still while all its targets idle.
-func TestReaderStops(t *testing.T) {
-	r := &reader{}
-	a := NewAsync(r)
+func TestBlockedWriter(t *testing.T) {
+	r := &blockableWriter{}
+	a := NewAsyncWriter(r)
 	l := &Log{Out: a, Process: "p"}
 	l.Emit(ProcessStart)
 	r.mu.Lock()
 	began := time.Now()
-	for i := range 10 * asyncLines {
+	for i := range 10 * maxQueuedLines {
 		l.Emit(TargetsChanged, Int("n", int64(i)))
 	}
 	took := time.Since(began)
@@ -42,26 +42,26 @@
 	a.Close(stopped)
 	assert.Assert(t, took < 5*time.Second, "%s", took)
 	assert.Assert(t, dropped > 0)
-	lines := int64(bytes.Count(r.got.Bytes(), []byte("\n")))
-	assert.Equal(t, lines+a.Dropped(), int64(10*asyncLines+1), "each line is written or counted")
+	lines := int64(bytes.Count(r.buf.Bytes(), []byte("\n")))
+	assert.Equal(t, lines+a.Dropped(), int64(10*maxQueuedLines+1), "each line is written or counted")
 }
 
 // A process ends while its log's reader stands still, and something in it writes one
 // more line. A log that fails then turns a planned stop into a crash.
-func TestLineAfterClose(t *testing.T) {
-	r := &reader{}
-	a := NewAsync(r)
+func TestWriteAfterClose(t *testing.T) {
+	r := &blockableWriter{}
+	a := NewAsyncWriter(r)
 	a.Close(nil)
-	for range 2 * asyncLines {
+	for range 2 * maxQueuedLines {
 		_, err := a.Write([]byte("late\n"))
 		assert.NilError(t, err)
 	}
 }
 
 // Lines come out whole and in order.
-func TestAsyncKeepsOrder(t *testing.T) {
-	r := &reader{}
-	a := NewAsync(r)
+func TestAsyncWriterKeepsOrder(t *testing.T) {
+	r := &blockableWriter{}
+	a := NewAsyncWriter(r)
 	want := ""
 	for i := range 500 {
 		line := fmt.Sprintf("line %d\n", i)
@@ -70,5 +70,5 @@
 		assert.NilError(t, err)
 	}
 	a.Close(nil)
-	assert.Equal(t, r.got.String(), want)
+	assert.Equal(t, r.buf.String(), want)
 }
