--- a/event/catalog.go
+++ b/event/catalog.go
@@ -103,13 +103,13 @@
 	CrashCleared    ID = 7038
 )
 
-// requestLines bounds the lines a second of each event about single requests of
+// requestMaxPerSecond bounds the lines a second of each event about single requests of
 // a relay: twice what an entry of the planned fleet handles in a second, so that
 // lines go missing only in a surge.
-const requestLines = 150
+const requestMaxPerSecond = 150
 
 // Catalog lists all events by number. It is the source of docs/EVENTS.md.
-var Catalog = []Entry{
+var Catalog = []Definition{
 	{
 		ID: ProcessStart, Name: "process_start", Level: Info,
 		Meaning: "The process began; its settings are valid.",
@@ -189,13 +189,13 @@
 		Action:  "Run `chestnutstep check` on it and publish a corrected one under a higher version.",
 	},
 	{
-		ID: PublicationOld, Name: "publication_old", Level: Debug, Often: true,
+		ID: PublicationOld, Name: "publication_old", Level: Debug, RateLimited: true,
 		Meaning: "A publication with a version not above that in force was ignored.",
 		Cause:   "The service or a peer is stale.",
 		Action:  "Nothing, unless 2006 comes too.",
 	},
 	{
-		ID: PublicationPart, Name: "publication_part", Level: Warn, Often: true,
+		ID: PublicationPart, Name: "publication_part", Level: Warn, RateLimited: true,
 		Meaning: "A part of a publication is not to be had yet.",
 		Cause:   "The service shows the root before the parts, or a peer replaced it.",
 		Action:  "Nothing; it is fetched again. When it lasts, publish parts before roots.",
@@ -231,67 +231,67 @@
 		Action:  "Publish again under a version above the one in force.",
 	},
 	{
-		ID: RequestDone, Name: "request_done", Level: Debug, Often: true,
+		ID: RequestDone, Name: "request_done", Level: Debug, RateLimited: true,
 		Meaning: "A caller got a whole answer.",
 		Cause:   "The normal course.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: RequestRefused, Name: "request_refused", Level: Info, Often: true,
+		ID: RequestRefused, Name: "request_refused", Level: Info, RateLimited: true,
 		Meaning: "A caller was refused; nothing ran unless run says otherwise.",
 		Cause:   "See reason.",
 		Action:  "Look reason up in docs/GLOSSARY.md; for a saturated fleet see docs/operate/saturated.md.",
 	},
 	{
-		ID: RequestBroken, Name: "request_broken", Level: Warn, Often: true,
+		ID: RequestBroken, Name: "request_broken", Level: Warn, RateLimited: true,
 		Meaning: "An answer broke off and the caller was told so.",
 		Cause:   "The target crashed, the time limit passed or the link broke; see reason.",
 		Action:  "Look at the target's agent at the same time.",
 	},
 	{
-		ID: RequestCanceled, Name: "request_canceled", Level: Debug, Often: true,
+		ID: RequestCanceled, Name: "request_canceled", Level: Debug, RateLimited: true,
 		Meaning: "The caller gave up; the target was told at once.",
 		Cause:   "The normal course.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: OfferRefused, Name: "offer_refused", Level: Debug, Often: true,
+		ID: OfferRefused, Name: "offer_refused", Level: Debug, RateLimited: true,
 		Meaning: "An agent refused an offer; the request is offered further down the ranking.",
 		Cause:   "See reason.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: OfferFailed, Name: "offer_failed", Level: Warn, Often: true,
+		ID: OfferFailed, Name: "offer_failed", Level: Warn, RateLimited: true,
 		Meaning: "An offer got no answer and was given up: answer is silent where the agent's time was over, broken where the link broke or could not be opened; after says how long it took. Nothing ran there for it.",
 		Cause:   "The host is gone, or the network is cut.",
 		Action:  "When it lasts, take the host out: docs/operate/host.md.",
 	},
 	{
-		ID: RetryDenied, Name: "retry_denied", Level: Warn, Often: true,
+		ID: RetryDenied, Name: "retry_denied", Level: Warn, RateLimited: true,
 		Meaning: "A request that could be repeated was not: the retry budget is spent.",
 		Cause:   "Many requests fail at once.",
 		Action:  "Look for the outage; the budget keeps repeats from making it worse.",
 	},
 	{
-		ID: AnswerAttached, Name: "answer_attached", Level: Info, Often: true,
+		ID: AnswerAttached, Name: "answer_attached", Level: Info, RateLimited: true,
 		Meaning: "A broken link to an agent was taken up again in mid-answer.",
 		Cause:   "The network, or a restarted entry.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: KeyUnknown, Name: "key_unknown", Level: Info, Often: true,
+		ID: KeyUnknown, Name: "key_unknown", Level: Info, RateLimited: true,
 		Meaning: "A caller's key is of no workspace.",
 		Cause:   "A wrong or withdrawn key.",
 		Action:  "See docs/operate/rotate.md when it comes after a rotation.",
 	},
 	{
-		ID: RateExceeded, Name: "rate_exceeded", Level: Info, Often: true,
+		ID: RateExceeded, Name: "rate_exceeded", Level: Info, RateLimited: true,
 		Meaning: "A workspace is over its published rate.",
 		Cause:   "A surge.",
 		Action:  "Raise the rate if it is wanted.",
 	},
 	{
-		ID: OfferAnswered, Name: "offer_answered", Level: Info, Often: true, Lines: requestLines,
+		ID: OfferAnswered, Name: "offer_answered", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "An agent answered an offer of the request: accept, which the entry has read and now confirms, or refuse with its reason. The field offer counts the request's offers.",
 		Cause:   "The normal course.",
 		Action:  "Nothing; the next offer of the same request has the next number.",
@@ -351,61 +351,61 @@
 		Action:  "See docs/operate/suspect.md.",
 	},
 	{
-		ID: AnswerCrossed, Name: "answer_crossed", Level: Error, Often: true,
+		ID: AnswerCrossed, Name: "answer_crossed", Level: Error, RateLimited: true,
 		Meaning: "The target answered with the id of another request; the answer was thrown away.",
 		Cause:   "A fault of the target.",
 		Action:  "Report it to the target's owners.",
 	},
 	{
-		ID: AnswerShort, Name: "answer_short", Level: Warn, Often: true,
+		ID: AnswerShort, Name: "answer_short", Level: Warn, RateLimited: true,
 		Meaning: "The target's answer ended before it was whole; the caller is told.",
 		Cause:   "The target crashed or cut the connection.",
 		Action:  "Look at the target.",
 	},
 	{
-		ID: OfferExpired, Name: "offer_expired", Level: Info, Often: true,
+		ID: OfferExpired, Name: "offer_expired", Level: Info, RateLimited: true,
 		Meaning: "An offer that was taken was dropped before it ran: reason link where its entry went on or its body did not follow, else the caller left, its time was up or the queue gave it up. Nothing ran.",
 		Cause:   "The entry is frozen, gone or slow, the link is cut, or the target is saturated.",
 		Action:  "Nothing; when it lasts look at the entries' hosts.",
 	},
 	{
-		ID: OfferTaken, Name: "offer_taken", Level: Info, Often: true, Lines: requestLines,
+		ID: OfferTaken, Name: "offer_taken", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "An offer was read and has a place at the target, or waits for one. The field offer numbers the offers that this agent took.",
 		Cause:   "The normal course.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: AcceptSent, Name: "accept_sent", Level: Info, Often: true, Lines: requestLines,
+		ID: AcceptSent, Name: "accept_sent", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "The accept of an offer was written. Its body has to come back before anything runs.",
 		Cause:   "The normal course.",
 		Action:  "Nothing; without 4016 after it the accept or the body was lost.",
 	},
 	{
-		ID: RunStarted, Name: "run_started", Level: Info, Often: true, Lines: requestLines,
+		ID: RunStarted, Name: "run_started", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "The target was called: from here on the request may have run.",
 		Cause:   "The normal course.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: RunEnded, Name: "run_ended", Level: Info, Often: true, Lines: requestLines,
+		ID: RunEnded, Name: "run_ended", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "The call of the target ended, with the reason where the answer is not whole.",
 		Cause:   "The normal course.",
 		Action:  "Nothing; see reason.",
 	},
 	{
-		ID: RunNoted, Name: "run_noted", Level: Info, Often: true, Lines: requestLines,
+		ID: RunNoted, Name: "run_noted", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "An entry noted here which target runs a request: an offer of it is sent there, as long as that target does not say that it is over.",
 		Cause:   "The normal course: this target is the one that would be asked next.",
 		Action:  "Nothing; field target says where to look on.",
 	},
 	{
-		ID: TicketsMinted, Name: "tickets_minted", Level: Debug, Often: true,
+		ID: TicketsMinted, Name: "tickets_minted", Level: Debug, RateLimited: true,
 		Meaning: "Tickets were minted for a workspace.",
 		Cause:   "The normal course.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: TicketRefused, Name: "ticket_refused", Level: Info, Often: true,
+		ID: TicketRefused, Name: "ticket_refused", Level: Info, RateLimited: true,
 		Meaning: "A ticket can't be used; nothing ran for this request.",
 		Cause:   "See reason.",
 		Action:  "For expired and dead the caller takes a fresh ticket after asking for the outcome.",
@@ -417,7 +417,7 @@
 		Action:  "The caller has to look at the service itself.",
 	},
 	{
-		ID: TicketDropped, Name: "ticket_dropped", Level: Info, Often: true,
+		ID: TicketDropped, Name: "ticket_dropped", Level: Info, RateLimited: true,
 		Meaning: "A tombstone was written: the ticketed request never ran and never will.",
 		Cause:   "The caller asked for a final answer.",
 		Action:  "Nothing.",
@@ -441,7 +441,7 @@
 		Action:  "Look at the engine, then order again.",
 	},
 	{
-		ID: PeerUnreachable, Name: "peer_unreachable", Level: Debug, Often: true,
+		ID: PeerUnreachable, Name: "peer_unreachable", Level: Debug, RateLimited: true,
 		Meaning: "A peer did not answer.",
 		Cause:   "A host that leaves, or the network.",
 		Action:  "Nothing.",
@@ -471,49 +471,49 @@
 		Action:  "Nothing.",
 	},
 	{
-		ID: RelaySent, Name: "relay_sent", Level: Info, Often: true, Lines: requestLines,
+		ID: RelaySent, Name: "relay_sent", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A request was sent to a target; the fields say what decided for it.",
 		Cause:   "The normal course.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: RelayDone, Name: "relay_done", Level: Info, Often: true, Lines: requestLines,
+		ID: RelayDone, Name: "relay_done", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A request was answered whole by a target.",
 		Cause:   "The normal course.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: RelayFailed, Name: "relay_failed", Level: Info, Often: true, Lines: requestLines,
+		ID: RelayFailed, Name: "relay_failed", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A target gave no usable answer to a request; run says whether it may have run.",
 		Cause:   "See reason: full, down, dead (another instance has the address), link, short, crossed, crashed (its own failure), timeout.",
 		Action:  "Follow the request's next line; many of one target: look at the target.",
 	},
 	{
-		ID: RelayRefused, Name: "relay_refused", Level: Info, Often: true, Lines: requestLines,
+		ID: RelayRefused, Name: "relay_refused", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "The entry refused a request: it did not run.",
 		Cause:   "See reason; proof is the age of the proof that the configuration is current. For full and share, taken is the part of the service's places that was taken, kept what is kept for requests within their share, yield whether the rank (1), the workspace (2) or both (3) were over theirs.",
 		Action:  "For target see 7012, for version see 7014, for full and share docs/operate/saturated.md.",
 	},
 	{
-		ID: RelayBroken, Name: "relay_broken", Level: Warn, Often: true, Lines: requestLines,
+		ID: RelayBroken, Name: "relay_broken", Level: Warn, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A request ended without a whole answer and may have run. Status 0 is a stream that was cut.",
 		Cause:   "See reason, and the lines 7003 before it.",
 		Action:  "For timeout look at the target's load at 7001.",
 	},
 	{
-		ID: RelayCanceled, Name: "relay_canceled", Level: Info, Often: true, Lines: requestLines,
+		ID: RelayCanceled, Name: "relay_canceled", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "The caller left before its answer was whole.",
 		Cause:   "The caller gave up or its connection broke.",
 		Action:  "Nothing.",
 	},
 	{
-		ID: RelayBudget, Name: "relay_budget", Level: Warn, Often: true, Lines: requestLines,
+		ID: RelayBudget, Name: "relay_budget", Level: Warn, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A request was not sent again: the service's retry budget is spent.",
 		Cause:   "Many requests fail at once.",
 		Action:  "Look at 7003 for the targets that fail.",
 	},
 	{
-		ID: TargetSilent, Name: "target_silent", Level: Warn, Often: true, Lines: requestLines,
+		ID: TargetSilent, Name: "target_silent", Level: Warn, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "The host of a target has not acknowledged a request for a quarter of a second. Link says that other targets answer meanwhile, again that the request goes to another target.",
 		Cause:   "The host is without power, frozen, or cut off; with link false rather this host's own link.",
 		Action:  "Many of one target or failure domain: look there. All targets: look at this host's link.",
@@ -561,7 +561,7 @@
 		Action:  "Nothing.",
 	},
 	{
-		ID: DatagramFailed, Name: "datagram_failed", Level: Warn, Often: true, Lines: requestLines,
+		ID: DatagramFailed, Name: "datagram_failed", Level: Warn, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A datagram between entries could not be sent or read.",
 		Cause:   "The network, or a process of another version.",
 		Action:  "Look at the network of the host.",
@@ -621,7 +621,7 @@
 		Action:  "Nothing.",
 	},
 	{
-		ID: RelayShed, Name: "relay_shed", Level: Info, Often: true, Lines: requestLines,
+		ID: RelayShed, Name: "relay_shed", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A request was refused before it was read; it did not run. Only a few of those that are refused are named: 7032 counts them all.",
 		Cause:   "The entry gets more requests than its processor parses, most of them from this workspace.",
 		Action:  "See 7032.",
@@ -639,13 +639,13 @@
 		Action:  "Nothing.",
 	},
 	{
-		ID: FactsRead, Name: "facts_read", Level: Info, Often: true, Lines: requestLines,
+		ID: FactsRead, Name: "facts_read", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "Changes of published facts were read from a peer, or from the source where none is named, or a read failed. First is the time to the answer's beginning, took to its end, gap the age of the last proof: no change that was read is older.",
 		Cause:   "Something was published; with an error, the peer or the source did not answer in time, or had facts that were too old.",
 		Action:  "A gap above the bound on changes: look at bytes and took for a link that is too slow, at errors before it for peers that were given up.",
 	},
 	{
-		ID: CrashNoted, Name: "crash_noted", Level: Warn, Often: true, Lines: requestLines,
+		ID: CrashNoted, Name: "crash_noted", Level: Warn, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A target ended while it ran a content. Losses is how many did since the content was last served, refused for how long it is refused from now on; events is how far the answer had come, age how long ago it was. With cleared a peer has served the content since.",
 		Cause:   "From own: a connection broke, and 7036 proves that the target has ended. From peer: another entry reported it.",
 		Action:  "With two losses or more see docs/operate/suspect.md.",
@@ -657,13 +657,13 @@
 		Action:  "Many targets one after the other: look for a content with two losses or more at 7035.",
 	},
 	{
-		ID: TargetLives, Name: "target_lives", Level: Info, Often: true, Lines: requestLines,
+		ID: TargetLives, Name: "target_lives", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A connection broke in the middle of an answer, and the target takes new ones: its content is not suspected.",
 		Cause:   "A fault of the target or the network.",
 		Action:  "Many of one target: look there.",
 	},
 	{
-		ID: CrashCleared, Name: "crash_cleared", Level: Info, Often: true, Lines: requestLines,
+		ID: CrashCleared, Name: "crash_cleared", Level: Info, RateLimited: true, MaxPerSecond: requestMaxPerSecond,
 		Meaning: "A content under which targets ended was served: it is cleared of these losses.",
 		Cause:   "It ran beside whatever ended the targets.",
 		Action:  "Nothing.",
--- a/event/entry.go
+++ b/event/entry.go
@@ -37,49 +37,49 @@
 // ID is the number of an event. It never changes its meaning.
 type ID uint16
 
-// Entry describes one event to operators.
-type Entry struct {
+// Definition describes one event to operators.
+type Definition struct {
 	ID    ID
 	Name  string
 	Level Level
-	// Often says that the event comes with requests: its lines are bounded.
-	Often bool
-	// Lines is how many lines a second an Often event may write; often when 0.
-	Lines   int
-	Meaning string
-	Cause   string
-	Action  string
+	// RateLimited says that the event comes with requests: its lines are bounded.
+	RateLimited bool
+	// MaxPerSecond is how many lines a second an Often event may write; often when 0.
+	MaxPerSecond int
+	Meaning      string
+	Cause        string
+	Action       string
 }
 
-// lines is the bound of an Often event.
-func (e Entry) lines() int {
-	if e.Lines > 0 {
-		return e.Lines
+// maxPerSecond is the bound of an Often event.
+func (e Definition) maxPerSecond() int {
+	if e.MaxPerSecond > 0 {
+		return e.MaxPerSecond
 	}
-	return often
+	return defaultMaxPerSecond
 }
 
 // byID is built once: Emit looks an entry up for each line.
 var byID = index(Catalog)
 
-func index(entries []Entry) map[ID]Entry {
-	m := make(map[ID]Entry, len(entries))
+func index(entries []Definition) map[ID]Definition {
+	m := make(map[ID]Definition, len(entries))
 	for _, e := range entries {
 		m[e.ID] = e
 	}
 	return m
 }
 
-// Find returns the entry of an event.
-func Find(id ID) (Entry, bool) {
+// Lookup returns the entry of an event.
+func Lookup(id ID) (Definition, bool) {
 	e, ok := byID[id]
 	return e, ok
 }
 
 // group is a range of numbers with its heading.
 type group struct {
-	first ID
-	title string
+	firstID ID
+	title   string
 }
 
 var groups = []group{
@@ -100,7 +100,7 @@
 	var b strings.Builder
 	b.WriteString(pageHead)
 	for _, g := range groups {
-		fmt.Fprintf(&b, "\n## %d to %d: %s\n", g.first, g.first+groupSize-1, g.title)
+		fmt.Fprintf(&b, "\n## %d to %d: %s\n", g.firstID, g.firstID+groupSize-1, g.title)
 		writeGroup(&b, g)
 	}
 	return b.String()
@@ -119,17 +119,17 @@
 
 func writeGroup(b *strings.Builder, g group) {
 	for _, e := range Catalog {
-		if e.ID < g.first || e.ID >= g.first+groupSize {
+		if e.ID < g.firstID || e.ID >= g.firstID+groupSize {
 			continue
 		}
-		fmt.Fprintf(b, "\n### %d `%s` (%s%s)\n\n", e.ID, e.Name, e.Level, bounded(e))
+		fmt.Fprintf(b, "\n### %d `%s` (%s%s)\n\n", e.ID, e.Name, e.Level, rateText(e))
 		fmt.Fprintf(b, "%s\n\n- Likely cause: %s\n- What to do: %s\n", e.Meaning, e.Cause, e.Action)
 	}
 }
 
-func bounded(e Entry) string {
-	if e.Often {
-		return fmt.Sprintf(", at most %d a second", e.lines())
+func rateText(e Definition) string {
+	if e.RateLimited {
+		return fmt.Sprintf(", at most %d a second", e.maxPerSecond())
 	}
 	return ""
 }
--- a/event/event.go
+++ b/event/event.go
@@ -13,11 +13,11 @@
 	"github.com/rs/zerolog"
 )
 
-// often is how many lines a second an event may write when its entry says that
+// defaultMaxPerSecond is how many lines a second an event may write when its entry says that
 // it comes with requests. During an outage every request is refused; without a
 // bound the log would cost more than the requests. Ten show the pattern, and
 // the count of the others is not lost.
-const often = 10
+const defaultMaxPerSecond = 10
 
 // Log writes numbered events as JSON lines. The nil Log writes nothing, so
 // that parts can be used without one.
@@ -31,10 +31,10 @@
 	// Debug lets events of the lowest level through.
 	Debug bool
 
-	mu      sync.Mutex
-	began   bool
-	out     zerolog.Logger
-	windows map[ID]*window
+	mu          sync.Mutex
+	initialized bool
+	out         zerolog.Logger
+	windows     map[ID]*window
 }
 
 // window counts the lines of one event within the current second.
@@ -49,18 +49,18 @@
 	if l == nil || l.Out == nil {
 		return
 	}
-	e, ok := Find(id)
+	e, ok := Lookup(id)
 	if !ok {
-		e = Entry{ID: id, Name: "unlisted", Level: Error}
+		e = Definition{ID: id, Name: "unlisted", Level: Error}
 	}
 	if e.Level == Debug && !l.Debug {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begin()
+	l.initialize()
 	now := l.now()
-	dropped, ok := l.admit(e, now)
+	dropped, ok := l.allow(e, now)
 	if !ok {
 		return
 	}
@@ -72,16 +72,16 @@
 		line = line.Int64("dropped", dropped)
 	}
 	for _, f := range fields {
-		line = f.add(line)
+		line = f.appendTo(line)
 	}
 	line.Send()
 }
 
-func (l *Log) begin() {
-	if l.began {
+func (l *Log) initialize() {
+	if l.initialized {
 		return
 	}
-	l.began = true
+	l.initialized = true
 	l.out = zerolog.New(l.Out).With().Str("process", l.Process).Logger()
 	l.windows = make(map[ID]*window)
 }
@@ -93,10 +93,10 @@
 	return time.Now()
 }
 
-// admit says whether a line may be written, and how many lines of the event
+// allow says whether a line may be written, and how many lines of the event
 // were dropped since the last one.
-func (l *Log) admit(e Entry, now time.Time) (int64, bool) {
-	if !e.Often {
+func (l *Log) allow(e Definition, now time.Time) (int64, bool) {
+	if !e.RateLimited {
 		return 0, true
 	}
 	w := l.windows[e.ID]
@@ -108,7 +108,7 @@
 		w.second = s
 		w.lines = 0
 	}
-	if w.lines >= e.lines() {
+	if w.lines >= e.maxPerSecond() {
 		w.dropped++
 		return 0, false
 	}
@@ -118,9 +118,9 @@
 	return dropped, true
 }
 
-// maskDigits is the length of a masked id: 48 bits tell the requests of one
+// maskLength is the length of a masked id: 48 bits tell the requests of one
 // log apart, and are short enough to search for by hand.
-const maskDigits = 12
+const maskLength = 12
 
 // Mask turns an id that a caller chose into one that the log may hold. Callers
 // put names and numbers of people into such ids; a plain id in the log would
@@ -131,5 +131,5 @@
 		return ""
 	}
 	sum := sha256.Sum256([]byte(id))
-	return hex.EncodeToString(sum[:])[:maskDigits]
+	return hex.EncodeToString(sum[:])[:maskLength]
 }
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -31,7 +31,7 @@
 	for _, e := range Catalog {
 		assert.Assert(t, e.ID > last, "%d out of order", e.ID)
 		assert.Assert(t, !names[e.Name], "%s twice", e.Name)
-		assert.Assert(t, e.ID >= groups[0].first && e.ID < groups[len(groups)-1].first+groupSize)
+		assert.Assert(t, e.ID >= groups[0].firstID && e.ID < groups[len(groups)-1].firstID+groupSize)
 		for _, text := range []string{e.Name, e.Meaning, e.Cause, e.Action} {
 			assert.Assert(t, text != "", "%d lacks a text", e.ID)
 		}
@@ -56,14 +56,14 @@
 
 // In an outage each request is refused and each refusal wants a line. Operators
 // would find the host busy with its log while the callers wait.
-func TestEmitBounded(t *testing.T) {
+func TestEmitRateLimited(t *testing.T) {
 	var b bytes.Buffer
 	now := time.Unix(100, 0)
 	l := &Log{Out: &b, Now: func() time.Time { return now }}
 	for range 1000 {
 		l.Emit(RequestRefused)
 	}
-	assert.Equal(t, strings.Count(b.String(), "\n"), often)
+	assert.Equal(t, strings.Count(b.String(), "\n"), defaultMaxPerSecond)
 	now = now.Add(time.Second)
 	b.Reset()
 	l.Emit(RequestRefused)
--- a/event/field.go
+++ b/event/field.go
@@ -29,7 +29,7 @@
 	kindErr
 )
 
-func (f Field) add(line *zerolog.Event) *zerolog.Event {
+func (f Field) appendTo(line *zerolog.Event) *zerolog.Event {
 	switch f.kind {
 	case kindInt:
 		return line.Int64(f.key, int64(f.bits))
--- a/fake/caller.go
+++ b/fake/caller.go
@@ -68,7 +68,7 @@
 	Status int
 	// Code of a problem document.
 	Code   string
-	Run    chestnutstep.Run
+	Run    chestnutstep.RunStatus
 	Hint   string
 	Ticket string
 	// Retry is when the caller may come back; 0 when it was not told.
@@ -128,7 +128,7 @@
 	r.Header.Set("Authorization", "Bearer "+c.Key)
 	r.Header.Set(chestnutstep.HeaderProfile, ask.Profile)
 	set(r.Header, chestnutstep.HeaderChat, ask.Chat)
-	set(r.Header, chestnutstep.HeaderIdempotency, ask.ID)
+	set(r.Header, chestnutstep.HeaderIdempotencyKey, ask.ID)
 	set(r.Header, chestnutstep.HeaderTicket, ask.Ticket)
 	set(r.Header, chestnutstep.HeaderHint, ask.Hint)
 	if ask.Timeout > 0 {
@@ -153,7 +153,7 @@
 func heading(w *http.Response) Result {
 	res := Result{
 		Status: w.StatusCode,
-		Run:    chestnutstep.Run(w.Header.Get(chestnutstep.HeaderRun)),
+		Run:    chestnutstep.RunStatus(w.Header.Get(chestnutstep.HeaderRun)),
 		Hint:   w.Header.Get(chestnutstep.HeaderHint),
 		Ticket: w.Header.Get(chestnutstep.HeaderTicket),
 	}
--- a/fake/control.go
+++ b/fake/control.go
@@ -99,8 +99,8 @@
 		http.NotFound(w, r)
 		return
 	}
-	w.Header().Set(chestnutstep.HeaderCached, strconv.Itoa(n))
-	w.Header().Set(chestnutstep.HeaderBoot, boot)
+	w.Header().Set(chestnutstep.HeaderCachedTokens, strconv.Itoa(n))
+	w.Header().Set(chestnutstep.HeaderBootID, boot)
 	w.Header().Set("Content-Length", strconv.Itoa(n*e.KV))
 	page := make([]byte, e.KV)
 	for range n {
@@ -115,7 +115,7 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	tokens, err := strconv.Atoi(r.Header.Get(chestnutstep.HeaderCached))
+	tokens, err := strconv.Atoi(r.Header.Get(chestnutstep.HeaderCachedTokens))
 	if err != nil || int64(tokens*e.KV) != n {
 		http.Error(w, "the body does not hold as many tokens as it says", http.StatusBadRequest)
 		return
@@ -150,9 +150,9 @@
 	if !readJSON(w, r, &v) {
 		return
 	}
-	fence, err := strconv.ParseUint(r.Header.Get(chestnutstep.HeaderFence), 10, 64)
+	fence, err := strconv.ParseUint(r.Header.Get(chestnutstep.HeaderFencingNumber), 10, 64)
 	if err != nil {
-		http.Error(w, chestnutstep.HeaderFence+": want a number", http.StatusBadRequest)
+		http.Error(w, chestnutstep.HeaderFencingNumber+": want a number", http.StatusBadRequest)
 		return
 	}
 	v.Fence = fence
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -139,7 +139,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	f := e.faults.take()
-	w.Header().Set(chestnutstep.HeaderRequest, r.Header.Get(chestnutstep.HeaderRequest))
+	w.Header().Set(chestnutstep.HeaderRequestID, r.Header.Get(chestnutstep.HeaderRequestID))
 	if f.Status != 0 {
 		http.Error(w, "fault", f.Status)
 		return
@@ -187,7 +187,7 @@
 	key := chatKey{r.Header.Get(HeaderWorkspace), r.Header.Get(chestnutstep.HeaderChat)}
 	cached := e.cache.hit(key, ask.Prompt)
 	s := &stream{
-		request:  r.Header.Get(chestnutstep.HeaderRequest),
+		request:  r.Header.Get(chestnutstep.HeaderRequestID),
 		key:      key,
 		seed:     Seed(key.chat, body),
 		prompt:   ask.Prompt,
@@ -206,7 +206,7 @@
 		s.seed++
 	}
 	s.log = e.Journal.start(Execution{
-		Request:   r.Header.Get(chestnutstep.HeaderRequest),
+		Request:   r.Header.Get(chestnutstep.HeaderRequestID),
 		Workspace: key.workspace,
 		Chat:      key.chat,
 		Path:      r.URL.Path,
@@ -312,9 +312,9 @@
 
 func (s *stream) head(h http.Header) {
 	h.Set("Content-Type", "text/event-stream")
-	h.Set(chestnutstep.HeaderRequest, s.request)
-	h.Set(chestnutstep.HeaderBoot, s.boot)
-	h.Set(chestnutstep.HeaderCached, strconv.Itoa(s.cached))
+	h.Set(chestnutstep.HeaderRequestID, s.request)
+	h.Set(chestnutstep.HeaderBootID, s.boot)
+	h.Set(chestnutstep.HeaderCachedTokens, strconv.Itoa(s.cached))
 }
 
 // resumePath continues a stream; its connection is not closed again by the
--- a/fake/service.go
+++ b/fake/service.go
@@ -103,12 +103,12 @@
 	}
 	boot, down := s.up()
 	f := s.faults.take()
-	id := r.Header.Get(chestnutstep.HeaderRequest)
+	id := r.Header.Get(chestnutstep.HeaderRequestID)
 	if f.Crossed {
 		id += "-other"
 	}
-	w.Header().Set(chestnutstep.HeaderRequest, id)
-	w.Header().Set(chestnutstep.HeaderBoot, boot)
+	w.Header().Set(chestnutstep.HeaderRequestID, id)
+	w.Header().Set(chestnutstep.HeaderBootID, boot)
 	if f.Status != 0 {
 		http.Error(w, "fault", f.Status)
 		return
@@ -127,7 +127,7 @@
 	s.running++
 	s.mu.Unlock()
 	return s.Journal.start(Execution{
-		Request:   r.Header.Get(chestnutstep.HeaderRequest),
+		Request:   r.Header.Get(chestnutstep.HeaderRequestID),
 		Workspace: r.Header.Get(HeaderWorkspace),
 		Chat:      r.Header.Get(chestnutstep.HeaderChat),
 		Path:      r.URL.Path,
@@ -195,8 +195,8 @@
 func (s *Service) getSlots(w http.ResponseWriter, r *http.Request) {
 	boot, down := s.up()
 	f := s.faults.take()
-	w.Header().Set(chestnutstep.HeaderRequest, r.Header.Get(chestnutstep.HeaderRequest))
-	w.Header().Set(chestnutstep.HeaderBoot, boot)
+	w.Header().Set(chestnutstep.HeaderRequestID, r.Header.Get(chestnutstep.HeaderRequestID))
+	w.Header().Set(chestnutstep.HeaderBootID, boot)
 	if f.Status != 0 {
 		http.Error(w, "fault", f.Status)
 		return
--- a/fake/sizes.go
+++ b/fake/sizes.go
@@ -21,7 +21,7 @@
 func (s Size) Publication(version uint64) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Version: version,
-		Budget:  chestnutstep.Budget{Reads: 200, Loads: 2, Retries: 0.1, Export: 100 << 20},
+		Budget:  chestnutstep.Budget{ReadRate: 200, LoadRate: 2, RetryRatio: 0.1, ExportRate: 100 << 20},
 	}
 	s.addPlaces(p)
 	s.addModels(p)
@@ -39,7 +39,7 @@
 		})
 	}
 	for i := range s.Entries {
-		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: fmt.Sprintf("door-%d", i), Domain: s.domain(i), Entry: true})
+		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: fmt.Sprintf("door-%d", i), Domain: s.domain(i), HasEntry: true})
 	}
 	for i := range s.Targets {
 		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: fmt.Sprintf("host-%d", i), Domain: s.domain(i)})
@@ -50,12 +50,12 @@
 	for i := range s.Models {
 		name := fmt.Sprintf("model-%d", i)
 		p.Models = append(p.Models, chestnutstep.Model{
-			Name: name, Kind: chestnutstep.KindEngine, Multiple: 1.25, Floor: 4, Slots: 32, Queue: 64,
-			Cold: 4, Warm: 8, Prefill: 8000, Cache: 32 << 10,
+			Name: name, Kind: chestnutstep.KindEngine, Multiple: 1.25, Floor: 4, Slots: 32, QueueLimit: 64,
+			ColdCap: 4, WarmupAnswers: 8, PrefillRate: 8000, CacheBytesPerToken: 32 << 10,
 		})
 		p.Profiles = append(p.Profiles, chestnutstep.Profile{
 			Name: "use-" + name, Model: name, Class: "normal", Timeout: chestnutstep.Duration(time.Minute),
-			Patience: chestnutstep.Duration(time.Second), Tries: 3, Tokens: 216, Body: 1 << 20,
+			Patience: chestnutstep.Duration(time.Second), MaxAttempts: 3, ExpectedTokens: 216, MaxBodyBytes: 1 << 20,
 		})
 	}
 }
--- a/fake/target_test.go
+++ b/fake/target_test.go
@@ -96,7 +96,7 @@
 	ctx, cancel := context.WithCancel(b.t.Context())
 	r, err := http.NewRequestWithContext(ctx, d.CmdArgs[1].Key, b.srv.URL+d.CmdArgs[2].Key, strings.NewReader(d.Input))
 	assert.NilError(b.t, err)
-	r.Header.Set(chestnutstep.HeaderRequest, name)
+	r.Header.Set(chestnutstep.HeaderRequestID, name)
 	r.Header.Set(HeaderWorkspace, "desk")
 	for _, a := range d.CmdArgs[3:] {
 		r.Header.Set(a.Key, a.Vals[0])
@@ -117,7 +117,7 @@
 	}
 	defer w.Body.Close()
 	raw, err := io.ReadAll(w.Body)
-	out := fmt.Sprintf("%d for %s by %s", w.StatusCode, w.Header.Get(chestnutstep.HeaderRequest), b.boot(w.Header.Get(chestnutstep.HeaderBoot)))
+	out := fmt.Sprintf("%d for %s by %s", w.StatusCode, w.Header.Get(chestnutstep.HeaderRequestID), b.boot(w.Header.Get(chestnutstep.HeaderBootID)))
 	if w.Header.Get("Content-Type") != "text/event-stream" {
 		return fmt.Sprintf("%s: %s\n", out, strings.TrimSpace(string(raw)))
 	}
@@ -125,7 +125,7 @@
 	d.MaybeScanArgs(b.t, chestnutstep.HeaderChat, &chat)
 	c := Checker{Seed: Seed(chat, []byte(d.Input))}
 	_, foreign := c.Write(raw)
-	return fmt.Sprintf("%s, %s cached: %s\n", out, w.Header.Get(chestnutstep.HeaderCached), verdict(&c, foreign, err))
+	return fmt.Sprintf("%s, %s cached: %s\n", out, w.Header.Get(chestnutstep.HeaderCachedTokens), verdict(&c, foreign, err))
 }
 
 func verdict(c *Checker, foreign, err error) string {
--- a/feed/ask.go
+++ b/feed/ask.go
@@ -80,7 +80,7 @@
 	}
 	u := url.URL{Scheme: "http", Host: m.Feed.String(), Path: Path, RawQuery: values.Encode()}
 	a, err := fetch.Get(ctx, s.client, u.String(), fetch.Limits{First: q.wait + pace.Slack, Idle: idleLimit, Most: pageMost})
-	b.First, b.Bytes = a.First, len(a.Body)
+	b.TimeToFirstByte, b.Bytes = a.First, len(a.Body)
 	if err != nil {
 		return b, err
 	}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -131,7 +131,7 @@
 	pace, gate, pauses := feed.NewPace(bound), &feed.Gate{}, &watch.Pauses{}
 	for topic := range chestnutstep.TopicCount {
 		source := &feed.Source{
-			Topic: topic, Source: store.Topic(topic), Decoder: store, Dial: dial, Self: feed.Member{ID: e.id},
+			Topic: topic, Source: store.TopicSource(topic), Decoder: store, Dial: dial, Self: feed.Member{ID: e.id},
 			Members:  func() []feed.Member { return f.others(e) },
 			Pace:     func() feed.Pace { return pace },
 			Empty:    func() bool { return !e.roster.Listed(topic) },
--- a/feed/page.go
+++ b/feed/page.go
@@ -93,7 +93,7 @@
 
 func parseRequest(q url.Values) (r request, err error) {
 	var ok bool
-	if r.topic, ok = chestnutstep.TopicNamed(q.Get("topic")); !ok {
+	if r.topic, ok = chestnutstep.ParseTopic(q.Get("topic")); !ok {
 		return r, errors.Newf("topic: %q is not known", q.Get("topic"))
 	}
 	if r.after, err = strconv.ParseUint(q.Get("after"), 10, 64); err != nil {
@@ -172,7 +172,7 @@
 	h := w.Header()
 	h["Date"] = nil // saves bytes: followers ask all the time
 	h.Set(headerAge, strconv.FormatInt(age.Milliseconds()+1, 10))
-	h.Set(headerSettle, strconv.FormatInt(b.Settle.Milliseconds(), 10))
+	h.Set(headerSettle, strconv.FormatInt(b.SettleTime.Milliseconds(), 10))
 	h.Set(headerRevision, strconv.FormatUint(b.Revision, 10))
 	if encoded.packed {
 		h.Set(headerPacked, "1")
@@ -194,7 +194,7 @@
 	}
 	list := make([]published, 0, len(b.Facts))
 	for _, f := range b.Facts {
-		list = append(list, published{Kind: uint8(f.Kind), Name: f.Name, Revision: f.Revision, Gone: f.Gone, Raw: f.Raw})
+		list = append(list, published{Kind: uint8(f.Kind), Name: f.Name, Revision: f.Revision, Gone: f.Deleted, Raw: f.Raw})
 	}
 	raw, err := cbor.Marshal(list)
 	if err != nil {
@@ -256,11 +256,11 @@
 
 // fill decodes the facts of a page into a batch.
 func (p *page) fill(b *chestnutstep.Batch, d chestnutstep.Decoder) {
-	b.Revision, b.Age, b.Settle = p.revision, p.age, p.settle
+	b.Revision, b.Age, b.SettleTime = p.revision, p.age, p.settle
 	for _, x := range p.facts {
 		kind := chestnutstep.FactKind(x.Kind)
 		if x.Gone {
-			b.Facts = append(b.Facts, chestnutstep.Fact{Kind: kind, Name: x.Name, Revision: x.Revision, Gone: true})
+			b.Facts = append(b.Facts, chestnutstep.Fact{Kind: kind, Name: x.Name, Revision: x.Revision, Deleted: true})
 			continue
 		}
 		b.Facts = append(b.Facts, d.Decode(kind, x.Name, x.Revision, x.Raw))
--- a/feed/page_test.go
+++ b/feed/page_test.go
@@ -57,7 +57,7 @@
 	s.Roster.Lose(chestnutstep.TopicTargets)
 	assert.Equal(t, <-answered, http.StatusServiceUnavailable)
 	assert.Equal(t, askTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusServiceUnavailable)
-	news := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: "i-a", Revision: 4, Gone: true}
+	news := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: "i-a", Revision: 4, Deleted: true}
 	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 4, Facts: []chestnutstep.Fact{news}}, false)
 	s.Roster.Lose(chestnutstep.TopicTargets)
 	assert.Equal(t, askTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusOK, "news are given all the same")
--- a/feed/source.go
+++ b/feed/source.go
@@ -215,5 +215,5 @@
 
 func isGap(err error) bool {
 	var e chestnutstep.ErrSource
-	return errors.As(err, &e) && e.Gap
+	return errors.As(err, &e) && e.Compacted
 }
--- a/feed/source_test.go
+++ b/feed/source_test.go
@@ -26,7 +26,7 @@
 }
 
 func (forgetful) Watch(context.Context, uint64, time.Duration) (chestnutstep.Batch, error) {
-	return chestnutstep.Batch{}, chestnutstep.ErrSource{Status: 410, Gap: true}
+	return chestnutstep.Batch{}, chestnutstep.ErrSource{Status: 410, Compacted: true}
 }
 
 // followerOf returns the ID of an entry that reads the source neither itself nor first.
@@ -45,7 +45,7 @@
 	var members []feed.Member
 	for i := range 2 {
 		r := &roster.Roster{}
-		out := chestnutstep.Fact{Kind: chestnutstep.FactOut, Name: "z", Revision: 3}
+		out := chestnutstep.Fact{Kind: chestnutstep.FactDomainOut, Name: "z", Revision: 3}
 		r.Learn(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 3, Facts: []chestnutstep.Fact{out}}, true)
 		r.Prove(chestnutstep.TopicRouting, clock.Now().Add(-time.Minute))
 		server := httptest.NewServer(&feed.Server{Roster: r})
@@ -65,7 +65,7 @@
 	}
 	_, err := s.Watch(context.Background(), 3, time.Millisecond)
 	var gap chestnutstep.ErrSource
-	assert.Assert(t, errors.As(err, &gap) && gap.Gap, "%v", err)
+	assert.Assert(t, errors.As(err, &gap) && gap.Compacted, "%v", err)
 	b, err := s.List(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, b.Revision, uint64(9))
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -39,11 +39,11 @@
 func (f *Fleet) first() *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Models: []chestnutstep.Model{
-			{Name: ModelChat, Kind: chestnutstep.KindEngine, Multiple: 1.5, Floor: 4, Slots: 32, Queue: 64, Cold: 4, Warm: 8, Done: "event: done", Prefill: 20000, Cache: 64},
-			{Name: ModelBook, Kind: chestnutstep.KindService, Multiple: 2, Floor: 8, Slots: 64, Queue: 64, Cold: 8},
+			{Name: ModelChat, Kind: chestnutstep.KindEngine, Multiple: 1.5, Floor: 4, Slots: 32, QueueLimit: 64, ColdCap: 4, WarmupAnswers: 8, DoneMarker: "event: done", PrefillRate: 20000, CacheBytesPerToken: 64},
+			{Name: ModelBook, Kind: chestnutstep.KindService, Multiple: 2, Floor: 8, Slots: 64, QueueLimit: 64, ColdCap: 8},
 		},
 		Profiles: profiles(),
-		Budget:   chestnutstep.Budget{Reads: 100, Loads: 1, Retries: 0.1, Export: 10 << 20},
+		Budget:   chestnutstep.Budget{ReadRate: 100, LoadRate: 1, RetryRatio: 0.1, ExportRate: 10 << 20},
 	}
 	for i := range f.Domains {
 		p.Domains = append(p.Domains, chestnutstep.Domain{Name: domain(i), Region: region})
@@ -55,7 +55,7 @@
 		})
 	}
 	for _, d := range f.Doors {
-		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: "host-" + d.Name, Domain: d.Domain, Entry: true})
+		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: "host-" + d.Name, Domain: d.Domain, HasEntry: true})
 	}
 	for _, name := range []string{"darkroom", "prairie", "archive"} {
 		sum := sha256.Sum256([]byte(Keys[name]))
@@ -80,10 +80,10 @@
 	const body = 1 << 20
 	second := chestnutstep.Duration(time.Second)
 	return []chestnutstep.Profile{
-		{Name: ProfileChat, Model: ModelChat, Class: "normal", Timeout: 60 * second, Patience: second / 2, Tries: 3, Tokens: 100, Body: body},
-		{Name: ProfileQuick, Model: ModelChat, Class: "urgent", Timeout: 10 * second, Patience: second / 5, Tries: 3, Tokens: 20, Body: body},
-		{Name: ProfileBook, Model: ModelBook, Class: "urgent", Timeout: 60 * second, Tries: 2, Once: true, Tokens: 1, Body: body},
-		{Name: ProfileSlots, Model: ModelBook, Class: "urgent", Timeout: 10 * second, Tries: 2, Tokens: 1, Body: body},
+		{Name: ProfileChat, Model: ModelChat, Class: "normal", Timeout: 60 * second, Patience: second / 2, MaxAttempts: 3, ExpectedTokens: 100, MaxBodyBytes: body},
+		{Name: ProfileQuick, Model: ModelChat, Class: "urgent", Timeout: 10 * second, Patience: second / 5, MaxAttempts: 3, ExpectedTokens: 20, MaxBodyBytes: body},
+		{Name: ProfileBook, Model: ModelBook, Class: "urgent", Timeout: 60 * second, MaxAttempts: 2, RequiresTicket: true, ExpectedTokens: 1, MaxBodyBytes: body},
+		{Name: ProfileSlots, Model: ModelBook, Class: "urgent", Timeout: 10 * second, MaxAttempts: 2, ExpectedTokens: 1, MaxBodyBytes: body},
 	}
 }
 
--- a/gate/alone.go
+++ b/gate/alone.go
@@ -101,10 +101,10 @@
 	if len(g.running) == 0 {
 		g.turn.take(now, w.ID)
 		g.start(now, w)
-		return chestnutstep.Decision{Verdict: chestnutstep.Accept}
+		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}
 	}
 	g.turn.waits, g.turn.since = &w, now
-	return chestnutstep.Decision{Verdict: chestnutstep.Queue, Wait: min(drainMost, g.pace.Mean())}
+	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: min(drainMost, g.pace.Mean())}
 }
 
 // startAlone starts the suspect once the target is empty.
--- a/gate/example_test.go
+++ b/gate/example_test.go
@@ -13,15 +13,15 @@
 func ExampleGate() {
 	now := time.Unix(0, 0)
 	g := &gate.Gate{}
-	g.Limit(now, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 1, Queue: 4}})
+	g.SetLimits(now, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 1, QueueLimit: 4}})
 	work := func(id string, home bool) chestnutstep.Work {
-		return chestnutstep.Work{ID: id, Home: home, Patience: now.Add(time.Second), Deadline: now.Add(time.Minute)}
+		return chestnutstep.Work{ID: id, HasCachedPrefix: home, WaitUntil: now.Add(time.Second), Deadline: now.Add(time.Minute)}
 	}
-	fmt.Println(g.Offer(now, work("a", false)).Verdict == chestnutstep.Accept)
+	fmt.Println(g.Offer(now, work("a", false)).Verdict == chestnutstep.VerdictAccept)
 	fmt.Println(g.Offer(now, work("b", false)).Reason)
-	fmt.Println(g.Offer(now, work("c", true)).Verdict == chestnutstep.Queue)
-	g.End(now, "a", chestnutstep.Served)
-	fmt.Println(g.Next(now).Start)
+	fmt.Println(g.Offer(now, work("c", true)).Verdict == chestnutstep.VerdictQueue)
+	g.End(now, "a", chestnutstep.OutcomeServed)
+	fmt.Println(g.AdvanceQueue(now).Started)
 	// Output:
 	// true
 	// full
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -32,8 +32,8 @@
 
 	running map[string]*run
 	// seen is when a class was last offered.
-	seen    [chestnutstep.Classes]time.Time
-	dropped []chestnutstep.Dropped
+	seen    [chestnutstep.ClassCount]time.Time
+	dropped []chestnutstep.DroppedRequest
 }
 
 // run is one running request.
@@ -45,32 +45,32 @@
 
 var _ chestnutstep.Gate = (*Gate)(nil)
 
-// Limit puts the limits of a publication in force. Lower caps cut nothing that
+// SetLimits puts the limits of a publication in force. Lower caps cut nothing that
 // runs: nothing new starts until what runs has come under them.
-func (g *Gate) Limit(now time.Time, l chestnutstep.Limits) {
+func (g *Gate) SetLimits(now time.Time, l chestnutstep.Limits) {
 	g.limits, g.limited = l, true
 	g.cap.Multiple = l.Model.Multiple
 	g.cap.Floor = l.Model.Floor
 	g.cap.Slots = l.Model.Slots
 	g.cap.Weight = l.Weight
-	g.cap.Single = l.Single
-	g.cold.Start = l.Model.Cold
-	g.cold.Warm = l.Model.Warm
+	g.cap.Single = l.IsOnlyTarget
+	g.cold.Start = l.Model.ColdCap
+	g.cold.Warm = l.Model.WarmupAnswers
 	g.cold.Slots = l.Model.Slots
-	g.queue.Bound = l.Model.Queue
+	g.queue.Bound = l.Model.QueueLimit
 	g.queue.Weights = l.Workspaces
 	g.shift(now)
 }
 
-// Measure takes a new estimate of the mean load.
-func (g *Gate) Measure(now time.Time, m chestnutstep.Mean) { g.cap.Measure(now, m) }
+// SetMean takes a new estimate of the mean load.
+func (g *Gate) SetMean(now time.Time, m chestnutstep.Mean) { g.cap.Measure(now, m) }
 
-// Chill says that the target is cold. What runs is left to end as it may;
+// MarkCold says that the target is cold. What runs is left to end as it may;
 // nothing starts until it is under the cold cap.
-func (g *Gate) Chill(time.Time) { g.cold.Chill() }
+func (g *Gate) MarkCold(time.Time) { g.cold.Chill() }
 
-// Leave says whether the target takes no new work from now on.
-func (g *Gate) Leave(now time.Time, leaving bool) {
+// SetLeaving says whether the target takes no new work from now on.
+func (g *Gate) SetLeaving(now time.Time, leaving bool) {
 	g.leaving = leaving
 	g.shift(now)
 }
@@ -97,11 +97,11 @@
 	g.pace.Measure(now.Sub(r.since), r.work.Cost)
 	g.turn.end(now, id)
 	switch o {
-	case chestnutstep.Served:
+	case chestnutstep.OutcomeServed:
 		g.cold.Serve(r.era)
-	case chestnutstep.Failed:
+	case chestnutstep.OutcomeFailed:
 		g.cold.Fail(r.era)
-	case chestnutstep.Withdraw:
+	case chestnutstep.OutcomeAbandoned:
 		// A caller that gave up proves nothing about the target.
 	}
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -51,9 +51,9 @@
 func play(t *testing.T, g *Gate, now time.Time, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "gate", "limit":
-		g.Limit(now, scriptLimits(t, d))
+		g.SetLimits(now, scriptLimits(t, d))
 	case "mean":
-		g.Measure(now, chestnutstep.Mean{
+		g.SetMean(now, chestnutstep.Mean{
 			Load:    scan(t, d, "load", 0.0),
 			Targets: scan(t, d, "targets", 8),
 			Age:     scanTime(t, d, "age", 0),
@@ -66,16 +66,16 @@
 		for _, id := range strings.Fields(d.Input) {
 			g.End(now, id, scriptOutcome(t, d))
 		}
-		return describe(g.Next(now))
+		return describe(g.AdvanceQueue(now))
 	case "next":
-		return describe(g.Next(now))
+		return describe(g.AdvanceQueue(now))
 	case "chill":
-		g.Chill(now)
+		g.MarkCold(now)
 	case "leave":
-		g.Leave(now, true)
-		return describe(g.Next(now))
+		g.SetLeaving(now, true)
+		return describe(g.AdvanceQueue(now))
 	case "return":
-		g.Leave(now, false)
+		g.SetLeaving(now, false)
 	}
 	return fmt.Sprintf("%+v\n", g.Load(now))
 }
@@ -85,14 +85,14 @@
 	l.Model.Multiple = scan(t, d, "multiple", 0.0)
 	l.Model.Floor = scan(t, d, "floor", 1)
 	l.Model.Slots = scan(t, d, "slots", 4)
-	l.Model.Queue = scan(t, d, "queue", 8)
-	l.Model.Cold = scan(t, d, "cold", l.Model.Slots)
+	l.Model.QueueLimit = scan(t, d, "queue", 8)
+	l.Model.ColdCap = scan(t, d, "cold", l.Model.Slots)
 	l.Workspaces = map[string]float64{"big": scan(t, d, "big", 1.0)}
 	return l
 }
 
 func scriptOutcome(t *testing.T, d *datadriven.TestData) chestnutstep.Outcome {
-	outcomes := map[string]chestnutstep.Outcome{"failed": chestnutstep.Failed, "withdraw": chestnutstep.Withdraw}
+	outcomes := map[string]chestnutstep.Outcome{"failed": chestnutstep.OutcomeFailed, "withdraw": chestnutstep.OutcomeAbandoned}
 	return outcomes[scan(t, d, "as", "served")]
 }
 
@@ -101,14 +101,14 @@
 	var out strings.Builder
 	for _, id := range strings.Fields(d.Input) {
 		w := chestnutstep.Work{
-			ID:        id,
-			Workspace: scan(t, d, "ws", "small"),
-			Class:     chestnutstep.Class(scan(t, d, "class", 1)),
-			Cost:      scan(t, d, "cost", 100.0),
-			Deadline:  now.Add(scanTime(t, d, "limit", 60)),
-			Patience:  now.Add(scanTime(t, d, "patience", 0)),
-			Home:      d.HasArg("home"),
-			Alone:     d.HasArg("alone"),
+			ID:              id,
+			Workspace:       scan(t, d, "ws", "small"),
+			Class:           chestnutstep.Class(scan(t, d, "class", 1)),
+			Cost:            scan(t, d, "cost", 100.0),
+			Deadline:        now.Add(scanTime(t, d, "limit", 60)),
+			WaitUntil:       now.Add(scanTime(t, d, "patience", 0)),
+			HasCachedPrefix: d.HasArg("home"),
+			Exclusive:       d.HasArg("alone"),
 		}
 		fmt.Fprintf(&out, "%s: %s\n", id, describeDecision(g.Offer(now, w)))
 	}
@@ -125,24 +125,24 @@
 			out += fmt.Sprint(i, " ", answer)
 		}
 		last = answer
-		g.End(now, strings.TrimSpace(d.Input), chestnutstep.Served)
+		g.End(now, strings.TrimSpace(d.Input), chestnutstep.OutcomeServed)
 	}
 	return out
 }
 
 func describeDecision(d chestnutstep.Decision) string {
 	switch d.Verdict {
-	case chestnutstep.Accept:
+	case chestnutstep.VerdictAccept:
 		return "accept"
-	case chestnutstep.Queue:
-		return "wait " + d.Wait.Round(time.Millisecond).String()
+	case chestnutstep.VerdictQueue:
+		return "wait " + d.PredictedWait.Round(time.Millisecond).String()
 	}
-	return fmt.Sprintf("%s, retry %v", d.Reason, d.Retry.Round(time.Millisecond))
+	return fmt.Sprintf("%s, retry %v", d.Reason, d.RetryAfter.Round(time.Millisecond))
 }
 
-func describe(n chestnutstep.Next) string {
-	out := fmt.Sprintf("start %v\n", n.Start)
-	for _, x := range n.Drop {
+func describe(n chestnutstep.QueueUpdate) string {
+	out := fmt.Sprintf("start %v\n", n.Started)
+	for _, x := range n.Dropped {
 		out += fmt.Sprintf("drop %s: %s\n", x.ID, describeDecision(x.Decision))
 	}
 	return out
@@ -168,7 +168,7 @@
 	m.running[id] = w
 	assert.Assert(m.t, len(m.running) <= m.limit, "%d run, cap %d", len(m.running), m.limit)
 	for _, o := range m.running {
-		assert.Assert(m.t, !o.Alone || len(m.running) == 1, "something runs beside a suspect")
+		assert.Assert(m.t, !o.Exclusive || len(m.running) == 1, "something runs beside a suspect")
 	}
 }
 
@@ -177,14 +177,14 @@
 	if m.g.ramp.Away() {
 		m.limit, _ = m.g.limit(m.now)
 	}
-	n := m.g.Next(m.now)
-	for _, id := range n.Start {
+	n := m.g.AdvanceQueue(m.now)
+	for _, id := range n.Started {
 		w, ok := m.waiting[id]
 		assert.Assert(m.t, ok, "%s started but did not wait", id)
 		delete(m.waiting, id)
 		m.start(id, w)
 	}
-	for _, x := range n.Drop {
+	for _, x := range n.Dropped {
 		_, ok := m.waiting[x.ID]
 		assert.Assert(m.t, ok, "%s dropped but did not wait", x.ID)
 		delete(m.waiting, x.ID)
@@ -193,24 +193,24 @@
 
 func (m *model) offer(t *rapid.T) {
 	w := chestnutstep.Work{
-		ID:        fmt.Sprint("r", m.next),
-		Workspace: rapid.SampledFrom([]string{"big", "small", "third"}).Draw(t, "workspace"),
-		Class:     chestnutstep.Class(rapid.IntRange(0, 4).Draw(t, "class")),
-		Cost:      rapid.Float64Range(-1, 30000).Draw(t, "cost"),
-		Home:      rapid.Bool().Draw(t, "home"),
-		Alone:     rapid.IntRange(0, 9).Draw(t, "alone") == 0,
+		ID:              fmt.Sprint("r", m.next),
+		Workspace:       rapid.SampledFrom([]string{"big", "small", "third"}).Draw(t, "workspace"),
+		Class:           chestnutstep.Class(rapid.IntRange(0, 4).Draw(t, "class")),
+		Cost:            rapid.Float64Range(-1, 30000).Draw(t, "cost"),
+		HasCachedPrefix: rapid.Bool().Draw(t, "home"),
+		Exclusive:       rapid.IntRange(0, 9).Draw(t, "alone") == 0,
 	}
 	m.next++
 	w.Deadline = m.now.Add(time.Duration(rapid.IntRange(-1, 60).Draw(t, "limit")) * time.Second)
-	w.Patience = m.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "patience")) * time.Second)
+	w.WaitUntil = m.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "patience")) * time.Second)
 	m.limit = m.g.Load(m.now).Cap
 	switch d := m.g.Offer(m.now, w); d.Verdict {
-	case chestnutstep.Accept:
+	case chestnutstep.VerdictAccept:
 		m.start(w.ID, w)
-	case chestnutstep.Queue:
+	case chestnutstep.VerdictQueue:
 		m.waiting[w.ID] = w
-	case chestnutstep.Refuse:
-		assert.Assert(t, d.Reason != "" && d.Retry >= soonest, "%+v", d)
+	case chestnutstep.VerdictRefuse:
+		assert.Assert(t, d.Reason != "" && d.RetryAfter >= soonest, "%+v", d)
 		full := d.Reason == chestnutstep.ReasonFull || d.Reason == chestnutstep.ReasonCold
 		assert.Assert(t, !full || w.Class > 0 || len(m.running) >= m.limit || len(m.waiting) > 0, "refused with room to spare")
 	}
@@ -228,7 +228,7 @@
 }
 
 func (m *model) measure(t *rapid.T) {
-	m.g.Measure(m.now, chestnutstep.Mean{
+	m.g.SetMean(m.now, chestnutstep.Mean{
 		Load:    rapid.Float64Range(0, 20).Draw(t, "load"),
 		Targets: rapid.IntRange(0, 9).Draw(t, "targets"),
 	})
@@ -237,10 +237,10 @@
 func (m *model) relimit(t *rapid.T) {
 	m.limits.Model.Multiple = rapid.SampledFrom([]float64{0, 1.1, 1.25, 2}).Draw(t, "multiple")
 	m.limits.Model.Slots = rapid.IntRange(1, 20).Draw(t, "slots")
-	m.limits.Model.Queue = rapid.IntRange(0, 6).Draw(t, "queue")
-	m.limits.Model.Cold = rapid.IntRange(0, 3).Draw(t, "cold")
+	m.limits.Model.QueueLimit = rapid.IntRange(0, 6).Draw(t, "queue")
+	m.limits.Model.ColdCap = rapid.IntRange(0, 3).Draw(t, "cold")
 	m.limits.Out = rapid.IntRange(0, 9).Draw(t, "out") == 0
-	m.g.Limit(m.now, m.limits)
+	m.g.SetLimits(m.now, m.limits)
 }
 
 func (m *model) check(t *rapid.T) {
@@ -271,8 +271,8 @@
 			"end":     step(m.end),
 			"measure": step(m.measure),
 			"limit":   step(m.relimit),
-			"chill":   step(func(*rapid.T) { m.g.Chill(m.now) }),
-			"leave":   step(func(t *rapid.T) { m.g.Leave(m.now, rapid.Bool().Draw(t, "leaving")) }),
+			"chill":   step(func(*rapid.T) { m.g.MarkCold(m.now) }),
+			"leave":   step(func(t *rapid.T) { m.g.SetLeaving(m.now, rapid.Bool().Draw(t, "leaving")) }),
 			"tick": step(func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * time.Millisecond)
 			}),
@@ -285,18 +285,18 @@
 // see a service that is down while it serves at full capacity.
 func TestRefusedCallersDoNotReturnAsOneWave(t *testing.T) {
 	g := &Gate{}
-	g.Limit(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 1, Cold: 1}})
+	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 1, ColdCap: 1}})
 	first := chestnutstep.Work{ID: "first", Cost: 1, Deadline: epoch.Add(time.Minute)}
 	g.Offer(epoch, first)
-	g.End(epoch.Add(2*time.Second), "first", chestnutstep.Served)
+	g.End(epoch.Add(2*time.Second), "first", chestnutstep.OutcomeServed)
 	g.Offer(epoch, first)
 	const callers, buckets = 1000, 10
 	var back [2 * buckets]int
 	for i := range callers {
 		d := g.Offer(epoch, chestnutstep.Work{ID: fmt.Sprint("c", i), Deadline: epoch.Add(time.Minute)})
 		assert.Equal(t, d.Reason, chestnutstep.ReasonFull)
-		assert.Assert(t, d.Retry >= 2*time.Second && d.Retry < 4*time.Second, "%v", d.Retry)
-		back[d.Retry*buckets/(2*time.Second)]++
+		assert.Assert(t, d.RetryAfter >= 2*time.Second && d.RetryAfter < 4*time.Second, "%v", d.RetryAfter)
+		back[d.RetryAfter*buckets/(2*time.Second)]++
 	}
 	for _, n := range back[buckets:] {
 		assert.Assert(t, n < callers/buckets*3/2, "%d of %d come back together", n, callers)
@@ -308,24 +308,24 @@
 // all others would find the target closed although it never crashes.
 func TestSuspectsTakeATenthAtMost(t *testing.T) {
 	g := &Gate{}
-	g.Limit(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 4, Cold: 4}})
+	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 4, ColdCap: 4}})
 	const seconds = 3000
 	ends := map[int][]string{}
 	closed := 0
 	for s := range seconds {
 		now := epoch.Add(time.Duration(s) * time.Second)
 		for _, id := range ends[s] {
-			g.End(now, id, chestnutstep.Served)
+			g.End(now, id, chestnutstep.OutcomeServed)
 		}
-		for _, id := range g.Next(now).Start {
+		for _, id := range g.AdvanceQueue(now).Started {
 			ends[s+5] = append(ends[s+5], id)
 		}
-		suspect := chestnutstep.Work{ID: fmt.Sprint("s", s), Alone: true, Deadline: now.Add(time.Minute)}
-		if g.Offer(now, suspect).Verdict == chestnutstep.Accept {
+		suspect := chestnutstep.Work{ID: fmt.Sprint("s", s), Exclusive: true, Deadline: now.Add(time.Minute)}
+		if g.Offer(now, suspect).Verdict == chestnutstep.VerdictAccept {
 			ends[s+5] = append(ends[s+5], suspect.ID)
 		}
 		work := chestnutstep.Work{ID: fmt.Sprint("w", s), Deadline: now.Add(time.Minute)}
-		if g.Offer(now, work).Verdict == chestnutstep.Accept {
+		if g.Offer(now, work).Verdict == chestnutstep.VerdictAccept {
 			ends[s+3] = append(ends[s+3], work.ID)
 		} else {
 			closed++
@@ -354,11 +354,11 @@
 // busyGate has work of twenty workspaces in its 64 slots and in its queue.
 func busyGate(running, waiting int) *Gate {
 	g := &Gate{}
-	g.Limit(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 64, Cold: 64, Queue: 2 * waiting}})
+	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 64, ColdCap: 64, QueueLimit: 2 * waiting}})
 	for i := range running + waiting {
 		g.Offer(epoch, chestnutstep.Work{
 			ID: fmt.Sprint("w", i), Workspace: fmt.Sprint("ws", i%20), Cost: 100,
-			Deadline: epoch.Add(time.Hour), Patience: epoch.Add(time.Hour),
+			Deadline: epoch.Add(time.Hour), WaitUntil: epoch.Add(time.Hour),
 		})
 	}
 	return g
@@ -371,12 +371,12 @@
 	}{{"accept", 63, 0}, {"wait=256", 64, 256}} {
 		b.Run(c.name, func(b *testing.B) {
 			g := busyGate(c.running, c.waiting)
-			w := chestnutstep.Work{ID: "one", Cost: 100, Deadline: epoch.Add(time.Hour), Patience: epoch.Add(time.Hour)}
+			w := chestnutstep.Work{ID: "one", Cost: 100, Deadline: epoch.Add(time.Hour), WaitUntil: epoch.Add(time.Hour)}
 			b.ReportAllocs()
 			for range b.N {
 				g.Offer(epoch, w)
-				g.End(epoch, w.ID, chestnutstep.Served)
-				g.Next(epoch)
+				g.End(epoch, w.ID, chestnutstep.OutcomeServed)
+				g.AdvanceQueue(epoch)
 			}
 		})
 	}
--- a/gate/next.go
+++ b/gate/next.go
@@ -6,13 +6,13 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Next returns what became of waiting work. First goes what may wait no
+// AdvanceQueue returns what became of waiting work. First goes what may wait no
 // longer, so that nothing starts whose caller has given up.
-func (g *Gate) Next(now time.Time) chestnutstep.Next {
+func (g *Gate) AdvanceQueue(now time.Time) chestnutstep.QueueUpdate {
 	g.expire(now)
 	g.shed(now)
-	n := chestnutstep.Next{Start: g.starts(now)}
-	n.Drop, g.dropped = g.dropped, nil
+	n := chestnutstep.QueueUpdate{Started: g.starts(now)}
+	n.Dropped, g.dropped = g.dropped, nil
 	return n
 }
 
@@ -38,7 +38,7 @@
 
 // shed turns waiting work of a leaving target away, the least urgent first.
 func (g *Gate) shed(now time.Time) {
-	for c := range chestnutstep.Class(chestnutstep.Classes) {
+	for c := range chestnutstep.Class(chestnutstep.ClassCount) {
 		if g.ramp.Shed(now, c) {
 			g.shedClass(now, c)
 		}
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -14,7 +14,7 @@
 // to wait for its whole time limit, as it is when all targets are full. Other
 // work is better off at its next target at once.
 func (g *Gate) Offer(now time.Time, w chestnutstep.Work) chestnutstep.Decision {
-	w.Class = min(w.Class, chestnutstep.Classes-1)
+	w.Class = min(w.Class, chestnutstep.ClassCount-1)
 	if d, known := g.known(w); known {
 		return d
 	}
@@ -22,13 +22,13 @@
 		return g.refuse(now, w, reason)
 	}
 	g.seen[w.Class] = now
-	if w.Alone {
+	if w.Exclusive {
 		return g.offerAlone(now, w)
 	}
 	if g.room(now, w.Class) && !g.queue.Behind(w.Class, g.may(now)) {
 		g.queue.Pass(w.Class)
 		g.start(now, w)
-		return chestnutstep.Decision{Verdict: chestnutstep.Accept}
+		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}
 	}
 	return g.wait(now, w)
 }
@@ -36,10 +36,10 @@
 // known finds work that was offered before: a repeat changes nothing.
 func (g *Gate) known(w chestnutstep.Work) (chestnutstep.Decision, bool) {
 	if g.running[w.ID] != nil {
-		return chestnutstep.Decision{Verdict: chestnutstep.Accept}, true
+		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}, true
 	}
 	if g.queue.Has(w.ID) || g.turn.has(w.ID) {
-		return chestnutstep.Decision{Verdict: chestnutstep.Queue, Wait: g.predict(w)}, true
+		return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: g.predict(w)}, true
 	}
 	return chestnutstep.Decision{}, false
 }
@@ -68,7 +68,7 @@
 	if now.Add(predicted + g.pace.Run(w.Cost)).After(w.Deadline) {
 		return g.refuse(now, w, chestnutstep.ReasonLate)
 	}
-	if now.Add(predicted).After(w.Patience) {
+	if now.Add(predicted).After(w.WaitUntil) {
 		return g.refuse(now, w, g.full(now))
 	}
 	out, full := g.queue.Push(now, w)
@@ -78,7 +78,7 @@
 	if out != nil {
 		g.drop(now, *out, pushedOut(*out, w))
 	}
-	return chestnutstep.Decision{Verdict: chestnutstep.Queue, Wait: predicted}
+	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: predicted}
 }
 
 // pushedOut is why waiting work lost its place to other work.
@@ -90,10 +90,10 @@
 }
 
 func mayWait(now time.Time, w chestnutstep.Work) bool {
-	if !w.Patience.After(now) {
+	if !w.WaitUntil.After(now) {
 		return false
 	}
-	return w.Home || !w.Patience.Before(w.Deadline)
+	return w.HasCachedPrefix || !w.WaitUntil.Before(w.Deadline)
 }
 
 // full is the reason of work that found no room.
@@ -107,12 +107,12 @@
 
 func (g *Gate) refuse(now time.Time, w chestnutstep.Work, reason chestnutstep.Reason) chestnutstep.Decision {
 	return chestnutstep.Decision{
-		Verdict: chestnutstep.Refuse,
-		Reason:  reason,
-		Retry:   admit.Spread(w.ID, g.comeBack(now, reason)),
+		Verdict:    chestnutstep.VerdictRefuse,
+		Reason:     reason,
+		RetryAfter: admit.Spread(w.ID, g.comeBack(now, reason)),
 	}
 }
 
 func (g *Gate) drop(now time.Time, w chestnutstep.Work, reason chestnutstep.Reason) {
-	g.dropped = append(g.dropped, chestnutstep.Dropped{ID: w.ID, Decision: g.refuse(now, w, reason)})
+	g.dropped = append(g.dropped, chestnutstep.DroppedRequest{ID: w.ID, Decision: g.refuse(now, w, reason)})
 }
--- a/gossip/carry_test.go
+++ b/gossip/carry_test.go
@@ -33,15 +33,15 @@
 	suspects []chestnutstep.Suspicion
 }
 
-func (l *listener) Learn(_ time.Time, s []chestnutstep.Sample) { l.heard = append(l.heard, s...) }
+func (l *listener) Merge(_ time.Time, s []chestnutstep.Sample) { l.heard = append(l.heard, s...) }
 
 type detector struct {
 	chestnutstep.Detector
 	l *listener
 }
 
-func (j detector) Tell(time.Time, int) []chestnutstep.Suspicion     { return j.l.suspects }
-func (j detector) Learn(_ time.Time, list []chestnutstep.Suspicion) { j.l.suspects = list }
+func (j detector) Suspicions(time.Time, int) []chestnutstep.Suspicion { return j.l.suspects }
+func (j detector) Merge(_ time.Time, list []chestnutstep.Suspicion)   { j.l.suspects = list }
 
 // Loads and suspicions cross from one process to another as ages, because no two
 // clocks are compared: sent as times, a host whose clock is a minute ahead would
@@ -49,8 +49,8 @@
 func TestCarries(t *testing.T) {
 	now := time.Now()
 	var told, heard listener
-	told.samples = []chestnutstep.Sample{{Target: "t1", Model: "m", Load: 3, Seen: now.Add(-5 * time.Second)}}
-	told.suspects = []chestnutstep.Suspicion{{Fingerprint: 7, Crashed: []string{"t1"}, Seen: now.Add(-time.Minute)}}
+	told.samples = []chestnutstep.Sample{{Target: "t1", Model: "m", Load: 3, SeenAt: now.Add(-5 * time.Second)}}
+	told.suspects = []chestnutstep.Suspicion{{Fingerprint: 7, CrashedTargets: []string{"t1"}, SeenAt: now.Add(-time.Minute)}}
 	weights := make(map[string]float64)
 	b := &Node{
 		Name: "b", Store: new(config.Store), Sampler: &heard, Detector: detector{l: &heard},
@@ -64,10 +64,10 @@
 	a.exchange(t.Context(), "b", a.message(time.Now()))
 
 	assert.Equal(t, len(heard.heard), 1)
-	age := time.Since(heard.heard[0].Seen)
+	age := time.Since(heard.heard[0].SeenAt)
 	assert.Assert(t, age >= 5*time.Second && age < 30*time.Second, "%v", age)
 	assert.Equal(t, heard.heard[0].Load, 3.0)
-	assert.DeepEqual(t, heard.suspects[0].Crashed, []string{"t1"})
-	assert.Assert(t, time.Since(heard.suspects[0].Seen) >= time.Minute)
+	assert.DeepEqual(t, heard.suspects[0].CrashedTargets, []string{"t1"})
+	assert.Assert(t, time.Since(heard.suspects[0].SeenAt) >= time.Minute)
 	assert.Equal(t, weights["a"], 0.5)
 }
--- a/gossip/message.go
+++ b/gossip/message.go
@@ -47,14 +47,14 @@
 	n.Lock.Lock()
 	defer n.Lock.Unlock()
 	if n.Sampler != nil {
-		for _, s := range n.Sampler.Tell(now, samplesMax) {
-			m.Samples = append(m.Samples, &wire.Sample{Target: s.Target, Model: s.Model, Load: s.Load, Age: int64(now.Sub(s.Seen))})
+		for _, s := range n.Sampler.Samples(now, samplesMax) {
+			m.Samples = append(m.Samples, &wire.Sample{Target: s.Target, Model: s.Model, Load: s.Load, Age: int64(now.Sub(s.SeenAt))})
 		}
 	}
 	if n.Detector != nil {
-		for _, s := range n.Detector.Tell(now, suspicionsMax) {
+		for _, s := range n.Detector.Suspicions(now, suspicionsMax) {
 			m.Suspicions = append(m.Suspicions, &wire.Suspicion{
-				Fingerprint: s.Fingerprint, Crashed: s.Crashed, Cleared: s.Cleared, Age: int64(now.Sub(s.Seen)),
+				Fingerprint: s.Fingerprint, Crashed: s.CrashedTargets, Cleared: s.Cleared, Age: int64(now.Sub(s.SeenAt)),
 			})
 		}
 	}
@@ -64,7 +64,7 @@
 // unknown.
 func (n *Node) learn(now time.Time, m *wire.GossipMessage, from string) {
 	st := config.Stamp{Version: m.GetVersion(), Digest: hex.EncodeToString(m.GetRoot())}
-	if from != "" && st.Version > 0 && n.Store.Wants(st) {
+	if from != "" && st.Version > 0 && n.Store.ShouldFetch(st) {
 		n.puller.want(want{stamp: st, sources: []string{from}})
 	}
 	n.learnLoads(now, m)
@@ -82,19 +82,19 @@
 		var list []chestnutstep.Sample
 		for _, s := range first(m.GetSamples(), samplesMax) {
 			list = append(list, chestnutstep.Sample{
-				Target: s.GetTarget(), Model: s.GetModel(), Load: s.GetLoad(), Seen: ago(now, s.GetAge()),
+				Target: s.GetTarget(), Model: s.GetModel(), Load: s.GetLoad(), SeenAt: ago(now, s.GetAge()),
 			})
 		}
-		n.Sampler.Learn(now, list)
+		n.Sampler.Merge(now, list)
 	}
 	if n.Detector != nil {
 		var list []chestnutstep.Suspicion
 		for _, s := range first(m.GetSuspicions(), suspicionsMax) {
 			list = append(list, chestnutstep.Suspicion{
-				Fingerprint: s.GetFingerprint(), Crashed: first(s.GetCrashed(), 2), Cleared: s.GetCleared(), Seen: ago(now, s.GetAge()),
+				Fingerprint: s.GetFingerprint(), CrashedTargets: first(s.GetCrashed(), 2), Cleared: s.GetCleared(), SeenAt: ago(now, s.GetAge()),
 			})
 		}
-		n.Detector.Learn(now, list)
+		n.Detector.Merge(now, list)
 	}
 }
 
--- a/gossip/net_test.go
+++ b/gossip/net_test.go
@@ -161,9 +161,9 @@
 	defer p.w.mu.Unlock()
 	kind := "invalid"
 	switch {
-	case config.IsErrOld(r.Err):
+	case config.IsErrStale(r.Err):
 		kind = "old"
-	case config.IsErrClash(r.Err):
+	case config.IsErrConflict(r.Err):
 		kind = "clash"
 	}
 	p.w.notes = append(p.w.notes, fmt.Sprintf("%s refused %d as %s", p.name, r.Stamp.Version, kind))
@@ -221,8 +221,8 @@
 	p := &chestnutstep.Publication{
 		Version: version,
 		Domains: []chestnutstep.Domain{{Name: "a", Region: "r", Out: out}},
-		Models:  []chestnutstep.Model{{Name: "m", Kind: chestnutstep.KindEngine, Slots: 4, Cold: 1}},
-		Budget:  chestnutstep.Budget{Reads: w.reads},
+		Models:  []chestnutstep.Model{{Name: "m", Kind: chestnutstep.KindEngine, Slots: 4, ColdCap: 1}},
+		Budget:  chestnutstep.Budget{ReadRate: w.reads},
 	}
 	for _, n := range w.nodes {
 		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: "h" + n.name, Domain: "a"})
--- a/gossip/pull.go
+++ b/gossip/pull.go
@@ -129,7 +129,7 @@
 	rootless := 0
 	for {
 		w := n.puller.take()
-		if !n.Store.Wants(w.stamp) || n.round(ctx, w) {
+		if !n.Store.ShouldFetch(w.stamp) || n.round(ctx, w) {
 			return
 		}
 		if w.root == nil {
@@ -166,7 +166,7 @@
 		missing = n.fetchParts(ctx, a, missing)
 	}
 	n.readParts(ctx, missing)
-	err = n.Store.Put(time.Now(), w.root, nil)
+	err = n.Store.Apply(time.Now(), w.root, nil)
 	if config.IsErrPart(err) {
 		n.notify(NoticePart, w.stamp.String(), err)
 		return false
@@ -234,7 +234,7 @@
 func (n *Node) keep(parts []*wire.Part) []string {
 	var got []string
 	for _, p := range parts {
-		if err := n.Store.Keep(p.GetHash(), p.GetData()); err != nil {
+		if err := n.Store.AddPart(p.GetHash(), p.GetData()); err != nil {
 			n.notify(NoticePart, p.GetHash(), err)
 			continue
 		}
@@ -274,7 +274,7 @@
 			n.notify(NoticePart, hash, err)
 			return
 		}
-		if err := n.Store.Keep(hash, v.content); err != nil {
+		if err := n.Store.AddPart(hash, v.content); err != nil {
 			n.notify(NoticePart, hash, err)
 		}
 	}
--- a/gossip/reader.go
+++ b/gossip/reader.go
@@ -64,8 +64,8 @@
 	default:
 		return v, ErrStatus{Name: name, Status: res.StatusCode}
 	}
-	v.content, err = io.ReadAll(io.LimitReader(res.Body, config.ValueMax+1))
-	if err == nil && len(v.content) > config.ValueMax {
+	v.content, err = io.ReadAll(io.LimitReader(res.Body, config.MaxValueBytes+1))
+	if err == nil && len(v.content) > config.MaxValueBytes {
 		err = errors.Newf("read %s: larger than 1 MiB", name)
 	}
 	return v, err
--- a/gossip/seed_test.go
+++ b/gossip/seed_test.go
@@ -18,7 +18,7 @@
 	p := bigFleet(1)
 	root, parts := config.Pack(p)
 	store := &config.Store{}
-	assert.NilError(t, store.Put(time.Unix(0, 0), root, parts))
+	assert.NilError(t, store.Apply(time.Unix(0, 0), root, parts))
 	var seeds []string
 	for i := range 4 {
 		seeds = append(seeds, p.Targets[i].Agent)
--- a/gossip/share.go
+++ b/gossip/share.go
@@ -14,10 +14,10 @@
 func (n *Node) planNow(now time.Time, list int) plan {
 	f := fleet{List: list}
 	if view := n.Store.View(); view != nil {
-		f.Reads, f.Nodes = view.Publication.Budget.Reads, config.Nodes(view.Publication)
+		f.Reads, f.Nodes = view.Publication.Budget.ReadRate, config.CountNodes(view.Publication)
 		f.Watches = n.watching(now, view)
 	} else if r, err := config.ParseRoot(n.puller.take().root); err == nil {
-		f.Reads, f.Nodes = r.Reads, r.Nodes
+		f.Reads, f.Nodes = r.ReadRate, r.Nodes
 	}
 	n.mu.Lock()
 	f.Lonely = n.lonely(now)
@@ -52,11 +52,11 @@
 	var steady, others []string
 	for i := range view.Publication.Targets {
 		t := &view.Publication.Targets[i]
-		if view.Out(t) || (n.Members != nil && n.Members.Leaving(now, t.Host)) {
+		if view.IsOut(t) || (n.Members != nil && n.Members.Leaving(now, t.Host)) {
 			others = append(others, t.Name)
 			continue
 		}
 		steady = append(steady, t.Name)
 	}
-	return chooseWatchers(steady, others, watcherCount(view.Publication.Budget.Reads))
+	return chooseWatchers(steady, others, watcherCount(view.Publication.Budget.ReadRate))
 }
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -191,10 +191,10 @@
 	samples []chestnutstep.Sample
 }
 
-func (s *talker) Learn(time.Time, []chestnutstep.Sample)    {}
-func (s *talker) Tell(time.Time, int) []chestnutstep.Sample { return s.samples }
-func (s *talker) Own(time.Time, chestnutstep.Sample)        {}
-func (s *talker) Mean(time.Time) (m chestnutstep.Mean)      { return m }
+func (s *talker) Merge(time.Time, []chestnutstep.Sample)       {}
+func (s *talker) Samples(time.Time, int) []chestnutstep.Sample { return s.samples }
+func (s *talker) SetLocal(time.Time, chestnutstep.Sample)      {}
+func (s *talker) Mean(time.Time) (m chestnutstep.Mean)         { return m }
 
 // The bytes that a process spends on gossip, from real messages on real
 // connections with the interval of the default, have to stay far below 26 KB a
@@ -204,10 +204,10 @@
 	node := func(name string) *Node {
 		s := new(talker)
 		for i := range samplesMax {
-			s.samples = append(s.samples, chestnutstep.Sample{Target: fmt.Sprintf("target-%04d", i), Model: "model-a", Load: 8.25, Seen: time.Now()})
+			s.samples = append(s.samples, chestnutstep.Sample{Target: fmt.Sprintf("target-%04d", i), Model: "model-a", Load: 8.25, SeenAt: time.Now()})
 		}
 		n := &Node{Name: name, Store: new(config.Store), Sampler: s, Address: "10.0.0.1:7000"}
-		assert.NilError(t, n.Store.Put(time.Now(), root, parts))
+		assert.NilError(t, n.Store.Apply(time.Now(), root, parts))
 		return n
 	}
 	var in, out atomic.Int64
@@ -266,11 +266,11 @@
 
 // bigFleet is a publication of the size that the figures are for.
 func bigFleet(version uint64) *chestnutstep.Publication {
-	p := &chestnutstep.Publication{Version: version, Budget: chestnutstep.Budget{Reads: 50}}
+	p := &chestnutstep.Publication{Version: version, Budget: chestnutstep.Budget{ReadRate: 50}}
 	for _, d := range []string{"a", "b", "c"} {
 		p.Domains = append(p.Domains, chestnutstep.Domain{Name: d, Region: "r"})
 	}
-	p.Models = []chestnutstep.Model{{Name: "model-a", Kind: chestnutstep.KindEngine, Multiple: 1.25, Floor: 2, Slots: 16, Queue: 8, Cold: 2}}
+	p.Models = []chestnutstep.Model{{Name: "model-a", Kind: chestnutstep.KindEngine, Multiple: 1.25, Floor: 2, Slots: 16, QueueLimit: 8, ColdCap: 2}}
 	for i := range processes {
 		h := chestnutstep.Host{Name: fmt.Sprintf("host-%04d", i), Domain: p.Domains[i%3].Name}
 		p.Hosts = append(p.Hosts, h)
--- a/gossip/watch.go
+++ b/gossip/watch.go
@@ -151,7 +151,7 @@
 	if _, err := n.Store.Missing(time.Now(), v.content); err == nil {
 		r, _ := config.ParseRoot(v.content)
 		n.puller.want(want{stamp: config.Stamp{Version: r.Version, Digest: config.Hash(v.content)}, root: v.content})
-	} else if config.IsErrOld(err) && n.Store.Stamp().Digest != config.Hash(v.content) {
+	} else if config.IsErrStale(err) && n.Store.Stamp().Digest != config.Hash(v.content) {
 		n.notify(NoticeStale, strconv.FormatUint(v.revision, 10), err)
 	}
 	return v.revision
--- a/header.go
+++ b/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ownPrefix begins the names of our own headers.
-const ownPrefix = "Chestnut-"
+// headerPrefix begins the names of our own headers.
+const headerPrefix = "Chestnut-"
 
 // hopHeaders belong to one connection, not to the message.
 var hopHeaders = []string{
@@ -19,7 +19,7 @@
 // upgrade that it does not have, and the message would be read wrongly.
 func IsHopHeader(name string) bool { return slices.Contains(hopHeaders, name) }
 
-// IsOwnHeader says whether a header, by its canonical name, is between callers,
+// IsChestnutHeader says whether a header, by its canonical name, is between callers,
 // entries and agents alone. One that a caller sends must not reach the target,
 // nor one of the target's the caller: either could pass for what we say.
-func IsOwnHeader(name string) bool { return strings.HasPrefix(name, ownPrefix) }
+func IsChestnutHeader(name string) bool { return strings.HasPrefix(name, headerPrefix) }
--- a/link/call.go
+++ b/link/call.go
@@ -58,7 +58,7 @@
 // ErrCall says that a target gave no usable answer.
 type ErrCall struct {
 	// Run says what is known of the request.
-	Run chestnutstep.Run
+	Run chestnutstep.RunStatus
 	// Reason is short and stable, for logs and decisions.
 	Reason chestnutstep.Reason
 	// Reused says that the connection had carried a request before.
--- a/load/pass.go
+++ b/load/pass.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return false
 	}
-	out.Header.Set(chestnutstep.HeaderRequest, r.Header.Get(chestnutstep.HeaderIdempotency))
+	out.Header.Set(chestnutstep.HeaderRequestID, r.Header.Get(chestnutstep.HeaderIdempotencyKey))
 	out.Header.Set(chestnutstep.HeaderChat, r.Header.Get(chestnutstep.HeaderChat))
 	// The workspace is named by the key: this version checks no one.
 	out.Header.Set(fake.HeaderWorkspace, strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
--- a/matrix/caller.go
+++ b/matrix/caller.go
@@ -31,7 +31,7 @@
 type Attempt struct {
 	Verdict Verdict
 	Status  int
-	Run     chestnutstep.Run
+	Run     chestnutstep.RunStatus
 	Code    string
 	// Key names the request; a new ticket gets a new one.
 	Key string
@@ -155,7 +155,7 @@
 	h.Set(chestnutstep.HeaderProfile, c.Profile)
 	h.Set(chestnutstep.HeaderChat, c.Chat)
 	h.Set(chestnutstep.HeaderTimeout, c.Timeout.String())
-	h.Set(chestnutstep.HeaderIdempotency, c.key())
+	h.Set(chestnutstep.HeaderIdempotencyKey, c.key())
 	if c.ticket != "" {
 		h.Set(chestnutstep.HeaderTicket, c.ticket)
 	}
@@ -193,7 +193,7 @@
 func (c *Caller) read(rs *http.Response, a *Attempt) {
 	defer rs.Body.Close()
 	a.Status = rs.StatusCode
-	a.Run = chestnutstep.Run(rs.Header.Get(chestnutstep.HeaderRun))
+	a.Run = chestnutstep.RunStatus(rs.Header.Get(chestnutstep.HeaderRun))
 	raw, err := io.ReadAll(rs.Body)
 	switch {
 	case rs.StatusCode != http.StatusOK:
--- a/matrix/caller_test.go
+++ b/matrix/caller_test.go
@@ -35,7 +35,7 @@
 func engineAnswer(t *testing.T, c *Caller) string {
 	t.Helper()
 	rq := httptest.NewRequest(http.MethodPost, c.path(), bytes.NewReader(c.body()))
-	rq.Header.Set(chestnutstep.HeaderRequest, c.key())
+	rq.Header.Set(chestnutstep.HeaderRequestID, c.key())
 	rq.Header.Set(chestnutstep.HeaderChat, c.Chat)
 	w := httptest.NewRecorder()
 	(&fake.Engine{}).ServeHTTP(w, rq)
--- a/matrix/fault_test.go
+++ b/matrix/fault_test.go
@@ -18,7 +18,7 @@
 // told the node where the request stands.
 var faults = map[string]func(*play, *Node) error{
 	"none":    func(*play, *Node) error { return nil },
-	"break":   func(_ *play, n *Node) error { n.Links[0].Break(); return nil },
+	"break":   func(_ *play, n *Node) error { n.Links[0].CloseConnections(); return nil },
 	"cut":     func(p *play, n *Node) error { return p.cut(n, pipe.Up, pipe.Down) },
 	"cutup":   func(p *play, n *Node) error { return p.cut(n, pipe.Up) },
 	"cutdown": func(p *play, n *Node) error { return p.cut(n, pipe.Down) },
@@ -26,7 +26,7 @@
 	"crossed": func(_ *play, n *Node) error { n.Misbehave(fake.Fault{Crossed: true, Count: 1}); return nil },
 	"cold":    (*play).cold,
 	"crash":   (*play).crash,
-	"drop":    func(_ *play, n *Node) error { n.Back.Break(); return nil },
+	"drop":    func(_ *play, n *Node) error { n.Back.CloseConnections(); return nil },
 	"leave":   (*play).leave,
 	"out":     (*play).out,
 	"kill":    (*play).kill,
@@ -41,9 +41,9 @@
 	"hold":    (*play).hold,
 }
 
-func (p *play) cut(n *Node, ways ...pipe.Way) error {
+func (p *play) cut(n *Node, ways ...pipe.Direction) error {
 	for _, w := range ways {
-		n.Links[0].Cut(w)
+		n.Links[0].Blackhole(w)
 	}
 	p.lossy = true
 	return nil
@@ -63,7 +63,7 @@
 
 func (p *play) crash(n *Node) error {
 	n.Misbehave(fake.Fault{Crash: true})
-	n.Back.Break()
+	n.Back.CloseConnections()
 	return nil
 }
 
@@ -78,7 +78,7 @@
 // kill ends the agent, or the naive version's process, and starts it anew.
 func (p *play) kill(n *Node) error {
 	if p.stack.Naive {
-		n.Links[0].Break()
+		n.Links[0].CloseConnections()
 		return nil
 	}
 	return p.stack.KillAgent(n)
@@ -105,7 +105,7 @@
 // leave begins a planned stop. The naive version knows none: its process ends.
 func (p *play) leave(n *Node) error {
 	if p.stack.Naive {
-		n.Links[0].Break()
+		n.Links[0].CloseConnections()
 		return nil
 	}
 	go func() { _ = n.Agent.Leave(context.Background()) }()
@@ -127,8 +127,8 @@
 // an old copy.
 func (p *play) stale(*Node) error {
 	root, parts := config.Pack(p.stack.Next(-1, func(*chestnutstep.Publication) {}))
-	err := p.stack.Store.Put(time.Now(), root, parts)
-	if !config.IsErrOld(err) {
+	err := p.stack.Store.Apply(time.Now(), root, parts)
+	if !config.IsErrStale(err) {
 		return errors.Newf("an older publication was not refused: %v", err)
 	}
 	return nil
@@ -142,14 +142,14 @@
 	clash := 0
 	for _, pub := range []*chestnutstep.Publication{first, second, first} {
 		root, parts := config.Pack(pub)
-		if config.IsErrClash(p.stack.Store.Put(time.Now(), root, parts)) {
+		if config.IsErrConflict(p.stack.Store.Apply(time.Now(), root, parts)) {
 			clash++
 		}
 	}
 	if clash == 0 {
 		return errors.New("neither publication was refused")
 	}
-	if !p.stack.Store.View().Out(p.stack.Store.View().Targets[n.Name]) {
+	if !p.stack.Store.View().IsOut(p.stack.Store.View().Targets[n.Name]) {
 		p.gone = ""
 	}
 	return nil
@@ -160,13 +160,13 @@
 	p.gone = n.Domain
 	root, parts := config.Pack(p.stack.Next(1, p.takeOut))
 	before := p.stack.Store.View()
-	if err := p.stack.Store.Put(time.Now(), root, nil); !config.IsErrPart(err) {
+	if err := p.stack.Store.Apply(time.Now(), root, nil); !config.IsErrPart(err) {
 		return errors.Newf("half a publication: %v", err)
 	}
 	if p.stack.Store.View() != before {
 		return errors.New("half a publication is in force")
 	}
-	p.later = append(p.later, func() error { return p.stack.Store.Put(time.Now(), root, parts) })
+	p.later = append(p.later, func() error { return p.stack.Store.Apply(time.Now(), root, parts) })
 	return nil
 }
 
--- a/matrix/naive.go
+++ b/matrix/naive.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	rq.Header = r.Header.Clone()
-	rq.Header.Set(chestnutstep.HeaderRequest, r.Header.Get(chestnutstep.HeaderIdempotency))
+	rq.Header.Set(chestnutstep.HeaderRequestID, r.Header.Get(chestnutstep.HeaderIdempotencyKey))
 	rs, err := http.DefaultClient.Do(rq)
 	if err != nil {
 		return false
--- a/matrix/play_test.go
+++ b/matrix/play_test.go
@@ -126,7 +126,7 @@
 	n := p.stack.Halted()
 	n.Links[0].Heal()
 	if p.lossy {
-		n.Links[0].Break()
+		n.Links[0].CloseConnections()
 	}
 	p.tries = <-done
 	return nil
@@ -158,7 +158,7 @@
 		p.before = p.started()
 	}
 	if at == StepLost {
-		p.stack.Fronts[0].Break()
+		p.stack.Fronts[0].CloseConnections()
 		p.stack.Fronts[0].Heal()
 	}
 	if p.late {
--- a/matrix/stack.go
+++ b/matrix/stack.go
@@ -172,15 +172,15 @@
 		Domains: []chestnutstep.Domain{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}},
 		Hosts:   []chestnutstep.Host{{Name: "a", Domain: "a"}, {Name: "b", Domain: "b"}},
 		Models: []chestnutstep.Model{
-			{Name: ProfileChat, Kind: chestnutstep.KindEngine, Floor: 8, Slots: 8, Queue: 8, Cold: coldLoad, Warm: warmAfter, Done: "event: done"},
-			{Name: ProfileBook, Kind: chestnutstep.KindService, Floor: 8, Slots: 8, Queue: 8, Cold: 8},
+			{Name: ProfileChat, Kind: chestnutstep.KindEngine, Floor: 8, Slots: 8, QueueLimit: 8, ColdCap: coldLoad, WarmupAnswers: warmAfter, DoneMarker: "event: done"},
+			{Name: ProfileBook, Kind: chestnutstep.KindService, Floor: 8, Slots: 8, QueueLimit: 8, ColdCap: 8},
 		},
 		Profiles: []chestnutstep.Profile{
-			{Name: ProfileChat, Model: ProfileChat, Class: "urgent", Timeout: limit, Tries: 2, Tokens: 10, Body: 1 << 20},
-			{Name: ProfileBook, Model: ProfileBook, Class: "normal", Timeout: limit, Tries: 2, Tokens: 1, Body: 1 << 20, Once: true},
+			{Name: ProfileChat, Model: ProfileChat, Class: "urgent", Timeout: limit, MaxAttempts: 2, ExpectedTokens: 10, MaxBodyBytes: 1 << 20},
+			{Name: ProfileBook, Model: ProfileBook, Class: "normal", Timeout: limit, MaxAttempts: 2, ExpectedTokens: 1, MaxBodyBytes: 1 << 20, RequiresTicket: true},
 		},
 		Workspaces: []chestnutstep.Workspace{{Name: "w", Keys: []string{hex.EncodeToString(sum[:])}}},
-		Budget:     chestnutstep.Budget{Reads: 100, Loads: 1, Retries: 0.1, Export: 1 << 20},
+		Budget:     chestnutstep.Budget{ReadRate: 100, LoadRate: 1, RetryRatio: 0.1, ExportRate: 1 << 20},
 	}
 }
 
@@ -255,8 +255,8 @@
 		return err
 	}
 	for _, l := range n.Links {
-		l.Aim(addr)
-		l.Break()
+		l.SetBackend(addr)
+		l.CloseConnections()
 	}
 	return nil
 }
@@ -313,11 +313,11 @@
 			p.dead.Store(true)
 		}
 		for _, n := range s.Nodes {
-			n.Links[i].Break()
+			n.Links[i].CloseConnections()
 		}
-		f.Break()
+		f.CloseConnections()
 		s.startEntry(i)
-		f.Aim(s.entries[i].Listener.Addr().String())
+		f.SetBackend(s.entries[i].Listener.Addr().String())
 	}
 }
 
@@ -385,7 +385,7 @@
 func (s *Stack) Publish(change func(*chestnutstep.Publication)) error {
 	p := s.Next(1, change)
 	root, parts := config.Pack(p)
-	return s.Store.Put(time.Now(), root, parts)
+	return s.Store.Apply(time.Now(), root, parts)
 }
 
 // Next is the publication in force with a change, so many versions later.
--- a/mean/mean.go
+++ b/mean/mean.go
@@ -47,26 +47,26 @@
 
 var _ chestnutstep.Sampler = (*Sampler)(nil)
 
-// Own sets this target's load, and the model if the publication changed it.
-func (s *Sampler) Own(now time.Time, own chestnutstep.Sample) {
+// SetLocal sets this target's load, and the model if the publication changed it.
+func (s *Sampler) SetLocal(now time.Time, own chestnutstep.Sample) {
 	if own.Model != "" && own.Model != s.Model {
 		s.Model, s.samples = own.Model, nil
 	}
-	own.Target, own.Model, own.Seen = s.Target, s.Model, now
+	own.Target, own.Model, own.SeenAt = s.Target, s.Model, now
 	s.own = own
 }
 
-// Learn takes samples from a peer: of each target the youngest. A sample that
+// Merge takes samples from a peer: of each target the youngest. A sample that
 // claims to come from the future is taken as of now, or it would never age.
-func (s *Sampler) Learn(now time.Time, samples []chestnutstep.Sample) {
+func (s *Sampler) Merge(now time.Time, samples []chestnutstep.Sample) {
 	for _, x := range samples {
 		if x.Model != s.Model || x.Target == s.Target || !(x.Load >= 0) {
 			continue
 		}
-		if x.Seen.After(now) {
-			x.Seen = now
+		if x.SeenAt.After(now) {
+			x.SeenAt = now
 		}
-		if now.Sub(x.Seen) <= Keep {
+		if now.Sub(x.SeenAt) <= Keep {
 			s.put(x)
 		}
 	}
@@ -79,7 +79,7 @@
 		s.samples = append(s.samples, x)
 		return
 	}
-	if x.Seen.After(s.samples[i].Seen) {
+	if x.SeenAt.After(s.samples[i].SeenAt) {
 		s.samples[i] = x
 	}
 }
@@ -87,27 +87,27 @@
 // trim puts the youngest first and forgets what is too old or too many.
 func (s *Sampler) trim(now time.Time) {
 	slices.SortFunc(s.samples, func(a, b chestnutstep.Sample) int {
-		return cmp.Or(b.Seen.Compare(a.Seen), cmp.Compare(a.Target, b.Target))
+		return cmp.Or(b.SeenAt.Compare(a.SeenAt), cmp.Compare(a.Target, b.Target))
 	})
 	n := min(len(s.samples), Most)
-	for n > 0 && now.Sub(s.samples[n-1].Seen) > Keep {
+	for n > 0 && now.Sub(s.samples[n-1].SeenAt) > Keep {
 		n--
 	}
 	clear(s.samples[n:])
 	s.samples = s.samples[:n]
 }
 
-// Tell returns at most n samples worth passing on: this target's first, then the
+// Samples returns at most n samples worth passing on: this target's first, then the
 // youngest. A choice among all would fill every place in the fleet with samples
 // of before a surge.
-func (s *Sampler) Tell(now time.Time, n int) []chestnutstep.Sample {
+func (s *Sampler) Samples(now time.Time, n int) []chestnutstep.Sample {
 	s.trim(now)
 	list := make([]chestnutstep.Sample, 0, max(n, 0))
 	if n > 0 && s.serves(now, Relay) {
 		list = append(list, s.own)
 	}
 	for _, x := range s.samples {
-		if len(list) >= n || now.Sub(x.Seen) > Relay {
+		if len(list) >= n || now.Sub(x.SeenAt) > Relay {
 			break
 		}
 		list = append(list, x)
@@ -120,7 +120,7 @@
 // would count as idle, lower the mean, and with it the caps of those that carry
 // its load.
 func (s *Sampler) serves(now time.Time, most time.Duration) bool {
-	return !s.own.Seen.IsZero() && now.Sub(s.own.Seen) <= most
+	return !s.own.SeenAt.IsZero() && now.Sub(s.own.SeenAt) <= most
 }
 
 // Mean estimates the mean over all targets of the model, this one included,
@@ -131,7 +131,7 @@
 	sum, n := 0.0, len(s.samples)
 	for _, x := range s.samples {
 		sum += x.Load
-		m.Age = max(m.Age, now.Sub(x.Seen))
+		m.Age = max(m.Age, now.Sub(x.SeenAt))
 	}
 	if s.serves(now, Keep) {
 		sum += s.own.Load
--- a/mean/mean_test.go
+++ b/mean/mean_test.go
@@ -51,10 +51,10 @@
 		// Agents keep no common beat.
 		at := now.Add(time.Duration(i) * time.Second / time.Duration(len(x.agents)))
 		a, b := &x.agents[i], &x.agents[x.peer(i, r)]
-		a.Own(at, chestnutstep.Sample{Load: loads[i]})
-		told, heard := a.Tell(at, x.n), b.Tell(at, x.n)
-		b.Learn(at, told)
-		a.Learn(at, heard)
+		a.SetLocal(at, chestnutstep.Sample{Load: loads[i]})
+		told, heard := a.Samples(at, x.n), b.Samples(at, x.n)
+		b.Merge(at, told)
+		a.Merge(at, heard)
 		x.sent += len(told) + len(heard)
 	}
 }
@@ -104,9 +104,9 @@
 	}
 	for i := range x.heard {
 		for range x.k {
-			x.heard[i] = append(x.heard[i], chestnutstep.Sample{Load: loads[r.IntN(len(loads))], Seen: now})
+			x.heard[i] = append(x.heard[i], chestnutstep.Sample{Load: loads[r.IntN(len(loads))], SeenAt: now})
 		}
-		for len(x.heard[i]) > 0 && now.Sub(x.heard[i][0].Seen) > pollKeep {
+		for len(x.heard[i]) > 0 && now.Sub(x.heard[i][0].SeenAt) > pollKeep {
 			x.heard[i] = x.heard[i][1:]
 		}
 	}
@@ -251,18 +251,18 @@
 // that is long gone; it must know that it knows nothing.
 func TestOldSamplesAreForgotten(t *testing.T) {
 	s := Sampler{Model: "m", Target: "self"}
-	s.Own(epoch, chestnutstep.Sample{Load: 1})
-	s.Learn(epoch, []chestnutstep.Sample{
-		{Target: "a", Model: "m", Load: 5, Seen: epoch.Add(-4 * time.Second)},
-		{Target: "a", Model: "m", Load: 9, Seen: epoch.Add(-6 * time.Second)},
-		{Target: "b", Model: "other", Load: 50, Seen: epoch},
-		{Target: "self", Model: "m", Load: 50, Seen: epoch},
-		{Target: "late", Model: "m", Load: 50, Seen: epoch.Add(-time.Minute)},
-		{Target: "odd", Model: "m", Load: math.NaN(), Seen: epoch},
+	s.SetLocal(epoch, chestnutstep.Sample{Load: 1})
+	s.Merge(epoch, []chestnutstep.Sample{
+		{Target: "a", Model: "m", Load: 5, SeenAt: epoch.Add(-4 * time.Second)},
+		{Target: "a", Model: "m", Load: 9, SeenAt: epoch.Add(-6 * time.Second)},
+		{Target: "b", Model: "other", Load: 50, SeenAt: epoch},
+		{Target: "self", Model: "m", Load: 50, SeenAt: epoch},
+		{Target: "late", Model: "m", Load: 50, SeenAt: epoch.Add(-time.Minute)},
+		{Target: "odd", Model: "m", Load: math.NaN(), SeenAt: epoch},
 	})
 	assert.Equal(t, s.Mean(epoch), chestnutstep.Mean{Load: 3, Targets: 1, Age: 4 * time.Second})
-	assert.Equal(t, len(s.Tell(epoch, 16)), 2)
-	assert.Equal(t, len(s.Tell(epoch.Add(2*time.Second), 16)), 1, "too old to pass on")
+	assert.Equal(t, len(s.Samples(epoch, 16)), 2)
+	assert.Equal(t, len(s.Samples(epoch.Add(2*time.Second), 16)), 1, "too old to pass on")
 	assert.Equal(t, s.Mean(epoch.Add(7*time.Second)).Targets, 0)
 }
 
@@ -270,7 +270,7 @@
 func TestTableIsBounded(t *testing.T) {
 	s := Sampler{Model: "m", Target: "self"}
 	for i := range 3 * Most {
-		s.Learn(epoch, []chestnutstep.Sample{{Target: fmt.Sprint(i), Model: "m", Load: 1, Seen: epoch}})
+		s.Merge(epoch, []chestnutstep.Sample{{Target: fmt.Sprint(i), Model: "m", Load: 1, SeenAt: epoch}})
 	}
 	assert.Equal(t, s.Mean(epoch).Targets, Most)
 }
@@ -316,12 +316,12 @@
 func TestTargetsThatTakeNoWorkDoNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	out := &Sampler{Model: "m", Target: "out"}
-	out.Own(now, chestnutstep.Sample{})
+	out.SetLocal(now, chestnutstep.Sample{})
 	in := &Sampler{Model: "m", Target: "in"}
 	later := now.Add(Keep + time.Second)
-	in.Own(later, chestnutstep.Sample{Load: 8})
-	assert.Equal(t, len(out.Tell(later, 16)), 0)
-	in.Learn(later, out.Tell(later, 16))
+	in.SetLocal(later, chestnutstep.Sample{Load: 8})
+	assert.Equal(t, len(out.Samples(later, 16)), 0)
+	in.Merge(later, out.Samples(later, 16))
 	assert.Equal(t, in.Mean(later).Load, 8.0)
 	assert.Equal(t, out.Mean(later).Load, 0.0)
 }
--- a/meter/catalog.go
+++ b/meter/catalog.go
@@ -17,13 +17,13 @@
 	kindHistogram kind = "histogram"
 )
 
-// entry describes one metric to operators.
-type entry struct {
-	name    string
-	kind    kind
-	unit    string
-	labels  []string
-	meaning string
+// description describes one metric to operators.
+type description struct {
+	name   string
+	kind   kind
+	unit   string
+	labels []string
+	help   string
 }
 
 // Labels of the metrics.
@@ -39,9 +39,9 @@
 	labelService   = "service"
 )
 
-// waits are the bounds of the histograms of time: finer below a second, where
+// durationBuckets are the bounds of the histograms of time: finer below a second, where
 // quick questions live, and up to the minutes that a long plan may take.
-var waits = tally.DurationBuckets{
+var durationBuckets = tally.DurationBuckets{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond,
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
@@ -55,7 +55,7 @@
 	b.WriteString(pageHead)
 	for _, e := range catalog() {
 		fmt.Fprintf(&b, "| `%s_%s` | %s | %s | %s | %s |\n",
-			prefix, e.name, e.kind, e.unit, labelText(e.labels), e.meaning)
+			prefix, e.name, e.kind, e.unit, labelText(e.labels), e.help)
 	}
 	return b.String()
 }
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -36,8 +36,8 @@
 func TestScrapeShowsEachMetric(t *testing.T) {
 	s, err := NewSet()
 	assert.NilError(t, err)
-	for _, b := range s.all() {
-		values := []string{"a", "b"}[:len(b.e.labels)]
+	for _, b := range s.metrics() {
+		values := []string{"a", "b"}[:len(b.desc.labels)]
 		switch v := b.v.(type) {
 		case *Counter:
 			v.Add(2, values...)
@@ -49,7 +49,7 @@
 	}
 	text := scrape(t, s)
 	for _, e := range catalog() {
-		help := fmt.Sprintf("# HELP %s_%s %s\n# TYPE %s_%s %s\n", prefix, e.name, e.meaning, prefix, e.name, e.kind)
+		help := fmt.Sprintf("# HELP %s_%s %s\n# TYPE %s_%s %s\n", prefix, e.name, e.help, prefix, e.name, e.kind)
 		assert.Assert(t, strings.Contains(text, help), "%s is not shown", e.name)
 	}
 	shown := regexp.MustCompile(`(?m)^# TYPE `).FindAllString(text, -1)
@@ -64,12 +64,12 @@
 func TestLabelsAreBounded(t *testing.T) {
 	s, err := NewSet()
 	assert.NilError(t, err)
-	for i := range 10 * most {
+	for i := range 10 * maxLabelValues {
 		s.Entry.Requests.Add(1, "chat", fmt.Sprint("code ", i))
 	}
 	text := scrape(t, s)
-	assert.Equal(t, strings.Count(text, "chestnutstep_entry_requests_total{"), most+1)
-	assert.Assert(t, strings.Contains(text, fmt.Sprintf(`{profile="chat",result="other"} %d`, 9*most)))
+	assert.Equal(t, strings.Count(text, "chestnutstep_entry_requests_total{"), maxLabelValues+1)
+	assert.Assert(t, strings.Contains(text, fmt.Sprintf(`{profile="chat",result="other"} %d`, 9*maxLabelValues)))
 }
 
 // Many small customers come first and a large one later. Its share must show in
@@ -77,7 +77,7 @@
 func TestWorkspacesByTraffic(t *testing.T) {
 	s, err := NewSet()
 	assert.NilError(t, err)
-	const small, large = 5 * topSeries, 1000
+	const small, large = 5 * maxSeries, 1000
 	for i := range small {
 		s.Workspaces.Requests.Add(1, fmt.Sprint("small ", i), "ok")
 	}
@@ -87,7 +87,7 @@
 	text := scrape(t, s)
 	counts := regexp.MustCompile(`chestnutstep_workspace_requests_total\{result="ok",workspace="([^"]*)"\} (\d+)`).
 		FindAllStringSubmatch(text, -1)
-	assert.Assert(t, len(counts) <= topEver+1)
+	assert.Assert(t, len(counts) <= maxSeriesEver+1)
 	sum, named := 0, 0
 	for _, c := range counts {
 		n := 0
@@ -99,7 +99,7 @@
 		}
 	}
 	assert.Equal(t, sum, small+large)
-	assert.Assert(t, named >= large-lead-1, "%d", named)
+	assert.Assert(t, named >= large-minLead-1, "%d", named)
 }
 
 func TestZeroSetCountsNothing(_ *testing.T) {
--- a/meter/set.go
+++ b/meter/set.go
@@ -16,9 +16,9 @@
 // prefix of all names.
 const prefix = "chestnutstep"
 
-// interval is how often counts move from the scope to what is scraped: finer
+// reportInterval is how often counts move from the scope to what is scraped: finer
 // than any scraper asks, and one short pass over a few hundred series.
-const interval = time.Second
+const reportInterval = time.Second
 
 // Set is every metric of a process. An entry leaves the agent's fields alone
 // and the other way round: a metric that was never touched is not shown.
@@ -36,65 +36,65 @@
 
 // Entry is what an entry counts.
 type Entry struct {
-	Requests  Counter   // answers to callers, by code
-	Open      Gauge     // streams open to callers
-	FirstByte Histogram // time to the first byte of an answer
-	Answer    Histogram // time to the last byte of an answer
-	Offers    Counter   // offers to agents, by answer
-	Retries   Counter   // repeats, by whether the budget allowed them
-	Attached  Counter   // broken links taken up again
-	Hints     Counter   // what became of hints
-	Links     Gauge     // open connections to agents
+	Requests     Counter   // answers to callers, by code
+	OpenRequests Gauge     // streams open to callers
+	FirstByte    Histogram // time to the first byte of an answer
+	Answer       Histogram // time to the last byte of an answer
+	Offers       Counter   // offers to agents, by answer
+	Retries      Counter   // repeats, by whether the budget allowed them
+	Attached     Counter   // broken links taken up again
+	Hints        Counter   // what became of hints
+	AgentLinks   Gauge     // open connections to agents
 }
 
 // Agent is what an agent counts.
 type Agent struct {
-	Offers     Counter   // offers, by verdict
-	Wait       Histogram // time in the queue
-	FirstToken Histogram // from the call of the target to its first byte
-	Runs       Counter   // runs, by how they ended
-	Running    Gauge
-	Waiting    Gauge
-	Cap        Gauge
-	Mean       Gauge
-	MeanAge    Gauge
-	Weight     Gauge
-	Cold       Gauge
-	Crashes    Counter
-	Cached     Counter // prompt tokens found in the target's cache
-	Moves      Counter // KV cache moves, by way and end
-	Moved      Counter // bytes of KV cache moved
-	Tickets    Counter
-	Orders     Counter
+	Offers       Counter   // offers, by verdict
+	Wait         Histogram // time in the queue
+	FirstToken   Histogram // from the call of the target to its first byte
+	Runs         Counter   // runs, by how they ended
+	Running      Gauge
+	Waiting      Gauge
+	Cap          Gauge
+	Mean         Gauge
+	MeanAge      Gauge
+	Weight       Gauge
+	Cold         Gauge
+	Crashes      Counter
+	CachedTokens Counter // prompt tokens found in the target's cache
+	Moves        Counter // KV cache moves, by way and end
+	MovedBytes   Counter // bytes of KV cache moved
+	Tickets      Counter
+	Orders       Counter
 }
 
 // Relay is what an entry without agents counts.
 type Relay struct {
-	Requests  Counter   // answers to callers, by kind of route and result
-	Open      Gauge     // requests in progress
-	FirstByte Histogram // time to the first byte of an answer
-	Answer    Histogram // time to the last byte of an answer
-	Tries     Counter   // sends to targets, by service and how they ended
-	Silent    Counter   // requests that a target's host did not acknowledge
-	Verified  Counter   // requests that opened a connection to verify a host
-	Denied    Counter   // repeats that the retry budget did not allow
-	Tokens    Counter   // prompt tokens, by whether a cache was expected to hold them
-	Peers     Gauge     // other entries of the fleet
-	Proof     Gauge     // age of the proof that the configuration is current
-	Version   Gauge     // version of the configuration in force
-	Targets   Gauge     // targets known
-	Datagrams Counter   // bytes of datagrams between entries
-	Opened    Counter   // connections to targets that were opened
-	Dropped   Counter   // lines of the log that were dropped
-	Refused   Counter   // requests that found no place, by workspace and reason
-	Taken     Gauge     // part of a service's places that was taken at the last request
-	Kept      Gauge     // part of them that is kept for requests within their share
-	Callers   Gauge     // connections of callers
-	Reads     Counter   // reads of facts, by topic and giver
-	ReadBytes Counter   // bytes of these reads
-	ReadGap   Histogram // age of the last proof when changes came
-	Ended     Counter   // targets that ended while requests ran on them, by proof
-	CrashAge  Histogram // age of a crash when a peer reported it
+	Requests          Counter   // answers to callers, by kind of route and result
+	OpenRequests      Gauge     // requests in progress
+	FirstByte         Histogram // time to the first byte of an answer
+	Answer            Histogram // time to the last byte of an answer
+	Tries             Counter   // sends to targets, by service and how they ended
+	Silent            Counter   // requests that a target's host did not acknowledge
+	Verified          Counter   // requests that opened a connection to verify a host
+	RetriesDenied     Counter   // repeats that the retry budget did not allow
+	PromptTokens      Counter   // prompt tokens, by whether a cache was expected to hold them
+	Peers             Gauge     // other entries of the fleet
+	ProofAge          Gauge     // age of the proof that the configuration is current
+	Version           Gauge     // version of the configuration in force
+	Targets           Gauge     // targets known
+	DatagramBytes     Counter   // bytes of datagrams between entries
+	ConnectionsOpened Counter   // connections to targets that were opened
+	LogLinesDropped   Counter   // lines of the log that were dropped
+	Refused           Counter   // requests that found no place, by workspace and reason
+	PlacesTaken       Gauge     // part of a service's places that was taken at the last request
+	PlacesKept        Gauge     // part of them that is kept for requests within their share
+	CallerConnections Gauge     // connections of callers
+	Reads             Counter   // reads of facts, by topic and giver
+	ReadBytes         Counter   // bytes of these reads
+	ReadGap           Histogram // age of the last proof when changes came
+	TargetsEnded      Counter   // targets that ended while requests ran on them, by proof
+	CrashAge          Histogram // age of a crash when a peer reported it
 }
 
 // Workspaces is what a report of fairness between workspaces is made of, summed
@@ -107,10 +107,10 @@
 
 // Publication is what a process counts of its configuration and its peers.
 type Publication struct {
-	Version Gauge
-	Changes Counter
-	Gossip  Counter
-	Rounds  Counter
+	Version      Gauge
+	Changes      Counter
+	GossipBytes  Counter
+	GossipRounds Counter
 }
 
 // Process is what any process counts of itself.
@@ -118,88 +118,88 @@
 	Audit Counter
 }
 
-// vector is what binds a field of the set to its entry of the catalogue.
-type vector interface {
-	bind(scope tally.Scope, e entry, t *top)
+// binder is what binds a field of the set to its entry of the catalogue.
+type binder interface {
+	bind(scope tally.Scope, e description, t *topWorkspaces)
 }
 
-// bound is one field of the set with its description.
-type bound struct {
-	v vector
-	e entry
+// metric is one field of the set with its description.
+type metric struct {
+	v    binder
+	desc description
 }
 
-func (s *Set) all() []bound {
+func (s *Set) metrics() []metric {
 	profile := []string{labelProfile}
 	result := []string{labelProfile, labelResult}
-	return []bound{
-		{&s.Entry.Requests, entry{"entry_requests_total", kindCounter, "requests", result, "Answers to callers by code: ok, or the reason of the refusal or of the broken answer."}},
-		{&s.Entry.Open, entry{"entry_open", kindGauge, "streams", nil, "Requests of callers in progress."}},
-		{&s.Entry.FirstByte, entry{"entry_first_byte_seconds", kindHistogram, "seconds", profile, "From the request's headers to the first byte of the answer's body."}},
-		{&s.Entry.Answer, entry{"entry_answer_seconds", kindHistogram, "seconds", profile, "From the request's headers to the end of a whole answer."}},
-		{&s.Entry.Offers, entry{"entry_offers_total", kindCounter, "offers", result, "Offers to agents: accept, refuse, silent where none came in time, or broken where the link broke or did not open."}},
-		{&s.Entry.Retries, entry{"entry_retries_total", kindCounter, "requests", result, "Repeats after a failure: spent, or denied by the retry budget."}},
-		{&s.Entry.Attached, entry{"entry_attached_total", kindCounter, "links", result, "Broken links to agents in mid-answer: ok when taken up again, else the reason."}},
-		{&s.Entry.Hints, entry{"entry_hints_total", kindCounter, "requests", result, "Requests with a hint: kept when the hinted target served, lost when another did."}},
-		{&s.Entry.Links, entry{"entry_links", kindGauge, "connections", nil, "Open connections to agents."}},
-		{&s.Agent.Offers, entry{"agent_offers_total", kindCounter, "offers", result, "Offers of entries: accept, wait, or the reason of the refusal."}},
-		{&s.Agent.Wait, entry{"agent_wait_seconds", kindHistogram, "seconds", profile, "Time that requests waited at the target before they ran."}},
-		{&s.Agent.FirstToken, entry{"agent_first_token_seconds", kindHistogram, "seconds", profile, "From the call of the target to the first byte of its answer's body."}},
-		{&s.Agent.Runs, entry{"agent_runs_total", kindCounter, "requests", result, "Requests handed to the target: served, canceled, or the reason of the broken answer."}},
-		{&s.Agent.Running, entry{"agent_running", kindGauge, "requests", nil, "Requests that run at the target."}},
-		{&s.Agent.Waiting, entry{"agent_waiting", kindGauge, "requests", nil, "Requests that wait at the target."}},
-		{&s.Agent.Cap, entry{"agent_cap", kindGauge, "requests", nil, "The most that may run now: cold-start cap, multiple of the mean, or slots."}},
-		{&s.Agent.Mean, entry{"agent_mean", kindGauge, "requests", nil, "Estimated mean load of the model's targets for one unit of weight."}},
-		{&s.Agent.MeanAge, entry{"agent_mean_age_seconds", kindGauge, "seconds", nil, "Age of the oldest sample that the mean rests on."}},
-		{&s.Agent.Weight, entry{"agent_weight", kindGauge, "share", nil, "Share of its full load that the target asks for: 0 to 1."}},
-		{&s.Agent.Cold, entry{"agent_cold", kindGauge, "0 or 1", nil, "1 while the target has not proven warm."}},
-		{&s.Agent.Crashes, entry{"agent_crashes_total", kindCounter, "crashes", nil, "Times that the target died or restarted."}},
-		{&s.Agent.Cached, entry{"agent_cached_tokens_total", kindCounter, "tokens", profile, "Prompt tokens that the target found in its cache."}},
-		{&s.Agent.Moves, entry{"agent_moves_total", kindCounter, "chats", []string{labelWay, labelResult}, "KV cache moves of chats: way is import or export, result is ok or why it was given up."}},
-		{&s.Agent.Moved, entry{"agent_moved_bytes_total", kindCounter, "bytes", []string{labelWay}, "Bytes of KV cache moved."}},
-		{&s.Agent.Tickets, entry{"agent_tickets_total", kindCounter, "tickets", []string{labelResult}, "Tickets by state reached: fresh, running, done, unknown, dropped, or the reason of a refusal."}},
-		{&s.Agent.Orders, entry{"agent_orders_total", kindCounter, "orders", []string{labelKind, labelResult}, "Orders to the engine by kind and end."}},
-		{&s.Relay.Requests, entry{"relay_requests_total", kindCounter, "requests", []string{labelKind, labelResult}, "Answers to callers by kind of route: ok, canceled, or the reason of the refusal or of the broken answer."}},
-		{&s.Relay.Open, entry{"relay_open", kindGauge, "requests", nil, "Requests of callers in progress at an entry without agents."}},
-		{&s.Relay.FirstByte, entry{"relay_first_byte_seconds", kindHistogram, "seconds", []string{labelKind}, "From the request's headers to the first event of a stream."}},
-		{&s.Relay.Answer, entry{"relay_answer_seconds", kindHistogram, "seconds", []string{labelKind}, "From the request's headers to the end of a whole answer."}},
-		{&s.Relay.Tries, entry{"relay_tries_total", kindCounter, "requests", []string{labelService, labelResult}, "Sends to targets by service: ok, or the reason of the failure."}},
-		{&s.Relay.Silent, entry{"relay_silent_total", kindCounter, "requests", []string{labelService}, "Requests that the target's host had not acknowledged after a quarter of a second."}},
-		{&s.Relay.Verified, entry{"relay_verified_total", kindCounter, "requests", []string{labelService}, "Requests that opened a connection to verify that the target's host is there."}},
-		{&s.Relay.Denied, entry{"relay_retries_denied_total", kindCounter, "requests", []string{labelService}, "Repeats that the service's retry budget did not allow."}},
-		{&s.Relay.Tokens, entry{"relay_prompt_tokens_total", kindCounter, "tokens", []string{labelResult}, "Prompt tokens sent: held by the target, fetched from another, or to be read."}},
-		{&s.Relay.Peers, entry{"relay_peers", kindGauge, "entries", nil, "Other entries of the fleet, as far as this one knows."}},
-		{&s.Relay.Proof, entry{"relay_proof_age_seconds", kindGauge, "seconds", nil, "Age of the proof that the configuration in force is current."}},
-		{&s.Relay.Version, entry{"relay_version", kindGauge, "version", nil, "Version of the configuration in force; 0 for none."}},
-		{&s.Relay.Targets, entry{"relay_targets", kindGauge, "targets", nil, "Targets that are known."}},
-		{&s.Relay.Datagrams, entry{"relay_datagram_bytes_total", kindCounter, "bytes", []string{labelWay}, "Bytes of datagrams between entries: in and out."}},
-		{&s.Relay.Opened, entry{"relay_connections_total", kindCounter, "connections", nil, "Connections to targets that were opened."}},
-		{&s.Relay.Dropped, entry{"relay_log_dropped_total", kindCounter, "lines", nil, "Lines of the log that were dropped, as their reader was too slow."}},
-		{&s.Relay.Refused, entry{"relay_refused_total", kindCounter, "requests", []string{labelWorkspace, labelResult}, "Requests that found no place at a target: full, or share where only those within their share got one."}},
-		{&s.Relay.Taken, entry{"relay_places_taken", kindGauge, "share", []string{labelService}, "Part of the places of a service's targets that was taken when a request last asked for one; 1 and more for all."}},
-		{&s.Relay.Kept, entry{"relay_places_kept", kindGauge, "share", []string{labelService}, "Part of the places of a service's targets that is kept for requests within their share."}},
-		{&s.Relay.Reads, entry{"relay_reads_total", kindCounter, "calls", []string{labelTopic, labelFrom}, "Reads of published facts that brought changes, from a peer or the source, and those that failed."}},
-		{&s.Relay.ReadBytes, entry{"relay_read_bytes_total", kindCounter, "bytes", []string{labelTopic, labelFrom}, "Bytes of these reads."}},
-		{&s.Relay.ReadGap, entry{"relay_read_gap_seconds", kindHistogram, "seconds", []string{labelTopic, labelFrom}, "Age of the last proof when changes were read: no change that was read is older."}},
-		{&s.Relay.Ended, entry{"relay_targets_ended_total", kindCounter, "targets", []string{labelProof}, "Targets that ended without notice while requests ran on them, by what proved it: refused, list or peer."}},
-		{&s.Relay.CrashAge, entry{"relay_crash_age_seconds", kindHistogram, "seconds", nil, "Age of a crash when a peer's report of it came, less the time on the way."}},
-		{&s.Relay.Callers, entry{"relay_callers", kindGauge, "connections", nil, "Connections of callers that are held."}},
-		{&s.Workspaces.Requests, entry{"workspace_requests_total", kindCounter, "requests", []string{labelWorkspace, labelResult}, "Requests of a workspace: ok, refused, broken or canceled."}},
-		{&s.Workspaces.Tokens, entry{"workspace_tokens_total", kindCounter, "tokens", []string{labelWorkspace}, "Estimated work that the target did for a workspace."}},
-		{&s.Workspaces.Wait, entry{"workspace_wait_seconds", kindHistogram, "seconds", []string{labelWorkspace}, "Time that a workspace's requests waited before they ran."}},
-		{&s.Publication.Version, entry{"publication_version", kindGauge, "version", nil, "Version of the publication in force; 0 for none."}},
-		{&s.Publication.Changes, entry{"publications_total", kindCounter, "publications", []string{labelResult}, "Publications seen: accepted, or why not."}},
-		{&s.Publication.Gossip, entry{"gossip_bytes_total", kindCounter, "bytes", []string{labelWay}, "Bytes of control messages with peers: in and out."}},
-		{&s.Publication.Rounds, entry{"gossip_rounds_total", kindCounter, "exchanges", []string{labelResult}, "Exchanges with peers: ok or failed."}},
-		{&s.Process.Audit, entry{"audit_records_total", kindCounter, "records", []string{labelKind}, "Records of the audit trail by kind."}},
+	return []metric{
+		{&s.Entry.Requests, description{"entry_requests_total", kindCounter, "requests", result, "Answers to callers by code: ok, or the reason of the refusal or of the broken answer."}},
+		{&s.Entry.OpenRequests, description{"entry_open", kindGauge, "streams", nil, "Requests of callers in progress."}},
+		{&s.Entry.FirstByte, description{"entry_first_byte_seconds", kindHistogram, "seconds", profile, "From the request's headers to the first byte of the answer's body."}},
+		{&s.Entry.Answer, description{"entry_answer_seconds", kindHistogram, "seconds", profile, "From the request's headers to the end of a whole answer."}},
+		{&s.Entry.Offers, description{"entry_offers_total", kindCounter, "offers", result, "Offers to agents: accept, refuse, silent where none came in time, or broken where the link broke or did not open."}},
+		{&s.Entry.Retries, description{"entry_retries_total", kindCounter, "requests", result, "Repeats after a failure: spent, or denied by the retry budget."}},
+		{&s.Entry.Attached, description{"entry_attached_total", kindCounter, "links", result, "Broken links to agents in mid-answer: ok when taken up again, else the reason."}},
+		{&s.Entry.Hints, description{"entry_hints_total", kindCounter, "requests", result, "Requests with a hint: kept when the hinted target served, lost when another did."}},
+		{&s.Entry.AgentLinks, description{"entry_links", kindGauge, "connections", nil, "Open connections to agents."}},
+		{&s.Agent.Offers, description{"agent_offers_total", kindCounter, "offers", result, "Offers of entries: accept, wait, or the reason of the refusal."}},
+		{&s.Agent.Wait, description{"agent_wait_seconds", kindHistogram, "seconds", profile, "Time that requests waited at the target before they ran."}},
+		{&s.Agent.FirstToken, description{"agent_first_token_seconds", kindHistogram, "seconds", profile, "From the call of the target to the first byte of its answer's body."}},
+		{&s.Agent.Runs, description{"agent_runs_total", kindCounter, "requests", result, "Requests handed to the target: served, canceled, or the reason of the broken answer."}},
+		{&s.Agent.Running, description{"agent_running", kindGauge, "requests", nil, "Requests that run at the target."}},
+		{&s.Agent.Waiting, description{"agent_waiting", kindGauge, "requests", nil, "Requests that wait at the target."}},
+		{&s.Agent.Cap, description{"agent_cap", kindGauge, "requests", nil, "The most that may run now: cold-start cap, multiple of the mean, or slots."}},
+		{&s.Agent.Mean, description{"agent_mean", kindGauge, "requests", nil, "Estimated mean load of the model's targets for one unit of weight."}},
+		{&s.Agent.MeanAge, description{"agent_mean_age_seconds", kindGauge, "seconds", nil, "Age of the oldest sample that the mean rests on."}},
+		{&s.Agent.Weight, description{"agent_weight", kindGauge, "share", nil, "Share of its full load that the target asks for: 0 to 1."}},
+		{&s.Agent.Cold, description{"agent_cold", kindGauge, "0 or 1", nil, "1 while the target has not proven warm."}},
+		{&s.Agent.Crashes, description{"agent_crashes_total", kindCounter, "crashes", nil, "Times that the target died or restarted."}},
+		{&s.Agent.CachedTokens, description{"agent_cached_tokens_total", kindCounter, "tokens", profile, "Prompt tokens that the target found in its cache."}},
+		{&s.Agent.Moves, description{"agent_moves_total", kindCounter, "chats", []string{labelWay, labelResult}, "KV cache moves of chats: way is import or export, result is ok or why it was given up."}},
+		{&s.Agent.MovedBytes, description{"agent_moved_bytes_total", kindCounter, "bytes", []string{labelWay}, "Bytes of KV cache moved."}},
+		{&s.Agent.Tickets, description{"agent_tickets_total", kindCounter, "tickets", []string{labelResult}, "Tickets by state reached: fresh, running, done, unknown, dropped, or the reason of a refusal."}},
+		{&s.Agent.Orders, description{"agent_orders_total", kindCounter, "orders", []string{labelKind, labelResult}, "Orders to the engine by kind and end."}},
+		{&s.Relay.Requests, description{"relay_requests_total", kindCounter, "requests", []string{labelKind, labelResult}, "Answers to callers by kind of route: ok, canceled, or the reason of the refusal or of the broken answer."}},
+		{&s.Relay.OpenRequests, description{"relay_open", kindGauge, "requests", nil, "Requests of callers in progress at an entry without agents."}},
+		{&s.Relay.FirstByte, description{"relay_first_byte_seconds", kindHistogram, "seconds", []string{labelKind}, "From the request's headers to the first event of a stream."}},
+		{&s.Relay.Answer, description{"relay_answer_seconds", kindHistogram, "seconds", []string{labelKind}, "From the request's headers to the end of a whole answer."}},
+		{&s.Relay.Tries, description{"relay_tries_total", kindCounter, "requests", []string{labelService, labelResult}, "Sends to targets by service: ok, or the reason of the failure."}},
+		{&s.Relay.Silent, description{"relay_silent_total", kindCounter, "requests", []string{labelService}, "Requests that the target's host had not acknowledged after a quarter of a second."}},
+		{&s.Relay.Verified, description{"relay_verified_total", kindCounter, "requests", []string{labelService}, "Requests that opened a connection to verify that the target's host is there."}},
+		{&s.Relay.RetriesDenied, description{"relay_retries_denied_total", kindCounter, "requests", []string{labelService}, "Repeats that the service's retry budget did not allow."}},
+		{&s.Relay.PromptTokens, description{"relay_prompt_tokens_total", kindCounter, "tokens", []string{labelResult}, "Prompt tokens sent: held by the target, fetched from another, or to be read."}},
+		{&s.Relay.Peers, description{"relay_peers", kindGauge, "entries", nil, "Other entries of the fleet, as far as this one knows."}},
+		{&s.Relay.ProofAge, description{"relay_proof_age_seconds", kindGauge, "seconds", nil, "Age of the proof that the configuration in force is current."}},
+		{&s.Relay.Version, description{"relay_version", kindGauge, "version", nil, "Version of the configuration in force; 0 for none."}},
+		{&s.Relay.Targets, description{"relay_targets", kindGauge, "targets", nil, "Targets that are known."}},
+		{&s.Relay.DatagramBytes, description{"relay_datagram_bytes_total", kindCounter, "bytes", []string{labelWay}, "Bytes of datagrams between entries: in and out."}},
+		{&s.Relay.ConnectionsOpened, description{"relay_connections_total", kindCounter, "connections", nil, "Connections to targets that were opened."}},
+		{&s.Relay.LogLinesDropped, description{"relay_log_dropped_total", kindCounter, "lines", nil, "Lines of the log that were dropped, as their reader was too slow."}},
+		{&s.Relay.Refused, description{"relay_refused_total", kindCounter, "requests", []string{labelWorkspace, labelResult}, "Requests that found no place at a target: full, or share where only those within their share got one."}},
+		{&s.Relay.PlacesTaken, description{"relay_places_taken", kindGauge, "share", []string{labelService}, "Part of the places of a service's targets that was taken when a request last asked for one; 1 and more for all."}},
+		{&s.Relay.PlacesKept, description{"relay_places_kept", kindGauge, "share", []string{labelService}, "Part of the places of a service's targets that is kept for requests within their share."}},
+		{&s.Relay.Reads, description{"relay_reads_total", kindCounter, "calls", []string{labelTopic, labelFrom}, "Reads of published facts that brought changes, from a peer or the source, and those that failed."}},
+		{&s.Relay.ReadBytes, description{"relay_read_bytes_total", kindCounter, "bytes", []string{labelTopic, labelFrom}, "Bytes of these reads."}},
+		{&s.Relay.ReadGap, description{"relay_read_gap_seconds", kindHistogram, "seconds", []string{labelTopic, labelFrom}, "Age of the last proof when changes were read: no change that was read is older."}},
+		{&s.Relay.TargetsEnded, description{"relay_targets_ended_total", kindCounter, "targets", []string{labelProof}, "Targets that ended without notice while requests ran on them, by what proved it: refused, list or peer."}},
+		{&s.Relay.CrashAge, description{"relay_crash_age_seconds", kindHistogram, "seconds", nil, "Age of a crash when a peer's report of it came, less the time on the way."}},
+		{&s.Relay.CallerConnections, description{"relay_callers", kindGauge, "connections", nil, "Connections of callers that are held."}},
+		{&s.Workspaces.Requests, description{"workspace_requests_total", kindCounter, "requests", []string{labelWorkspace, labelResult}, "Requests of a workspace: ok, refused, broken or canceled."}},
+		{&s.Workspaces.Tokens, description{"workspace_tokens_total", kindCounter, "tokens", []string{labelWorkspace}, "Estimated work that the target did for a workspace."}},
+		{&s.Workspaces.Wait, description{"workspace_wait_seconds", kindHistogram, "seconds", []string{labelWorkspace}, "Time that a workspace's requests waited before they ran."}},
+		{&s.Publication.Version, description{"publication_version", kindGauge, "version", nil, "Version of the publication in force; 0 for none."}},
+		{&s.Publication.Changes, description{"publications_total", kindCounter, "publications", []string{labelResult}, "Publications seen: accepted, or why not."}},
+		{&s.Publication.GossipBytes, description{"gossip_bytes_total", kindCounter, "bytes", []string{labelWay}, "Bytes of control messages with peers: in and out."}},
+		{&s.Publication.GossipRounds, description{"gossip_rounds_total", kindCounter, "exchanges", []string{labelResult}, "Exchanges with peers: ok or failed."}},
+		{&s.Process.Audit, description{"audit_records_total", kindCounter, "records", []string{labelKind}, "Records of the audit trail by kind."}},
 	}
 }
 
-func catalog() []entry {
-	list := (&Set{}).all()
-	entries := make([]entry, 0, len(list))
+func catalog() []description {
+	list := (&Set{}).metrics()
+	entries := make([]description, 0, len(list))
 	for _, b := range list {
-		entries = append(entries, b.e)
+		entries = append(entries, b.desc)
 	}
 	return entries
 }
@@ -207,7 +207,7 @@
 // NewSet returns a set whose counts reach the scraper once a second. Close it
 // when the process ends.
 func NewSet() (*Set, error) {
-	return newSet(interval)
+	return newSet(reportInterval)
 }
 
 func newSet(every time.Duration) (*Set, error) {
@@ -221,29 +221,29 @@
 		OmitCardinalityMetrics: true,
 	}, every)
 	s := &Set{handler: reporter.HTTPHandler(), closer: closer}
-	ranked := &top{}
-	for _, b := range s.all() {
-		if err := describe(reporter, b.e); err != nil {
-			return nil, errors.Wrapf(err, "metric %s", b.e.name)
+	ranked := &topWorkspaces{}
+	for _, b := range s.metrics() {
+		if err := registerHelp(reporter, b.desc); err != nil {
+			return nil, errors.Wrapf(err, "metric %s", b.desc.name)
 		}
-		b.v.bind(scope, b.e, ranked)
+		b.v.bind(scope, b.desc, ranked)
 	}
 	return s, nil
 }
 
-// describe gives the scraper the metric's help text.
-func describe(r prometheus.Reporter, e entry) error {
+// registerHelp gives the scraper the metric's help text.
+func registerHelp(r prometheus.Reporter, e description) error {
 	name := prefix + prometheus.DefaultSeparator + e.name
 	var err error
 	switch e.kind {
 	case kindCounter:
-		_, err = r.RegisterCounter(name, e.labels, e.meaning)
+		_, err = r.RegisterCounter(name, e.labels, e.help)
 	case kindGauge:
-		_, err = r.RegisterGauge(name, e.labels, e.meaning)
+		_, err = r.RegisterGauge(name, e.labels, e.help)
 	case kindHistogram:
-		_, err = r.RegisterTimer(name, e.labels, e.meaning, &prometheus.RegisterTimerOptions{
+		_, err = r.RegisterTimer(name, e.labels, e.help, &prometheus.RegisterTimerOptions{
 			TimerType:        prometheus.HistogramTimerType,
-			HistogramBuckets: seconds(waits),
+			HistogramBuckets: seconds(durationBuckets),
 		})
 	}
 	return err
--- a/meter/top.go
+++ b/meter/top.go
@@ -3,74 +3,74 @@
 import "sync"
 
 const (
-	// topSeries is how many workspaces have series of their own at a time:
+	// maxSeries is how many workspaces have series of their own at a time:
 	// today's customers are about ten, and fifty fit a page of a report.
-	topSeries = 50
-	// topEver bounds the workspaces that ever get series of their own: one
+	maxSeries = 50
+	// maxSeriesEver bounds the workspaces that ever get series of their own: one
 	// that drops out keeps its old series, since a counter that vanishes reads
 	// as a restart.
-	topEver = 2 * topSeries
-	// topCounted bounds the workspaces whose requests are counted for the
+	maxSeriesEver = 2 * maxSeries
+	// maxCounted bounds the workspaces whose requests are counted for the
 	// ranking. It bounds memory, not what is published.
-	topCounted = 1024
-	// lead is how much busier than the least busy of the named a workspace has
+	maxCounted = 1024
+	// minLead is how much busier than the least busy of the named a workspace has
 	// to be to take its place, so that two of like traffic do not take turns.
-	lead = 2
+	minLead = 2
 )
 
-// top decides which workspaces have series of their own: those with the most
+// topWorkspaces decides which workspaces have series of their own: those with the most
 // requests. Without it each workspace of a large customer base would cost
 // every process tens of series; with the first ones named for good, a quiet
 // early one would keep a large late one out of the report.
-type top struct {
-	mu     sync.Mutex
-	counts map[string]int64
-	named  map[string]bool
-	ever   int
+type topWorkspaces struct {
+	mu         sync.Mutex
+	counts     map[string]int64
+	withSeries map[string]bool
+	admitted   int
 }
 
 // label counts one request and returns the label value to use for it.
-func (t *top) label(workspace string) string {
+func (t *topWorkspaces) label(workspace string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.counts == nil {
 		t.counts = make(map[string]int64)
-		t.named = make(map[string]bool)
+		t.withSeries = make(map[string]bool)
 	}
-	if _, ok := t.counts[workspace]; !ok && len(t.counts) >= topCounted {
+	if _, ok := t.counts[workspace]; !ok && len(t.counts) >= maxCounted {
 		return other
 	}
 	t.counts[workspace]++
-	if t.named[workspace] || t.admit(workspace) {
+	if t.withSeries[workspace] || t.admit(workspace) {
 		return workspace
 	}
 	return other
 }
 
-func (t *top) admit(workspace string) bool {
-	if t.ever >= topEver {
+func (t *topWorkspaces) admit(workspace string) bool {
+	if t.admitted >= maxSeriesEver {
 		return false
 	}
-	if len(t.named) >= topSeries && !t.displace(t.counts[workspace]) {
+	if len(t.withSeries) >= maxSeries && !t.evictLeast(t.counts[workspace]) {
 		return false
 	}
-	t.named[workspace] = true
-	t.ever++
+	t.withSeries[workspace] = true
+	t.admitted++
 	return true
 }
 
-// displace takes its series from the least busy workspace when the newcomer is
+// evictLeast takes its series from the least busy workspace when the newcomer is
 // clearly busier.
-func (t *top) displace(count int64) bool {
-	least := ""
-	for w := range t.named {
-		if least == "" || t.counts[w] < t.counts[least] || t.counts[w] == t.counts[least] && w < least {
-			least = w
+func (t *topWorkspaces) evictLeast(count int64) bool {
+	victim := ""
+	for w := range t.withSeries {
+		if victim == "" || t.counts[w] < t.counts[victim] || t.counts[w] == t.counts[victim] && w < victim {
+			victim = w
 		}
 	}
-	if count <= lead*t.counts[least] {
+	if count <= minLead*t.counts[victim] {
 		return false
 	}
-	delete(t.named, least)
+	delete(t.withSeries, victim)
 	return true
 }
--- a/meter/vector.go
+++ b/meter/vector.go
@@ -7,41 +7,41 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// most is how many values one label other than workspace may take. Profiles,
+// maxLabelValues is how many values one label other than workspace may take. Profiles,
 // reasons and kinds are published or fixed, and far fewer; the bound is for
 // the defect that puts a caller's text into a label, which would otherwise
 // show as a process that grows until it is killed.
-const most = 200
+const maxLabelValues = 200
 
 // other is the label value that all values beyond a bound share.
 const other = "other"
 
-// labels is how many labels a metric has at most.
-const labels = 2
+// maxLabels is how many labels a metric has at most.
+const maxLabels = 2
 
-// key is a metric's label values; an array, so that looking up a series
+// labelValues is a metric's label values; an array, so that looking up a series
 // allocates nothing.
-type key [labels]string
+type labelValues [maxLabels]string
 
 // series holds the series of one metric by label values.
 type series[T any] struct {
 	scope tally.Scope
-	e     entry
+	desc  description
 
-	mu    sync.RWMutex
-	found map[key]T
-	seen  [labels]map[string]bool
+	mu         sync.RWMutex
+	byLabels   map[labelValues]T
+	seenValues [maxLabels]map[string]bool
 	// ranked is set where the first label is a workspace. All metrics share
 	// it, so that they name the same workspaces.
-	ranked *top
+	ranked *topWorkspaces
 }
 
-func (s *series[T]) init(scope tally.Scope, e entry, t *top) {
+func (s *series[T]) init(scope tally.Scope, e description, t *topWorkspaces) {
 	s.scope = scope
-	s.e = e
-	s.found = make(map[key]T)
+	s.desc = e
+	s.byLabels = make(map[labelValues]T)
 	for i, l := range e.labels {
-		s.seen[i] = make(map[string]bool)
+		s.seenValues[i] = make(map[string]bool)
 		if l == labelWorkspace {
 			s.ranked = t
 		}
@@ -54,13 +54,13 @@
 	if s.scope == nil {
 		return zero, false
 	}
-	var k key
+	var k labelValues
 	copy(k[:], values)
 	if s.ranked != nil {
 		k[0] = s.ranked.label(k[0])
 	}
 	s.mu.RLock()
-	v, ok := s.found[k]
+	v, ok := s.byLabels[k]
 	s.mu.RUnlock()
 	if ok {
 		return v, true
@@ -68,34 +68,34 @@
 	return s.add(k, create), true
 }
 
-func (s *series[T]) add(k key, create func(tally.Scope, string) T) T {
+func (s *series[T]) add(k labelValues, create func(tally.Scope, string) T) T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	tags := map[string]string{}
-	for i, l := range s.e.labels {
-		k[i] = s.bounded(i, k[i])
+	for i, l := range s.desc.labels {
+		k[i] = s.boundValue(i, k[i])
 		tags[l] = k[i]
 	}
-	if v, ok := s.found[k]; ok {
+	if v, ok := s.byLabels[k]; ok {
 		return v
 	}
 	scope := s.scope
 	if len(tags) > 0 {
 		scope = scope.Tagged(tags)
 	}
-	v := create(scope, s.e.name)
-	s.found[k] = v
+	v := create(scope, s.desc.name)
+	s.byLabels[k] = v
 	return v
 }
 
-func (s *series[T]) bounded(i int, v string) string {
-	if s.seen[i][v] {
+func (s *series[T]) boundValue(i int, v string) string {
+	if s.seenValues[i][v] {
 		return v
 	}
-	if len(s.seen[i]) >= most {
+	if len(s.seenValues[i]) >= maxLabelValues {
 		return other
 	}
-	s.seen[i][v] = true
+	s.seenValues[i][v] = true
 	return v
 }
 
@@ -104,7 +104,7 @@
 // without a set.
 type Counter struct{ series[tally.Counter] }
 
-func (c *Counter) bind(scope tally.Scope, e entry, t *top) { c.init(scope, e, t) }
+func (c *Counter) bind(scope tally.Scope, e description, t *topWorkspaces) { c.init(scope, e, t) }
 
 // Add adds n, which is not negative.
 func (c *Counter) Add(n int64, values ...string) {
@@ -116,7 +116,7 @@
 // Gauge holds the latest value of something.
 type Gauge struct{ series[tally.Gauge] }
 
-func (g *Gauge) bind(scope tally.Scope, e entry, t *top) { g.init(scope, e, t) }
+func (g *Gauge) bind(scope tally.Scope, e description, t *topWorkspaces) { g.init(scope, e, t) }
 
 // Set replaces the value.
 func (g *Gauge) Set(v float64, values ...string) {
@@ -128,7 +128,7 @@
 // Histogram counts durations by bucket.
 type Histogram struct{ series[tally.Histogram] }
 
-func (h *Histogram) bind(scope tally.Scope, e entry, t *top) { h.init(scope, e, t) }
+func (h *Histogram) bind(scope tally.Scope, e description, t *topWorkspaces) { h.init(scope, e, t) }
 
 // Observe counts one duration.
 func (h *Histogram) Observe(d time.Duration, values ...string) {
@@ -138,5 +138,5 @@
 }
 
 func newHistogram(scope tally.Scope, name string) tally.Histogram {
-	return scope.Histogram(name, waits)
+	return scope.Histogram(name, durationBuckets)
 }
--- a/node/agent.go
+++ b/node/agent.go
@@ -70,7 +70,7 @@
 func (n *Agent) stop() error {
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
 	n.log.Emit(event.ProcessDrain, event.Int("running", int64(n.agent.Load().Running)))
-	ctx, cancel := context.WithTimeout(context.Background(), n.Settings.Drain.Std())
+	ctx, cancel := context.WithTimeout(context.Background(), n.Settings.DrainTimeout.Std())
 	defer cancel()
 	err := n.agent.Leave(ctx)
 	stopServer(ctx, n.server)
@@ -96,7 +96,7 @@
 		Detector:    n.detector,
 		Issuer:      &ticket.Issuer{Target: name},
 		Sampler:     n.sampler,
-		Answers:     &answer.Store{Keep: n.settings.Keep.Time.Std(), Most: n.settings.Keep.Bytes},
+		Answers:     &answer.Store{Keep: n.settings.Keep.MaxAge.Std(), Most: n.settings.Keep.MaxBytes},
 		Reuse:       reuse,
 		Single:      single,
 		Linger:      n.settings.Linger.Std(),
@@ -156,14 +156,14 @@
 	}
 	m := n.mean()
 	s.Domains = ownDomain(v, t, admin.Target{
-		Name: t.Name, Host: t.Host, Model: t.Model, Life: n.agent.Life(), Load: &load, Mean: &m,
-		Why: admin.Why(v, t, &load, true),
+		Name: t.Name, Host: t.Host, Model: t.Model, State: n.agent.Life(), Load: &load, Mean: &m,
+		IdleReason: admin.IdleReason(v, t, &load, true),
 	})
 	return s
 }
 
 func ownDomain(v *chestnutstep.View, t *chestnutstep.Target, show admin.Target) []admin.Domain {
-	d := v.Domains[t.Host]
+	d := v.DomainByHost[t.Host]
 	if d == nil {
 		return nil
 	}
--- a/node/base.go
+++ b/node/base.go
@@ -72,7 +72,7 @@
 			return nil, errors.Wrap(err, "tls")
 		}
 	}
-	b.pool = &dial.Pool{Credentials: b.credentials(), Idle: s.Idle.Std()}
+	b.pool = &dial.Pool{Credentials: b.credentials(), Idle: s.IdleTimeout.Std()}
 	b.store = &config.Store{
 		OnChange: []func(config.Change){b.accepted},
 		OnRefuse: []func(config.Refusal){b.refused},
@@ -96,7 +96,7 @@
 		grpc.ReadBufferSize(connectionBuffer),
 		grpc.WriteBufferSize(connectionBuffer),
 		grpc.SharedWriteBuffer(true),
-		grpc.MaxConcurrentStreams(uint32(b.settings.Streams)),
+		grpc.MaxConcurrentStreams(uint32(b.settings.MaxStreams)),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
 	)
--- a/node/count.go
+++ b/node/count.go
@@ -10,7 +10,7 @@
 
 // serveMetrics serves the metrics address until ctx ends.
 func (n *Direct) serveMetrics(ctx context.Context) {
-	srv := &admin.Server{Addr: n.Settings.Metrics, Log: n.log, Ready: n.ready, Metrics: n.meters.Handler()}
+	srv := &admin.Server{Addr: n.Settings.MetricsAddr, Log: n.log, Ready: n.ready, Metrics: n.meters.Handler()}
 	// A failure is logged there; requests don't need the address.
 	_ = srv.Run(ctx)
 }
@@ -27,10 +27,10 @@
 	m, c := &n.meters.Relay, &n.counted
 	dropped, opened := n.async.Dropped(), n.pool.Opened()
 	out, in := n.peers.Bytes()
-	m.Dropped.Add(dropped - c.dropped)
-	m.Opened.Add(opened - c.opened)
-	m.Datagrams.Add(out-c.out, "out")
-	m.Datagrams.Add(in-c.in, "in")
+	m.LogLinesDropped.Add(dropped - c.dropped)
+	m.ConnectionsOpened.Add(opened - c.opened)
+	m.DatagramBytes.Add(out-c.out, "out")
+	m.DatagramBytes.Add(in-c.in, "in")
 	if dropped > c.dropped {
 		n.log.Emit(event.LinesDropped, event.Int("lines", dropped-c.dropped))
 	}
@@ -43,14 +43,14 @@
 		n.crowd(open, crowded)
 	}
 	n.counted = counted{dropped, opened, out, in, live, crowded}
-	m.Callers.Set(float64(open))
+	m.CallerConnections.Set(float64(open))
 	for _, p := range n.board.Places(clock.Now()) {
-		m.Taken.Set(p.Taken, p.Service)
-		m.Kept.Set(p.Kept, p.Service)
+		m.PlacesTaken.Set(p.Taken, p.Service)
+		m.PlacesKept.Set(p.Kept, p.Service)
 	}
 	m.Peers.Set(float64(live))
-	m.Open.Set(float64(n.relay.Open()))
-	m.Proof.Set(n.proofAge().Seconds())
+	m.OpenRequests.Set(float64(n.relay.Open()))
+	m.ProofAge.Set(n.proofAge().Seconds())
 	if v := n.roster.View(); v != nil {
 		m.Version.Set(float64(v.Routing.Version))
 		m.Targets.Set(float64(len(v.ByID)))
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -48,7 +48,7 @@
 // read sends a request with a prompt of its own, which is news for the peers.
 func (d *direct) read(t *testing.T, n int) {
 	t.Helper()
-	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.Callers+"/look/x", strings.NewReader("harmless"))
+	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+"/look/x", strings.NewReader("harmless"))
 	assert.NilError(t, err)
 	r.Host = "shop.example"
 	r.Header.Set("Attempt-Id", fmt.Sprint("read-", n))
@@ -61,7 +61,7 @@
 func TestRepeatAtAnotherEntryIsRefused(t *testing.T) {
 	store, targets := newDeadlyTargets(t)
 	one := startDirect(t, store)
-	two := startDirect(t, store, one.settings.Peer)
+	two := startDirect(t, store, one.settings.PeerAddr)
 	waitFor(t, func() bool {
 		return strings.Contains(one.out.text(), `"peers":1`) && strings.Contains(two.out.text(), `"peers":1`)
 	}, "the entries know each other")
@@ -87,7 +87,7 @@
 	for n := range 100 {
 		one.read(t, n)
 	}
-	late := startDirect(t, store, one.settings.Peer)
+	late := startDirect(t, store, one.settings.PeerAddr)
 	waitFor(t, func() bool { return strings.Contains(late.out.text(), "crash_noted") }, "the new entry knows")
 	assert.Equal(t, late.repeat("late"), http.StatusServiceUnavailable)
 	assert.Equal(t, countDead(targets), 2)
--- a/node/direct.go
+++ b/node/direct.go
@@ -57,23 +57,23 @@
 // Direct is an entry that brings requests to targets without agents. Set the
 // fields before Run.
 type Direct struct {
-	Settings *config.Direct
+	Settings *config.DirectSettings
 	// Source of each topic.
 	Source func(chestnutstep.Topic) chestnutstep.Source
-	Wire   chestnutstep.Wire
+	Wire   chestnutstep.HeaderCodec
 	// Facts reads what a peer's copy holds; nil takes no copies.
 	Facts chestnutstep.Decoder
 	// Caches asks targets what they hold; nil for never.
-	Caches chestnutstep.Caches
+	Caches chestnutstep.CacheLister
 	// Out receives the log; standard output if unset.
 	Out io.Writer
 	// Reloader brings changed settings; nil for none.
 	Reloader *config.Reloader
 
-	settings atomic.Pointer[config.Direct]
+	settings atomic.Pointer[config.DirectSettings]
 	meters   *meter.Set
 	log      *event.Log
-	async    *event.Async
+	async    *event.AsyncWriter
 	roster   *roster.Roster
 	board    *board.Board
 	crashes  *relay.Crashes
@@ -106,18 +106,18 @@
 	if err := n.build(); err != nil {
 		return err
 	}
-	callers, err := callersListen.Listen(ctx, "tcp", n.Settings.Callers)
+	callers, err := callersListen.Listen(ctx, "tcp", n.Settings.CallerAddr)
 	if err != nil {
 		return errors.Wrap(err, "callers")
 	}
 	if err := relay.BoundQueue(callers); err != nil {
 		return errors.Wrap(err, "queue of callers")
 	}
-	ready, err := net.Listen("tcp", n.Settings.Ready)
+	ready, err := net.Listen("tcp", n.Settings.ReadyAddr)
 	if err != nil {
 		return errors.Wrap(err, "ready")
 	}
-	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, Most: n.Settings.CallersMost(filesMost()), Shed: n.shed}
+	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, Most: n.Settings.MaxCallers(filesMost()), Shed: n.shed}
 	n.logStart()
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -144,9 +144,9 @@
 }
 
 func (n *Direct) logStart() {
-	n.log.Emit(event.ProcessStart, event.Str("role", string(config.RoleEntry)), event.Str("callers", n.Settings.Callers))
-	n.log.Emit(event.SettingsInForce, event.Dur("grace", n.Settings.Bounds.Grace), event.Dur("revoke", n.Settings.Bounds.Revoke),
-		event.Int("callers", int64(n.callers.Most)), event.Str("unknown", strings.Join(n.Settings.Unknown, " ")))
+	n.log.Emit(event.ProcessStart, event.Str("role", string(config.RoleEntry)), event.Str("callers", n.Settings.CallerAddr))
+	n.log.Emit(event.SettingsInForce, event.Dur("grace", n.Settings.Bounds.GracePeriod), event.Dur("revoke", n.Settings.Bounds.MaxRevokeTime),
+		event.Int("callers", int64(n.callers.Most)), event.Str("unknown", strings.Join(n.Settings.UnknownFields, " ")))
 }
 
 // begin starts what runs beside the servers.
@@ -154,13 +154,13 @@
 	start(work, n.loop, n.learn, n.peers.Loop, n.delays.loop,
 		n.watcher(chestnutstep.TopicTargets).Run, n.watcher(chestnutstep.TopicRouting).Run)
 	if n.Reloader != nil {
-		n.Reloader.Changed, n.Reloader.Refused = n.reload, n.refuse
-		start(work, n.Reloader.Loop)
+		n.Reloader.OnChange, n.Reloader.OnError = n.reload, n.refuse
+		start(work, n.Reloader.Run)
 	}
-	if n.Settings.Control != "" && n.Facts != nil {
+	if n.Settings.ControlAddr != "" && n.Facts != nil {
 		start(work, n.serveControl)
 	}
-	if n.Settings.Metrics != "" {
+	if n.Settings.MetricsAddr != "" {
 		start(work, n.serveMetrics)
 	}
 }
@@ -175,14 +175,14 @@
 	if n.meters, err = meter.NewSet(); err != nil {
 		return errors.Wrap(err, "metrics")
 	}
-	n.async = event.NewAsync(n.Out)
+	n.async = event.NewAsyncWriter(n.Out)
 	n.log = &event.Log{Out: n.async, Process: n.Settings.Name}
 	n.wake = make(chan struct{}, 1)
 	n.settled = make(chan struct{})
 	n.roster = &roster.Roster{}
 	n.pool = &link.Pool{}
 	n.crashes = &relay.Crashes{Log: n.log, Meters: &n.meters.Relay, OnLoss: n.spreadCrashes}
-	self, err := netip.ParseAddrPort(n.Settings.Peer)
+	self, err := netip.ParseAddrPort(n.Settings.PeerAddr)
 	if err != nil {
 		return errors.Wrap(err, "peer address")
 	}
@@ -204,12 +204,12 @@
 		Budgets: &retry.Budgets{Bounds: n.retryBounds, Entries: n.board.Entries},
 	}
 	n.shed = &relay.Shedder{Relay: n.relay}
-	conn, err := net.ListenPacket("udp", n.Settings.Peer)
+	conn, err := net.ListenPacket("udp", n.Settings.PeerAddr)
 	if err != nil {
 		return errors.Wrap(err, "peer")
 	}
-	n.peers = &share.Peers{Self: self, Run: drawRun(), Knowledge: n, Conn: conn, OnError: n.datagramFailed, Link: uint32(n.Settings.Link)}
-	if a, err := netip.ParseAddrPort(n.Settings.Control); err == nil && n.Facts != nil {
+	n.peers = &share.Peers{Self: self, Run: drawRun(), Knowledge: n, Conn: conn, OnError: n.datagramFailed, Link: uint32(n.Settings.LinkMbps)}
+	if a, err := netip.ParseAddrPort(n.Settings.ControlAddr); err == nil && n.Facts != nil {
 		n.peers.Control = a.Port()
 	}
 	n.peers.Seeds = seedAddrs(n.Settings.Seeds)
@@ -232,20 +232,20 @@
 
 func (n *Direct) coldBounds() (over, slack float64) {
 	b := n.bounds()
-	return b.ColdOver, b.ColdSlack
+	return b.ColdFactor, b.ColdSlack
 }
 
 func (n *Direct) retryBounds() retry.Bounds {
 	b := n.bounds()
-	return retry.Bounds{Share: b.RetryShare, Slack: b.RetrySlack, Window: b.RetryWindow}
+	return retry.Bounds{Share: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}
 }
 
 // reload puts changed settings in force: bounds and seeds. Addresses are taken
 // at the next start.
-func (n *Direct) reload(s *config.Direct) {
+func (n *Direct) reload(s *config.DirectSettings) {
 	n.settings.Store(s)
 	n.peers.Seed(seedAddrs(s.Seeds))
-	n.log.Emit(event.SettingsInForce, event.Dur("grace", s.Bounds.Grace), event.Dur("revoke", s.Bounds.Revoke))
+	n.log.Emit(event.SettingsInForce, event.Dur("grace", s.Bounds.GracePeriod), event.Dur("revoke", s.Bounds.MaxRevokeTime))
 }
 
 func (n *Direct) refuse(err error) { n.log.Emit(event.SettingsRefused, event.Err(err)) }
--- a/node/direct_test.go
+++ b/node/direct_test.go
@@ -27,7 +27,7 @@
 
 // direct is an entry without agents in this process.
 type direct struct {
-	settings *config.Direct
+	settings *config.DirectSettings
 	door     *stand.Door
 	out      *pausable
 	stop     context.CancelFunc
@@ -52,14 +52,14 @@
 	return p.got.String()
 }
 
-func directSettings(t *testing.T, store string, seeds ...string) *config.Direct {
+func directSettings(t *testing.T, store string, seeds ...string) *config.DirectSettings {
 	t.Helper()
-	return &config.Direct{
-		Name: "entry", IP: node.OwnHost, Domain: "z", Callers: node.FreeAddr(t), Ready: node.FreeAddr(t), Control: node.FreeAddr(t),
-		Peer: node.FreeAddr(t), Metrics: node.FreeAddr(t), Seeds: seeds, Store: store, First: true,
+	return &config.DirectSettings{
+		Name: "entry", IP: node.OwnHost, Domain: "z", CallerAddr: node.FreeAddr(t), ReadyAddr: node.FreeAddr(t), ControlAddr: node.FreeAddr(t),
+		PeerAddr: node.FreeAddr(t), MetricsAddr: node.FreeAddr(t), Seeds: seeds, StoreAddr: store, Bootstrap: true,
 		Bounds: config.Bounds{
-			Grace: 6 * time.Second, Revoke: 2 * time.Second,
-			RetryShare: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second, ColdOver: 1.5, ColdSlack: 5, Cap: 2,
+			GracePeriod: 6 * time.Second, MaxRevokeTime: 2 * time.Second,
+			RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second, ColdFactor: 1.5, ColdSlack: 5, CapFactor: 2,
 		},
 	}
 }
@@ -80,7 +80,7 @@
 	t.Cleanup(d.stop)
 	source := platform.NewStore(d.door.Address(), link.Dial)
 	n := &node.Direct{
-		Settings: d.settings, Source: source.Topic, Wire: platform.Wire{}, Out: d.out, Reloader: reloader, Facts: source,
+		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Reloader: reloader, Facts: source,
 	}
 	go func() { d.done <- n.Run(ctx) }()
 	waitFor(t, func() bool { return d.ready() == http.StatusOK }, "the entry is ready")
@@ -96,7 +96,7 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-func (d *direct) ready() int { return status(http.Get("http://" + d.settings.Ready + "/anything")) }
+func (d *direct) ready() int { return status(http.Get("http://" + d.settings.ReadyAddr + "/anything")) }
 
 func status(resp *http.Response, err error) int {
 	if err != nil {
@@ -109,7 +109,7 @@
 
 // ask sends one request on a new connection.
 func (d *direct) ask(path, key, id string) (*http.Response, error) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.Callers+path, strings.NewReader("body"))
+	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+path, strings.NewReader("body"))
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +163,7 @@
 	for time.Since(revoked) < 3*time.Second {
 		sent := time.Now()
 		got := status(d.ask("/book/1", "k", fmt.Sprint("r", sent.UnixNano())))
-		late := sent.Sub(revoked) > d.settings.Bounds.Revoke
+		late := sent.Sub(revoked) > d.settings.Bounds.MaxRevokeTime
 		assert.Assert(t, !late || got == http.StatusServiceUnavailable, "%d after %s", got, sent.Sub(revoked))
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -182,7 +182,7 @@
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
 	first := startDirect(t, store)
-	second := startDirect(t, store, first.settings.Peer)
+	second := startDirect(t, store, first.settings.PeerAddr)
 	waitFor(t, func() bool { return strings.Contains(second.out.text(), `"peers":1`) }, "they hear each other")
 	second.door.Set(stand.Busy)
 	for range 30 {
@@ -207,7 +207,7 @@
 	defer resp.Body.Close()
 	d.stop()
 	waitFor(t, func() bool { return d.ready() == http.StatusServiceUnavailable }, "it says that it is not ready")
-	late, err := net.Dial("tcp", d.settings.Callers)
+	late, err := net.Dial("tcp", d.settings.CallerAddr)
 	assert.NilError(t, err)
 	defer late.Close()
 	fmt.Fprint(late, "POST /book/1 HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: late\r\nCredential: k\r\nContent-Length: 0\r\n\r\n")
@@ -250,14 +250,14 @@
 	file := filepath.Join(t.TempDir(), "settings")
 	assert.NilError(t, os.WriteFile(file, []byte("first"), 0o600))
 	d.run(t, &config.Reloader{
-		Path: file, Every: 20 * time.Millisecond, Read: []byte("first"),
-		Parse: func(path string) (*config.Direct, error) {
+		Path: file, Interval: 20 * time.Millisecond, Read: []byte("first"),
+		Parse: func(path string) (*config.DirectSettings, error) {
 			raw, err := os.ReadFile(path)
 			if err != nil || string(raw) == "broken" {
 				return nil, fmt.Errorf("field x: broken")
 			}
 			s := *d.settings
-			s.Bounds.Revoke = time.Hour
+			s.Bounds.MaxRevokeTime = time.Hour
 			return &s, nil
 		},
 	})
@@ -280,7 +280,7 @@
 		if t == chestnutstep.TopicTargets {
 			return s
 		}
-		return store.Topic(t)
+		return store.TopicSource(t)
 	}
 }
 
@@ -298,9 +298,9 @@
 	door := store.Open()
 	t.Cleanup(door.Close)
 	source := platform.NewStore(door.Address(), link.Dial)
-	slow := &slowList{Source: source.Topic(chestnutstep.TopicTargets), asked: make(chan struct{}), release: make(chan struct{})}
+	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), asked: make(chan struct{}), release: make(chan struct{})}
 	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &pausable{}}
-	n := &node.Direct{Settings: d.settings, Source: slow.topic(source), Wire: platform.Wire{}, Out: d.out}
+	n := &node.Direct{Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() { _ = n.Run(ctx) }()
@@ -321,7 +321,7 @@
 	d := startDirect(t, store)
 	assert.Equal(t, status(d.ask("/book/1", "k", "a")), http.StatusOK)
 	waitFor(t, func() bool {
-		resp, err := http.Get("http://" + d.settings.Metrics + "/metrics")
+		resp, err := http.Get("http://" + d.settings.MetricsAddr + "/metrics")
 		if err != nil {
 			return false
 		}
--- a/node/entry.go
+++ b/node/entry.go
@@ -96,7 +96,7 @@
 		Steps:    retry.Steps(),
 		Detector: &crash.Detector{},
 		Entries:  n.entries,
-		Most:     int64(n.settings.Streams),
+		Most:     int64(n.settings.MaxStreams),
 		Clock:    time.Now,
 		Notify:   n.notice,
 		OnOffer:  n.onOffer,
@@ -116,7 +116,7 @@
 	}
 	if n.settings.EncryptedCallers() {
 		files := &cert.Files{Cert: n.settings.Callers.Cert, Key: n.settings.Callers.Key, Log: n.log}
-		srv.TLSConfig = files.Public()
+		srv.TLSConfig = files.CallerConfig()
 	}
 	return srv
 }
@@ -135,7 +135,7 @@
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
 	n.log.Emit(event.ProcessDrain, event.Int("open", n.entry.Open()))
 	time.Sleep(leaveGrace)
-	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Drain.Std())
+	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout.Std())
 	defer cancel()
 	err := srv.Shutdown(ctx)
 	n.server.Stop()
@@ -167,7 +167,7 @@
 	}
 	left := make(map[string]int)
 	for i := range v.Publication.Targets {
-		if t := &v.Publication.Targets[i]; !v.Out(t) && !skip(t) {
+		if t := &v.Publication.Targets[i]; !v.IsOut(t) && !skip(t) {
 			left[t.Model]++
 		}
 	}
@@ -199,8 +199,8 @@
 		if v := n.store.View(); v != nil {
 			n.update(v)
 		}
-		n.meters.Entry.Open.Set(float64(n.entry.Open()))
-		n.meters.Entry.Links.Set(float64(n.pool.Len()))
+		n.meters.Entry.OpenRequests.Set(float64(n.entry.Open()))
+		n.meters.Entry.AgentLinks.Set(float64(n.pool.Len()))
 	}
 }
 
@@ -222,9 +222,9 @@
 		return s
 	}
 	now := time.Now()
-	s.Domains = admin.Layout(v, func(t *chestnutstep.Target) admin.Target {
+	s.Domains = admin.TargetsByDomain(v, func(t *chestnutstep.Target) admin.Target {
 		reached := !n.members.Suspect(now, t.Host)
-		return admin.Target{Name: t.Name, Host: t.Host, Model: t.Model, Why: admin.Why(v, t, nil, reached)}
+		return admin.Target{Name: t.Name, Host: t.Host, Model: t.Model, IdleReason: admin.IdleReason(v, t, nil, reached)}
 	})
 	return s
 }
@@ -239,7 +239,7 @@
 	count := 0
 	for i := range v.Publication.Hosts {
 		h := &v.Publication.Hosts[i]
-		if h.Entry && !h.Out && !n.members.Leaving(now, h.Name) {
+		if h.HasEntry && !h.Out && !n.members.Leaving(now, h.Name) {
 			count++
 		}
 	}
--- a/node/feed.go
+++ b/node/feed.go
@@ -42,7 +42,7 @@
 		Source:   n.Source(t),
 		Decoder:  n.Facts,
 		Dial:     link.Dial,
-		Self:     feed.Member{ID: n.peers.Self, Link: n.Settings.Link},
+		Self:     feed.Member{ID: n.peers.Self, Link: n.Settings.LinkMbps},
 		Members:  n.members,
 		Pace:     n.pace,
 		Empty:    func() bool { return !n.roster.Listed(t) },
@@ -83,9 +83,9 @@
 // pace derives the times of reading from the bounds on changes and on keys.
 func (n *Direct) pace() feed.Pace {
 	b := n.bounds()
-	bound := b.Within
-	if bound <= 0 || b.Revoke > 0 && b.Revoke < bound {
-		bound = b.Revoke
+	bound := b.MaxApplyTime
+	if bound <= 0 || b.MaxRevokeTime > 0 && b.MaxRevokeTime < bound {
+		bound = b.MaxRevokeTime
 	}
 	return feed.NewPace(bound)
 }
@@ -122,8 +122,8 @@
 	n.log.Emit(event.FactsRead,
 		event.Str("topic", t.String()), event.Str("peer", peer), event.Uint("after", r.After), event.Uint("revision", r.Batch.Revision),
 		event.Int("facts", int64(len(r.Batch.Facts))), event.Int("bytes", int64(r.Batch.Bytes)),
-		event.Dur("first", r.Batch.First), event.Dur("took", r.Took), event.Dur("age", r.Batch.Age),
-		event.Dur("settle", r.Batch.Settle), event.Dur("gap", n.factsAge(t)), event.Err(r.Err))
+		event.Dur("first", r.Batch.TimeToFirstByte), event.Dur("took", r.Took), event.Dur("age", r.Batch.Age),
+		event.Dur("settle", r.Batch.SettleTime), event.Dur("gap", n.factsAge(t)), event.Err(r.Err))
 	n.countRead(t, r)
 }
 
@@ -161,9 +161,9 @@
 
 // serveControl answers peers until ctx ends.
 func (n *Direct) serveControl(ctx context.Context) {
-	l, err := net.Listen("tcp", n.Settings.Control)
+	l, err := net.Listen("tcp", n.Settings.ControlAddr)
 	if err != nil {
-		n.log.Emit(event.AdminFailed, event.Str("addr", n.Settings.Control), event.Err(err))
+		n.log.Emit(event.AdminFailed, event.Str("addr", n.Settings.ControlAddr), event.Err(err))
 		return
 	}
 	mux := http.NewServeMux()
@@ -173,6 +173,6 @@
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
 	if err := srv.Serve(l); ctx.Err() == nil {
-		n.log.Emit(event.AdminFailed, event.Str("addr", n.Settings.Control), event.Err(err))
+		n.log.Emit(event.AdminFailed, event.Str("addr", n.Settings.ControlAddr), event.Err(err))
 	}
 }
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -56,13 +56,13 @@
 }
 
 func (b *base) gossipCount(t gossip.Traffic) {
-	b.meters.Publication.Gossip.Add(int64(t.In), "in")
-	b.meters.Publication.Gossip.Add(int64(t.Out), "out")
+	b.meters.Publication.GossipBytes.Add(int64(t.In), "in")
+	b.meters.Publication.GossipBytes.Add(int64(t.Out), "out")
 	result := "ok"
 	if t.Failed {
 		result = "failed"
 	}
-	b.meters.Publication.Rounds.Add(1, result)
+	b.meters.Publication.GossipRounds.Add(1, result)
 }
 
 // publicationWait bounds how long a starting process looks for a publication
--- a/node/learn.go
+++ b/node/learn.go
@@ -59,7 +59,7 @@
 	began := time.Now()
 	settle := sync.OnceFunc(func() { close(n.settled) })
 	defer settle()
-	if n.Caches == nil || n.Settings.First {
+	if n.Caches == nil || n.Settings.Bootstrap {
 		n.known(began)
 		return
 	}
@@ -119,7 +119,7 @@
 }
 
 // isSeed reports whether this entry is one of the seeds.
-func (n *Direct) isSeed() bool { return slices.Contains(n.settings.Load().Seeds, n.Settings.Peer) }
+func (n *Direct) isSeed() bool { return slices.Contains(n.settings.Load().Seeds, n.Settings.PeerAddr) }
 
 // asks reports whether this entry asks a target: a seed shares them with the other seeds.
 func (n *Direct) asks(t *roster.Target) bool {
@@ -222,7 +222,7 @@
 	v := n.roster.View()
 	var list []*roster.Target
 	for _, t := range v.ByID {
-		if s := v.Routing.Services[t.Service]; s != nil && s.Engine && v.Usable(t) && !n.board.Listed(&t.Instance) {
+		if s := v.Routing.Services[t.Service]; s != nil && s.IsEngine && v.Usable(t) && !n.board.Listed(&t.Instance) {
 			list = append(list, t)
 		}
 	}
@@ -244,7 +244,7 @@
 // list asks one target, and reports to the peers.
 func (l *learner) list(ctx context.Context, t *roster.Target) {
 	n := l.node
-	parts, err := n.Caches.Held(ctx, t.Address)
+	parts, err := n.Caches.ListParts(ctx, t.Address)
 	n.log.Emit(event.CacheListed, event.Str("target", t.ID), event.Int("parts", int64(len(parts))), event.Err(err))
 	if err != nil {
 		return
@@ -253,7 +253,7 @@
 	n.peers.Spread(share.NewList(board.Key(&t.Instance), partIDs(parts)))
 }
 
-func partIDs(parts []chestnutstep.Part) []uint64 {
+func partIDs(parts []chestnutstep.PromptPart) []uint64 {
 	list := make([]uint64, 0, len(parts))
 	for _, p := range parts {
 		list = append(list, p.ID)
--- a/node/learn_test.go
+++ b/node/learn_test.go
@@ -39,15 +39,15 @@
 	d := &direct{door: store.Open(), out: &pausable{}, done: make(chan error, 1)}
 	t.Cleanup(d.door.Close)
 	d.settings = directSettings(t, d.door.Address(), seeds...)
-	d.settings.First = false
+	d.settings.Bootstrap = false
 	for i, s := range d.settings.Seeds {
 		if s == "self" {
-			d.settings.Seeds[i] = d.settings.Peer
+			d.settings.Seeds[i] = d.settings.PeerAddr
 		}
 	}
 	source := platform.NewStore(d.door.Address(), link.Dial)
 	n := &node.Direct{
-		Settings: d.settings, Source: source.Topic, Wire: platform.Wire{}, Out: d.out, Facts: source, Caches: platform.NewTargets(),
+		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Facts: source, Caches: platform.NewTargetClient(),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -82,7 +82,7 @@
 // talk sends a request whose prompt has a shared prefix.
 func (d *direct) talk(t *testing.T, id string) {
 	t.Helper()
-	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.Callers+"/talk/stream/x", strings.NewReader("body"))
+	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+"/talk/stream/x", strings.NewReader("body"))
 	assert.NilError(t, err)
 	r.Host = "shop.example"
 	r.Header.Set("Attempt-Id", id)
@@ -103,7 +103,7 @@
 	publishEngine(store, x)
 	old := startDirect(t, store)
 	old.talk(t, "a")
-	late := startLate(t, store, old.settings.Peer)
+	late := startLate(t, store, old.settings.PeerAddr)
 	late.talk(t, "b")
 	assert.Assert(t, late.held(), late.out.text())
 	assert.Equal(t, x.Listed(), 0)
@@ -115,7 +115,7 @@
 	store, x := newHolder(t)
 	first := startLate(t, store)
 	assert.Equal(t, x.Listed(), 1)
-	second := startLate(t, store, first.settings.Peer)
+	second := startLate(t, store, first.settings.PeerAddr)
 	first.talk(t, "a")
 	second.talk(t, "b")
 	assert.Assert(t, first.held(), first.out.text())
@@ -131,7 +131,7 @@
 	seed := launchLate(t, store, "self")
 	fleet := []*direct{seed}
 	for range others {
-		fleet = append(fleet, launchLate(t, store, seed.settings.Peer))
+		fleet = append(fleet, launchLate(t, store, seed.settings.PeerAddr))
 	}
 	for i, d := range fleet {
 		d.waitLearned(t)
@@ -170,11 +170,11 @@
 	door := store.Open()
 	t.Cleanup(door.Close)
 	source := platform.NewStore(door.Address(), link.Dial)
-	slow := &slowList{Source: source.Topic(chestnutstep.TopicTargets), asked: make(chan struct{}), release: make(chan struct{})}
+	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), asked: make(chan struct{}), release: make(chan struct{})}
 	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &pausable{}}
-	d.settings.First = false
+	d.settings.Bootstrap = false
 	n := &node.Direct{
-		Settings: d.settings, Source: slow.topic(source), Wire: platform.Wire{}, Out: d.out, Caches: platform.NewTargets(),
+		Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out, Caches: platform.NewTargetClient(),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
--- a/node/notice.go
+++ b/node/notice.go
@@ -74,10 +74,10 @@
 		n.order(m)
 	case agent.NoticeHanded:
 		n.meters.Agent.Moves.Add(1, "export", "ok")
-		n.meters.Agent.Moved.Add(m.Bytes, "export")
+		n.meters.Agent.MovedBytes.Add(m.Bytes, "export")
 	case agent.NoticeImported:
 		n.meters.Agent.Moves.Add(1, "import", "ok")
-		n.meters.Agent.Moved.Add(m.Bytes, "import")
+		n.meters.Agent.MovedBytes.Add(m.Bytes, "import")
 	case agent.NoticeEnded:
 		n.ended(m)
 	}
@@ -131,7 +131,7 @@
 	n.endedBadly(m)
 	n.meters.Agent.Runs.Add(1, m.Profile, result)
 	n.meters.Agent.Wait.Observe(m.Wait, m.Profile)
-	n.meters.Agent.Cached.Add(m.Cached, m.Profile)
+	n.meters.Agent.CachedTokens.Add(m.Cached, m.Profile)
 	n.meters.Workspaces.Requests.Add(1, m.Workspace, result)
 	n.meters.Workspaces.Tokens.Add(int64(m.Cost), m.Workspace)
 	n.meters.Workspaces.Wait.Observe(m.Wait, m.Workspace)
--- a/node/path_test.go
+++ b/node/path_test.go
@@ -103,16 +103,16 @@
 	p := &chestnutstep.Publication{
 		Version: 1,
 		Domains: []chestnutstep.Domain{{Name: "a", Region: "r"}},
-		Hosts:   []chestnutstep.Host{{Name: "h", Domain: "a", Entry: true}},
+		Hosts:   []chestnutstep.Host{{Name: "h", Domain: "a", HasEntry: true}},
 		Models: []chestnutstep.Model{
-			{Name: "label", Kind: chestnutstep.KindEngine, Floor: 4, Slots: 8, Queue: 8, Cold: 4, Done: "event: done"},
+			{Name: "label", Kind: chestnutstep.KindEngine, Floor: 4, Slots: 8, QueueLimit: 8, ColdCap: 4, DoneMarker: "event: done"},
 		},
 		Targets: []chestnutstep.Target{{Name: "label-1", Host: "h", Model: "label", Agent: f.agent}},
 		Profiles: []chestnutstep.Profile{{
-			Name: "quick", Model: "label", Class: "urgent", Timeout: chestnutstep.Duration(20 * time.Second), Tries: 1, Tokens: 5, Body: 1 << 16,
+			Name: "quick", Model: "label", Class: "urgent", Timeout: chestnutstep.Duration(20 * time.Second), MaxAttempts: 1, ExpectedTokens: 5, MaxBodyBytes: 1 << 16,
 		}},
 		Workspaces: []chestnutstep.Workspace{{Name: "prairie", Keys: []string{hex.EncodeToString(sum[:])}}},
-		Budget:     chestnutstep.Budget{Reads: 100, Retries: 0.1},
+		Budget:     chestnutstep.Budget{ReadRate: 100, RetryRatio: 0.1},
 	}
 	assert.NilError(f.t, config.Check(p))
 	root, parts := config.Pack(p)
--- a/node/publication.go
+++ b/node/publication.go
@@ -63,7 +63,7 @@
 	b.log.Emit(event.PublicationInForce, event.Version(p.Version))
 	b.meters.Publication.Version.Set(float64(p.Version))
 	b.meters.Publication.Changes.Add(1, "accepted")
-	if c.Clash {
+	if c.Conflict {
 		b.log.Emit(event.PublicationConflict, event.Version(p.Version))
 	}
 	b.note(audit.Record{
@@ -82,10 +82,10 @@
 	b.source.why = r.Err.Error()
 	b.source.mu.Unlock()
 	id := event.PublicationRefused
-	if config.IsErrOld(r.Err) {
+	if config.IsErrStale(r.Err) {
 		id = event.PublicationOld
 	}
-	if config.IsErrClash(r.Err) {
+	if config.IsErrConflict(r.Err) {
 		id = event.PublicationConflict
 	}
 	b.log.Emit(id, event.Version(r.Stamp.Version), event.Err(r.Err))
@@ -107,31 +107,31 @@
 	b.source.mu.Lock()
 	defer b.source.mu.Unlock()
 	return admin.Publication{
-		Version: b.version(),
-		Since:   b.source.since,
-		Refused: b.source.refused,
-		Why:     b.source.why,
-		Silent:  b.source.silent,
+		Version:              b.version(),
+		Since:                b.source.since,
+		RefusedVersion:       b.source.refused,
+		RefusalReason:        b.source.why,
+		PlatformUnresponsive: b.source.silent,
 	}
 }
 
 // status fills in what entries and agents show alike.
 func (b *base) status(ready error, streams int64) admin.Status {
 	s := admin.Status{
-		Alone:       b.isAlone(),
-		Process:     b.settings.Name,
-		Role:        string(b.role),
-		Host:        b.settings.Host,
-		Domain:      b.settings.Domain,
-		Region:      b.settings.Region,
-		Started:     b.started,
-		Ready:       ready == nil,
-		Streams:     int(streams),
-		Publication: b.publicationStatus(),
-		Changes:     b.trail.Last(statusChanges),
+		NoPeers:      b.isAlone(),
+		Process:      b.settings.Name,
+		Role:         string(b.role),
+		Host:         b.settings.Host,
+		Domain:       b.settings.Domain,
+		Region:       b.settings.Region,
+		Started:      b.started,
+		Ready:        ready == nil,
+		OpenRequests: int(streams),
+		Publication:  b.publicationStatus(),
+		Changes:      b.trail.Last(statusChanges),
 	}
 	if ready != nil {
-		s.Why = ready.Error()
+		s.NotReadyReason = ready.Error()
 	}
 	return s
 }
--- a/node/ready.go
+++ b/node/ready.go
@@ -23,7 +23,7 @@
 		return &ErrNotReady{Cause: "no list of targets yet"}
 	}
 	age := n.proofAge()
-	if limit := n.bounds().Revoke; limit > 0 && age > time.Duration(unprovedReady*float64(limit)) {
+	if limit := n.bounds().MaxRevokeTime; limit > 0 && age > time.Duration(unprovedReady*float64(limit)) {
 		return &ErrNotReady{Cause: "configuration not proved current"}
 	}
 	return nil
@@ -47,7 +47,7 @@
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
 	n.log.Emit(event.ProcessDrain, event.Int("open", n.relay.Open()))
 	time.Sleep(balancerTime)
-	limit := time.Duration(graceShare * float64(n.bounds().Grace))
+	limit := time.Duration(graceShare * float64(n.bounds().GracePeriod))
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limit))
 	defer cancel()
 	err := srv.Shutdown(ctx)
--- a/node/size_test.go
+++ b/node/size_test.go
@@ -29,7 +29,7 @@
 	s := &config.Store{}
 	p := fake.Planned.Publication(1)
 	root, parts := config.Pack(p)
-	assert.NilError(b, s.Put(time.Now(), root, parts))
+	assert.NilError(b, s.Apply(time.Now(), root, parts))
 	p, root, parts = nil, nil, nil
 	size := heap() - before
 	q := fake.Planned.Publication(1)
@@ -40,7 +40,7 @@
 		q.Targets[i].Out = !q.Targets[i].Out
 		root, parts = config.Pack(q)
 		b.StartTimer()
-		assert.NilError(b, s.Put(time.Now(), root, parts))
+		assert.NilError(b, s.Apply(time.Now(), root, parts))
 	}
 	b.ReportMetric(size, "MB")
 	runtime.KeepAlive(s)
--- a/pipe/pipe.go
+++ b/pipe/pipe.go
@@ -8,56 +8,56 @@
 	"sync"
 )
 
-// Way is a direction through a relay.
-type Way int
+// Direction is a direction through a relay.
+type Direction int
 
 // The ways.
 const (
 	// Up is from who dialled to who listens.
-	Up Way = iota
+	Up Direction = iota
 	// Down is from who listens to who dialled.
 	Down
-	ways
+	directions
 )
 
-// buffer is how much is read at once. It is small, so that Limit and Hold stop
+// bufferBytes is how much is read at once. It is small, so that Limit and Hold stop
 // close to the byte that was meant.
-const buffer = 512
+const bufferBytes = 512
 
 // Relay passes connections on to a backend. Set Backend, then Start.
 type Relay struct {
 	// Backend is the address to pass connections on to.
 	Backend string
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	l       net.Listener
-	links   map[*link]bool
-	lines   [ways]line
-	refuse  bool
-	closed  bool
-	dialled int
+	mu       sync.Mutex
+	changed  *sync.Cond
+	listener net.Listener
+	links    map[*link]bool
+	states   [directions]directionState
+	refuse   bool
+	closed   bool
+	accepted int
 }
 
-// line is what is told about one way.
-type line struct {
+// directionState is what is told about one way.
+type directionState struct {
 	// held keeps bytes back until they are released.
 	held bool
-	// cut swallows bytes: the sender sees nothing, as behind a dead router.
-	cut bool
-	// left is how many more bytes pass before all links break; -1 is no limit.
-	left int64
+	// dropping swallows bytes: the sender sees nothing, as behind a dead router.
+	dropping bool
+	// remaining is how many more bytes pass before all links break; -1 is no limit.
+	remaining int64
 	// passed counts the bytes that went through.
 	passed int64
 }
 
 // link is one connection through the relay.
 type link struct {
-	ends [ways]net.Conn
+	conns [directions]net.Conn
 }
 
 func (k *link) close() {
-	for _, c := range k.ends {
+	for _, c := range k.conns {
 		c.Close()
 	}
 }
@@ -68,104 +68,104 @@
 	if err != nil {
 		return err
 	}
-	r.l = l
+	r.listener = l
 	r.changed = sync.NewCond(&r.mu)
 	r.links = make(map[*link]bool)
 	r.Heal()
-	go r.run()
+	go r.acceptLoop()
 	return nil
 }
 
 // Addr is where to dial.
-func (r *Relay) Addr() string { return r.l.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Aim sends new connections to another backend.
-func (r *Relay) Aim(backend string) { r.tell(func() { r.Backend = backend }) }
+// SetBackend sends new connections to another backend.
+func (r *Relay) SetBackend(backend string) { r.update(func() { r.Backend = backend }) }
 
 // Stop breaks all connections and ends the relay.
 func (r *Relay) Stop() {
-	r.tell(func() { r.closed = true })
-	r.l.Close()
-	r.Break()
+	r.update(func() { r.closed = true })
+	r.listener.Close()
+	r.CloseConnections()
 }
 
 // Hold keeps bytes of one way back, in order, until Heal.
-func (r *Relay) Hold(w Way) { r.tell(func() { r.lines[w].held = true }) }
+func (r *Relay) Hold(w Direction) { r.update(func() { r.states[w].held = true }) }
 
-// Cut swallows all further bytes of one way; nobody is told.
-func (r *Relay) Cut(w Way) { r.tell(func() { r.lines[w].cut = true }) }
+// Blackhole swallows all further bytes of one way; nobody is told.
+func (r *Relay) Blackhole(w Direction) { r.update(func() { r.states[w].dropping = true }) }
 
-// Limit breaks the connection that carries the n-th byte from now on of one
+// BreakAfter breaks the connection that carries the n-th byte from now on of one
 // way, right behind it, and any other at its next byte of that way.
-func (r *Relay) Limit(w Way, n int64) { r.tell(func() { r.lines[w].left = n }) }
+func (r *Relay) BreakAfter(w Direction, n int64) { r.update(func() { r.states[w].remaining = n }) }
 
 // Refuse closes new connections at once.
-func (r *Relay) Refuse() { r.tell(func() { r.refuse = true }) }
+func (r *Relay) Refuse() { r.update(func() { r.refuse = true }) }
 
 // Heal releases what is held and ends all misbehaviour. Bytes that a cut
 // swallowed stay lost, so links that lost some are best broken as well.
 func (r *Relay) Heal() {
-	r.tell(func() {
+	r.update(func() {
 		r.refuse = false
-		for w := range r.lines {
-			r.lines[w] = line{left: -1, passed: r.lines[w].passed}
+		for w := range r.states {
+			r.states[w] = directionState{remaining: -1, passed: r.states[w].passed}
 		}
 	})
 }
 
-// Break closes all connections: both sides see it.
-func (r *Relay) Break() {
-	r.tell(func() {
+// CloseConnections closes all connections: both sides see it.
+func (r *Relay) CloseConnections() {
+	r.update(func() {
 		for k := range r.links {
 			k.close()
 		}
 	})
 }
 
-// Passed is how many bytes went one way so far.
-func (r *Relay) Passed(w Way) int64 {
+// BytesPassed is how many bytes went one way so far.
+func (r *Relay) BytesPassed(w Direction) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lines[w].passed
+	return r.states[w].passed
 }
 
-// Await returns once n bytes went one way since the start, or the relay was
+// AwaitBytes returns once n bytes went one way since the start, or the relay was
 // stopped.
-func (r *Relay) Await(w Way, n int64) {
+func (r *Relay) AwaitBytes(w Direction, n int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.lines[w].passed < n && !r.closed {
+	for r.states[w].passed < n && !r.closed {
 		r.changed.Wait()
 	}
 }
 
-// Dialled is how many connections were made so far.
-func (r *Relay) Dialled() int {
+// ConnectionCount is how many connections were made so far.
+func (r *Relay) ConnectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.dialled
+	return r.accepted
 }
 
-func (r *Relay) tell(change func()) {
+func (r *Relay) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
 	r.changed.Broadcast()
 }
 
-func (r *Relay) run() {
+func (r *Relay) acceptLoop() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.accept(c)
+		r.handle(c)
 	}
 }
 
-func (r *Relay) accept(c net.Conn) {
+func (r *Relay) handle(c net.Conn) {
 	r.mu.Lock()
-	r.dialled++
+	r.accepted++
 	refuse := r.refuse
 	backend := r.Backend
 	r.mu.Unlock()
@@ -178,7 +178,7 @@
 		c.Close()
 		return
 	}
-	k := &link{ends: [ways]net.Conn{Up: c, Down: b}}
+	k := &link{conns: [directions]net.Conn{Up: c, Down: b}}
 	r.mu.Lock()
 	r.links[k] = true
 	closed := r.closed
@@ -192,13 +192,13 @@
 
 // copy moves the bytes of one way. The end of one way ends the link: nothing
 // that is tested here uses half-closed connections.
-func (r *Relay) copy(k *link, w Way) {
-	defer r.drop(k)
-	from, to := k.ends[w], k.ends[1-w]
-	room := make([]byte, buffer)
+func (r *Relay) copy(k *link, w Direction) {
+	defer r.remove(k)
+	from, to := k.conns[w], k.conns[1-w]
+	buf := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(room)
-		if n > 0 && !r.pass(w, to, room[:n]) {
+		n, err := from.Read(buf)
+		if n > 0 && !r.forward(w, to, buf[:n]) {
 			return
 		}
 		if err != nil {
@@ -207,40 +207,40 @@
 	}
 }
 
-// pass writes what may pass, and says whether the link goes on.
-func (r *Relay) pass(w Way, to io.Writer, p []byte) bool {
-	p, more := r.admit(w, p)
+// forward writes what may pass, and says whether the link goes on.
+func (r *Relay) forward(w Direction, to io.Writer, p []byte) bool {
+	p, open := r.filter(w, p)
 	if len(p) == 0 {
-		return more
+		return open
 	}
 	_, err := to.Write(p)
-	return more && err == nil
+	return open && err == nil
 }
 
-func (r *Relay) admit(w Way, p []byte) ([]byte, bool) {
+func (r *Relay) filter(w Direction, p []byte) ([]byte, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := &r.lines[w]
-	for l.held && !l.cut && !r.closed {
+	l := &r.states[w]
+	for l.held && !l.dropping && !r.closed {
 		r.changed.Wait()
 	}
-	if l.cut {
+	if l.dropping {
 		return nil, true
 	}
-	more := true
-	if l.left >= 0 && int64(len(p)) >= l.left {
-		p = p[:l.left]
-		more = false
+	open := true
+	if l.remaining >= 0 && int64(len(p)) >= l.remaining {
+		p = p[:l.remaining]
+		open = false
 	}
-	if l.left > 0 {
-		l.left -= int64(len(p))
+	if l.remaining > 0 {
+		l.remaining -= int64(len(p))
 	}
 	l.passed += int64(len(p))
 	r.changed.Broadcast()
-	return p, more
+	return p, open
 }
 
-func (r *Relay) drop(k *link) {
+func (r *Relay) remove(k *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k.close()
--- a/pipe/pipe_test.go
+++ b/pipe/pipe_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo answers with what it gets.
-func echo(t *testing.T) string {
+// startEchoServer answers with what it gets.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -28,7 +28,7 @@
 
 func start(t *testing.T) (*Relay, net.Conn) {
 	t.Helper()
-	r := &Relay{Backend: echo(t)}
+	r := &Relay{Backend: startEchoServer(t)}
 	assert.NilError(t, r.Start())
 	t.Cleanup(r.Stop)
 	c, err := net.Dial("tcp", r.Addr())
@@ -37,13 +37,13 @@
 	return r, c
 }
 
-func say(t *testing.T, c net.Conn, s string) {
+func send(t *testing.T, c net.Conn, s string) {
 	t.Helper()
 	_, err := c.Write([]byte(s))
 	assert.NilError(t, err)
 }
 
-func hear(t *testing.T, c net.Conn, want string) {
+func expect(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
 	_, err := io.ReadFull(c, got)
@@ -53,34 +53,34 @@
 
 func TestHold(t *testing.T) {
 	r, c := start(t)
-	say(t, c, "one")
-	hear(t, c, "one")
+	send(t, c, "one")
+	expect(t, c, "one")
 	r.Hold(Down)
-	say(t, c, "two")
-	r.Await(Up, 6)
-	assert.Equal(t, r.Passed(Down), int64(3))
+	send(t, c, "two")
+	r.AwaitBytes(Up, 6)
+	assert.Equal(t, r.BytesPassed(Down), int64(3))
 	r.Heal()
-	hear(t, c, "two")
+	expect(t, c, "two")
 }
 
-func TestCutSwallowsOneWay(t *testing.T) {
+func TestBlackholeDropsOneDirection(t *testing.T) {
 	r, c := start(t)
-	say(t, c, "one")
-	hear(t, c, "one")
-	r.Cut(Down)
-	say(t, c, "two")
-	r.Await(Up, 6)
-	r.Break()
+	send(t, c, "one")
+	expect(t, c, "one")
+	r.Blackhole(Down)
+	send(t, c, "two")
+	r.AwaitBytes(Up, 6)
+	r.CloseConnections()
 	_, err := c.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
-	assert.Equal(t, r.Passed(Down), int64(3))
+	assert.Equal(t, r.BytesPassed(Down), int64(3))
 }
 
-func TestLimitBreaks(t *testing.T) {
+func TestBreakAfter(t *testing.T) {
 	r, c := start(t)
-	r.Limit(Down, 4)
-	say(t, c, "abcdef")
-	hear(t, c, "abcd")
+	r.BreakAfter(Down, 4)
+	send(t, c, "abcdef")
+	expect(t, c, "abcd")
 	_, err := c.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
 }
@@ -97,6 +97,6 @@
 	c, err = net.Dial("tcp", r.Addr())
 	assert.NilError(t, err)
 	defer c.Close()
-	say(t, c, "again")
-	hear(t, c, "again")
+	send(t, c, "again")
+	expect(t, c, "again")
 }
--- a/publication.go
+++ b/publication.go
@@ -28,9 +28,9 @@
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	Out    bool   `json:"out,omitempty"`
-	// Entry says that an entry runs here: workspaces' rates are shared out over
+	// HasEntry says that an entry runs here: workspaces' rates are shared out over
 	// the entries in service.
-	Entry bool `json:"entry,omitempty"`
+	HasEntry bool `json:"entry,omitempty"`
 }
 
 // Kinds of a model.
@@ -52,21 +52,21 @@
 	Floor int `json:"floor"`
 	// Slots is the most that a warm target can run at once.
 	Slots int `json:"slots"`
-	// Queue bounds the requests that wait at one target.
-	Queue int `json:"queue"`
-	// Done is the text that the last event of a whole event stream holds, such
+	// QueueLimit bounds the requests that wait at one target.
+	QueueLimit int `json:"queue"`
+	// DoneMarker is the text that the last event of a whole event stream holds, such
 	// as "event: done"; if unset, any clean end counts as whole.
-	Done string `json:"done,omitempty"`
-	// Prefill is how many prompt tokens a second a target reads that are not in
+	DoneMarker string `json:"done,omitempty"`
+	// PrefillRate is how many prompt tokens a second a target reads that are not in
 	// its cache, and Cache the bytes of KV cache for one token: what rebuilding
 	// and importing a chat's prefix cost. If either is 0, nothing is imported.
-	Prefill float64 `json:"prefill,omitempty"`
-	Cache   int64   `json:"cache,omitempty"`
-	// Cold is how many requests a target in cold start can carry.
-	Cold int `json:"cold"`
-	// Warm is how many whole answers a target needs after its start before it
+	PrefillRate        float64 `json:"prefill,omitempty"`
+	CacheBytesPerToken int64   `json:"cache,omitempty"`
+	// ColdCap is how many requests a target in cold start can carry.
+	ColdCap int `json:"cold"`
+	// WarmupAnswers is how many whole answers a target needs after its start before it
 	// carries more than Cold.
-	Warm int `json:"warm,omitempty"`
+	WarmupAnswers int `json:"warm,omitempty"`
 }
 
 // Target is one back end: a model engine or a plain service on a host.
@@ -101,9 +101,9 @@
 	Name string `json:"name"`
 }
 
-// Loads says whether the order reads from the weight store, whose rate all
+// LoadsWeights says whether the order reads from the weight store, whose rate all
 // targets share.
-func (o Order) Loads() bool { return o.Kind == OrderModel || o.Kind == OrderAdapter }
+func (o Order) LoadsWeights() bool { return o.Kind == OrderModel || o.Kind == OrderAdapter }
 
 // Profile is a named way of being served; callers pick one for each request.
 type Profile struct {
@@ -116,14 +116,14 @@
 	// Patience is how long a request may wait at the target that holds its
 	// prompt prefix before it is offered elsewhere.
 	Patience Duration `json:"patience"`
-	// Tries bounds the targets that a request is offered to.
-	Tries int `json:"tries"`
-	// Once marks requests that are not idempotent: they need a ticket.
-	Once bool `json:"once,omitempty"`
-	// Tokens is the expected work of an answer, in tokens.
-	Tokens int `json:"tokens"`
-	// Body is the largest request body in bytes.
-	Body int64 `json:"body"`
+	// MaxAttempts bounds the targets that a request is offered to.
+	MaxAttempts int `json:"tries"`
+	// RequiresTicket marks requests that are not idempotent: they need a ticket.
+	RequiresTicket bool `json:"once,omitempty"`
+	// ExpectedTokens is the expected work of an answer, in tokens.
+	ExpectedTokens int `json:"tokens"`
+	// MaxBodyBytes is the largest request body in bytes.
+	MaxBodyBytes int64 `json:"body"`
 }
 
 // Workspace is a customer: callers with one or more keys, limits and a weight.
@@ -141,13 +141,13 @@
 
 // Budget bounds what the whole fleet may ask of the platform and of itself.
 type Budget struct {
-	// Reads is the calls a second that all processes together may make to the
+	// ReadRate is the calls a second that all processes together may make to the
 	// configuration service; a waiting watch counts as one.
-	Reads float64 `json:"reads"`
-	// Loads is the weight loads a second that the weight store allows.
-	Loads float64 `json:"loads"`
-	// Retries is the share of an entry's offers that may be retries.
-	Retries float64 `json:"retries"`
-	// Export is the bytes a second that one agent may spend on KV cache moves.
-	Export int64 `json:"export"`
+	ReadRate float64 `json:"reads"`
+	// LoadRate is the weight loads a second that the weight store allows.
+	LoadRate float64 `json:"loads"`
+	// RetryRatio is the share of an entry's offers that may be retries.
+	RetryRatio float64 `json:"retries"`
+	// ExportRate is the bytes a second that one agent may spend on KV cache moves.
+	ExportRate int64 `json:"export"`
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -39,7 +39,7 @@
 	// Weights of workspaces; 1 where missing.
 	Weights map[string]float64
 
-	lanes [chestnutstep.Classes]lane
+	lanes [chestnutstep.ClassCount]lane
 	items map[string]*item
 	ages  heap[aged]
 	seq   uint64
@@ -70,7 +70,7 @@
 		f = l.flow(w.Workspace, q.weight(w.Workspace))
 	}
 	x := &item{work: w, flow: f, seq: q.seq, key: now.Add(time.Duration(w.Cost) * Drag)}
-	x.expiry = earlier(w.Patience, w.Deadline)
+	x.expiry = earlier(w.WaitUntil, w.Deadline)
 	q.seq++
 	q.add(x)
 	return out, nil
@@ -232,7 +232,7 @@
 // clean makes an offer from outside safe to count: a class beyond the last one
 // is the last one, and each request costs at least one token.
 func clean(w chestnutstep.Work) chestnutstep.Work {
-	w.Class = min(w.Class, chestnutstep.Classes-1)
+	w.Class = min(w.Class, chestnutstep.ClassCount-1)
 	if !(w.Cost >= 1) {
 		w.Cost = 1
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -94,7 +94,7 @@
 		assert.NilError(t, err)
 		taken := 0
 		for i := range times {
-			w := chestnutstep.Work{Workspace: ws, Class: chestnutstep.Class(class), Cost: cost, Deadline: later, Patience: later}
+			w := chestnutstep.Work{Workspace: ws, Class: chestnutstep.Class(class), Cost: cost, Deadline: later, WaitUntil: later}
 			w.ID = fmt.Sprint(ws, class, now.UnixMilli(), "-", i)
 			lost, full := q.Push(now, w)
 			if full != nil {
@@ -156,7 +156,7 @@
 				w.Workspace = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace")
 				w.Class = chestnutstep.Class(rapid.IntRange(0, 3).Draw(t, "class"))
 				w.Cost = float64(rapid.IntRange(0, 5000).Draw(t, "cost"))
-				w.Patience = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "patience")) * time.Second)
+				w.WaitUntil = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "patience")) * time.Second)
 				out, full := q.Push(now, w)
 				if out != nil {
 					leave(out.ID)
@@ -181,7 +181,7 @@
 			"expire": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "s")) * time.Second)
 				for w, ok := q.Expire(now); ok; w, ok = q.Expire(now) {
-					assert.Assert(t, !w.Patience.After(now))
+					assert.Assert(t, !w.WaitUntil.After(now))
 					leave(w.ID)
 				}
 			},
@@ -201,7 +201,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Queue{Bound: 1000, Weights: weights}
 		for i := range 240 {
-			w := chestnutstep.Work{ID: fmt.Sprint(i), Deadline: later, Patience: later, Class: 1}
+			w := chestnutstep.Work{ID: fmt.Sprint(i), Deadline: later, WaitUntil: later, Class: 1}
 			w.Workspace = string("abc"[i%3])
 			w.Cost = rapid.Float64Range(1, longest).Draw(t, "cost")
 			q.Push(epoch, w)
@@ -222,8 +222,8 @@
 func checkBooks(t *rapid.T, q *Queue, list map[string]chestnutstep.Work) {
 	assert.Equal(t, q.Len(), len(list))
 	assert.Assert(t, q.Len() <= q.Bound)
-	var counts [chestnutstep.Classes]int
-	var costs [chestnutstep.Classes]float64
+	var counts [chestnutstep.ClassCount]int
+	var costs [chestnutstep.ClassCount]float64
 	for _, w := range list {
 		w = clean(w)
 		counts[w.Class]++
--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -61,6 +61,6 @@
 	if !r.away {
 		return false
 	}
-	later := max(0, chestnutstep.Classes-1-int(class))
+	later := max(0, chestnutstep.ClassCount-1-int(class))
 	return now.Sub(r.since) >= time.Duration(later)*Step
 }
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -38,19 +38,19 @@
 	}
 	ros.Learn(clock.Now(), chestnutstep.TopicTargets, list, true)
 	c := &chestnutstep.Routing{
-		Version: 1, Keyed: true, Services: map[string]*chestnutstep.Service{"llm": {Name: "llm", Engine: true}},
-		Workspaces: []*chestnutstep.Client{{Name: "ws", Keys: []string{key}}},
+		Version: 1, RequiresKey: true, Services: map[string]*chestnutstep.Service{"llm": {Name: "llm", IsEngine: true}},
+		Workspaces: []*chestnutstep.WorkspaceAccess{{Name: "ws", Keys: []string{key}}},
 		Routes: []chestnutstep.Route{{
-			Name: "plan", Host: host, Prefix: "/plan/", Kind: chestnutstep.Stream, Timeout: 12 * time.Second,
-			Objective: 500 * time.Millisecond, Tries: 1, Splits: []chestnutstep.Split{{Service: "llm", Weight: 1}},
+			Name: "plan", Host: host, Prefix: "/plan/", Kind: chestnutstep.RouteStream, Timeout: 12 * time.Second,
+			LatencyObjective: 500 * time.Millisecond, MaxAttempts: 1, Splits: []chestnutstep.Split{{Service: "llm", Weight: 1}},
 		}},
 	}
-	c.Index()
+	c.BuildIndex()
 	ros.Learn(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactRouting, Revision: 1, Routing: c,
 	}}}, false)
 	ros.Confirm(clock.Now())
-	bounds := config.Bounds{Revoke: time.Hour}
+	bounds := config.Bounds{MaxRevokeTime: time.Hour}
 	set, err := meter.NewSet()
 	assert.NilError(b, err)
 	x := newRelay(ros, bounds, 0)
--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -24,7 +24,7 @@
 func TestKeyNotProvedCurrent(t *testing.T) {
 	g := newRig(t)
 	assert.Equal(t, g.ask(t, "unsafe"), "200 signed whole")
-	bounds := config.Bounds{Revoke: time.Millisecond}
+	bounds := config.Bounds{MaxRevokeTime: time.Millisecond}
 	g.relay.Bounds = func() config.Bounds { return bounds }
 	time.Sleep(5 * time.Millisecond)
 	assert.Equal(t, g.ask(t, "unsafe"), "503 come-back")
@@ -41,9 +41,9 @@
 	}
 	g.relay.Bounds = func() config.Bounds {
 		if arrived, _ := g.count(); arrived > 0 {
-			return config.Bounds{Revoke: time.Nanosecond}
+			return config.Bounds{MaxRevokeTime: time.Nanosecond}
 		}
-		return config.Bounds{Revoke: time.Hour}
+		return config.Bounds{MaxRevokeTime: time.Hour}
 	}
 	assert.Equal(t, g.ask(t, "safe"), "502")
 	arrived, _ := g.count()
@@ -214,11 +214,11 @@
 func TestRegions(t *testing.T) {
 	g := newRig(t)
 	g.relay.Regions = map[string]string{"d": "north"}
-	g.roster.View().Routing.Workspaces[0].Regions = []string{"south"}
+	g.roster.View().Routing.Workspaces[0].AllowedRegions = []string{"south"}
 	assert.Equal(t, g.ask(t, "safe"), "503 come-back")
-	g.roster.View().Routing.Workspaces[0].Regions = []string{"south", "north"}
+	g.roster.View().Routing.Workspaces[0].AllowedRegions = []string{"south", "north"}
 	assert.Equal(t, g.ask(t, "safe"), "200 signed whole")
-	g.roster.View().Routing.Route(host, "/safe/x").Regions = []string{"south"}
+	g.roster.View().Routing.MatchRoute(host, "/safe/x").AllowedRegions = []string{"south"}
 	assert.Equal(t, g.ask(t, "safe"), "503 come-back")
 	_, ran := g.count()
 	assert.Equal(t, ran, 1)
@@ -227,7 +227,7 @@
 // Headers beyond what operators allow are refused before anything is sent.
 func TestHeadersAreBounded(t *testing.T) {
 	g := newRig(t)
-	g.roster.View().Routing.Limits.HeaderBytes = 300
+	g.roster.View().Routing.Limits.MaxHeaderBytes = 300
 	assert.Equal(t, g.ask(t, "safe", "X-Long: "+strings.Repeat("x", 300)+"\r\n"), "431")
 	assert.Equal(t, g.ask(t, "safe"), "200 signed whole")
 }
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -36,8 +36,8 @@
 		return board.Choice{}, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonCondemned, wait}
 	}
 	need := board.Need{
-		Parts: q.ask.Parts, Domain: q.Domain, Skip: q.skip, Allowed: q.allowed, Cap: q.Bounds().Cap,
-		VerifyHost: !q.route.Idempotent() || q.tally.Tries > 0,
+		Parts: q.ask.Parts, Domain: q.Domain, Skip: q.skip, Allowed: q.allowed, Cap: q.Bounds().CapFactor,
+		VerifyHost: !q.route.IsIdempotent() || q.tally.Tries > 0,
 	}
 	if who := q.who(); q.tally.Tries == 0 {
 		need.Who = &who
@@ -66,17 +66,17 @@
 func (q *request) refuseFull(room board.Room) *refusal {
 	q.room = &room
 	q.Meters.Refused.Add(1, q.who().Workspace, string(room.Reason))
-	return &refusal{http.StatusServiceUnavailable, room.Reason, admit.Back(q.ask.ID, q.route.Objective)}
+	return &refusal{http.StatusServiceUnavailable, room.Reason, admit.Back(q.ask.ID, q.route.LatencyObjective)}
 }
 
 // allowed says whether targets of a failure domain may have the request: where route
 // and workspace both name regions, both bind.
 func (q *request) allowed(domain string) bool {
 	region := q.Regions[domain]
-	if len(q.route.Regions) > 0 && !slices.Contains(q.route.Regions, region) {
+	if len(q.route.AllowedRegions) > 0 && !slices.Contains(q.route.AllowedRegions, region) {
 		return false
 	}
-	return q.workspace == nil || len(q.workspace.Regions) == 0 || slices.Contains(q.workspace.Regions, region)
+	return q.workspace == nil || len(q.workspace.AllowedRegions) == 0 || slices.Contains(q.workspace.AllowedRegions, region)
 }
 
 // want says what the request asks of its place.
@@ -94,7 +94,7 @@
 
 // who asks, for the places at targets.
 func (q *request) who() board.Who {
-	w := board.Who{Urgency: q.urgency(), Objective: q.route.Objective}
+	w := board.Who{Urgency: q.urgency(), Objective: q.route.LatencyObjective}
 	if q.workspace != nil {
 		w.Workspace = q.workspace.Name
 	}
--- a/relay/deadly_test.go
+++ b/relay/deadly_test.go
@@ -87,7 +87,7 @@
 // addEntry starts one more entry. It has heard nothing of the others.
 func (f *floor) addEntry(t *testing.T) {
 	t.Helper()
-	e := newRelay(f.roster, config.Bounds{Revoke: revokeIn}, 1)
+	e := newRelay(f.roster, config.Bounds{MaxRevokeTime: revokeIn}, 1)
 	s := httptest.NewServer(e)
 	t.Cleanup(s.Close)
 	f.relays, f.entries = append(f.relays, e), append(f.entries, s)
@@ -316,7 +316,7 @@
 	f.roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: f.revision, Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactInstance, Name: x.Name, Revision: f.revision,
 		Instance: &chestnutstep.Instance{
-			ID: x.Name, Service: "shop", Address: x.Address(), Domain: "d", Slots: 8, Born: born, Leaving: leaving,
+			ID: x.Name, Service: "shop", Address: x.Address(), Domain: "d", Slots: 8, StartedMs: born, Leaving: leaving,
 		},
 	}}}, false)
 	for _, e := range f.relays {
--- a/relay/ended.go
+++ b/relay/ended.go
@@ -130,7 +130,7 @@
 	key := board.Key(&t.Instance)
 	x := c.targets[key]
 	if x == nil {
-		x = &brokenTarget{key: key, id: t.ID, born: t.Born}
+		x = &brokenTarget{key: key, id: t.ID, born: t.StartedMs}
 		if c.targets == nil {
 			c.targets = make(map[uint32]*brokenTarget)
 		}
@@ -177,7 +177,7 @@
 		}
 	}
 	if first && len(x.breaks) > 0 {
-		c.Meters.Ended.Add(1, proof)
+		c.Meters.TargetsEnded.Add(1, proof)
 		c.Log.Emit(event.TargetEnded, event.Str("target", x.id), event.Str("proof", proof),
 			event.Int("contents", int64(len(x.breaks))), event.Dur("after", now.Sub(x.breaks[0].at)))
 	}
@@ -193,7 +193,7 @@
 	var list []share.Crash
 	for _, x := range c.targets {
 		t := v.ByID[x.id]
-		if x.ended(now) || len(x.breaks) == 0 || t != nil && t.Born == x.born {
+		if x.ended(now) || len(x.breaks) == 0 || t != nil && t.StartedMs == x.born {
 			continue
 		}
 		list = append(list, c.settle(now, x, "list")...)
--- a/relay/idle.go
+++ b/relay/idle.go
@@ -21,16 +21,16 @@
 // the server had in mind.
 func (e *Relay) headerTime(usual time.Duration) time.Duration {
 	v := e.Roster.View()
-	if v == nil || v.Routing.Limits.HeaderTime <= 0 {
+	if v == nil || v.Routing.Limits.HeaderTimeout <= 0 {
 		return usual
 	}
-	return v.Routing.Limits.HeaderTime
+	return v.Routing.Limits.HeaderTimeout
 }
 
 func (e *Relay) idle() time.Duration {
 	v := e.Roster.View()
-	if v == nil || v.Routing.Limits.Idle <= 0 {
+	if v == nil || v.Routing.Limits.IdleTimeout <= 0 {
 		return idleFirst
 	}
-	return v.Routing.Limits.Idle
+	return v.Routing.Limits.IdleTimeout
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -32,7 +32,7 @@
 	Roster  *roster.Roster
 	Board   *board.Board
 	Pool    *link.Pool
-	Wire    chestnutstep.Wire
+	Wire    chestnutstep.HeaderCodec
 	Budgets *retry.Budgets
 	Crashes *Crashes
 	Log     *event.Log
@@ -59,12 +59,12 @@
 	w    http.ResponseWriter
 	r    *http.Request
 	ctx  context.Context
-	ask  chestnutstep.Ask
+	ask  chestnutstep.CallerHeaders
 	view *roster.View
 
 	route     *chestnutstep.Route
 	service   *chestnutstep.Service
-	workspace *chestnutstep.Client
+	workspace *chestnutstep.WorkspaceAccess
 	body      []byte
 	content   uint64
 	began     time.Time
@@ -92,7 +92,7 @@
 	if e.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{Relay: e, w: w, r: r, began: time.Now(), ask: e.Wire.Ask(r.Header), view: e.Roster.View()}
+	q := &request{Relay: e, w: w, r: r, began: time.Now(), ask: e.Wire.CallerHeaders(r.Header), view: e.Roster.View()}
 	if refused := q.accept(); refused != nil {
 		q.refuse(*refused)
 		return
@@ -132,15 +132,15 @@
 		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, retryUnready}
 	}
 	c := q.view.Routing
-	q.route = c.Route(q.r.Host, q.r.URL.Path)
+	q.route = c.MatchRoute(q.r.Host, q.r.URL.Path)
 	if q.route == nil {
 		return q.unknown(http.StatusNotFound, chestnutstep.ReasonProfile)
 	}
-	if c.Keyed && !q.route.Public {
+	if c.RequiresKey && !q.route.Public {
 		if !q.current() {
 			return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, retryUnready}
 		}
-		q.workspace = c.Client(q.ask.Key)
+		q.workspace = c.WorkspaceByKey(q.ask.Key)
 		if q.workspace == nil {
 			return q.unknown(http.StatusUnauthorized, chestnutstep.ReasonKey)
 		}
@@ -148,18 +148,18 @@
 	if q.ask.ID == "" {
 		return &refusal{http.StatusBadRequest, chestnutstep.ReasonHeader, 0}
 	}
-	if most := c.Limits.HeaderBytes; most > 0 && headerBytes(q.r.Header) > most {
+	if most := c.Limits.MaxHeaderBytes; most > 0 && headerBytes(q.r.Header) > most {
 		return &refusal{http.StatusRequestHeaderFieldsTooLarge, chestnutstep.ReasonLarge, 0}
 	}
 	q.deadline = q.began.Add(q.route.Timeout)
-	if q.ask.Limit > 0 && q.ask.Limit < q.route.Timeout {
-		q.deadline = q.began.Add(q.ask.Limit)
+	if q.ask.Timeout > 0 && q.ask.Timeout < q.route.Timeout {
+		q.deadline = q.began.Add(q.ask.Timeout)
 	}
 	q.service = c.Services[q.split()]
 	if q.service == nil {
 		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonTarget, retryUnready}
 	}
-	return q.readBody(c.Limits.BodyBytes)
+	return q.readBody(c.Limits.MaxBodyBytes)
 }
 
 // headerBytes is the size of headers on the wire.
@@ -193,7 +193,7 @@
 // A process that was cut off or suspended would otherwise let in a key that was
 // taken away meanwhile. The boot clock goes on during a suspension.
 func (q *request) current() bool {
-	revoke := q.Bounds().Revoke
+	revoke := q.Bounds().MaxRevokeTime
 	if revoke <= 0 {
 		return true
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -77,7 +77,7 @@
 	g.roster.Learn(clock.Now(), chestnutstep.TopicTargets, b, true)
 	g.publish(1, key)
 	g.roster.Confirm(clock.Now())
-	bounds := config.Bounds{Revoke: revokeIn}
+	bounds := config.Bounds{MaxRevokeTime: revokeIn}
 	g.relay = newRelay(g.roster, bounds, 1)
 	g.server = httptest.NewServer(g.relay)
 	t.Cleanup(g.server.Close)
@@ -89,7 +89,7 @@
 func newRelay(ros *roster.Roster, bounds config.Bounds, retries float64) *relay.Relay {
 	return &relay.Relay{
 		Domain: "d", Bounds: func() config.Bounds { return bounds },
-		Roster: ros, Board: &board.Board{}, Pool: &link.Pool{}, Wire: platform.Wire{},
+		Roster: ros, Board: &board.Board{}, Pool: &link.Pool{}, Wire: platform.HeaderCodec{},
 		Crashes: &relay.Crashes{Meters: &meter.Relay{}}, Meters: &meter.Relay{}, Behind: func() bool { return false },
 		Budgets: &retry.Budgets{
 			Bounds:  func() retry.Bounds { return retry.Bounds{Share: retries, Slack: 100 * retries, Window: time.Second} },
@@ -112,26 +112,26 @@
 // publish puts a version in force whose workspace has these keys.
 func (g *rig) publish(version uint64, keys ...string) {
 	c := &chestnutstep.Routing{
-		Version:    version,
-		Keyed:      true,
-		Services:   map[string]*chestnutstep.Service{"shop": {Name: "shop"}},
-		Workspaces: []*chestnutstep.Client{{Name: "ws", Keys: keys}},
+		Version:     version,
+		RequiresKey: true,
+		Services:    map[string]*chestnutstep.Service{"shop": {Name: "shop"}},
+		Workspaces:  []*chestnutstep.WorkspaceAccess{{Name: "ws", Keys: keys}},
 	}
 	for name, r := range map[string]chestnutstep.Route{
-		"safe":   {Kind: chestnutstep.Safe, Tries: 2},
-		"unsafe": {Kind: chestnutstep.Unsafe, Tries: 2},
-		"stream": {Kind: chestnutstep.Stream, Tries: 2},
-		"resume": {Kind: chestnutstep.Stream, Tries: 2, Resumable: true},
+		"safe":   {Kind: chestnutstep.RouteSafe, MaxAttempts: 2},
+		"unsafe": {Kind: chestnutstep.RouteUnsafe, MaxAttempts: 2},
+		"stream": {Kind: chestnutstep.RouteStream, MaxAttempts: 2},
+		"resume": {Kind: chestnutstep.RouteStream, MaxAttempts: 2, Resumable: true},
 	} {
 		r.Name, r.Host, r.Prefix, r.Timeout = name, host, "/"+name+"/", g.limit
-		r.Objective = timeout / 2
-		if r.Kind == chestnutstep.Stream {
+		r.LatencyObjective = timeout / 2
+		if r.Kind == chestnutstep.RouteStream {
 			r.Prefix = "/" + name + "/stream/"
 		}
 		r.Splits = []chestnutstep.Split{{Service: "shop", Weight: 1}}
 		c.Routes = append(c.Routes, r)
 	}
-	c.Index()
+	c.BuildIndex()
 	g.roster.Learn(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactRouting, Revision: version, Routing: c,
 	}}}, false)
