--- a/relay/run.go
+++ b/relay/run.go
@@ -47,7 +47,7 @@
 // await lets a request wait at an entry that has just started, until it is known
 // what targets hold, and no longer than its prefix is worth.
 func (q *request) await() {
-	if q.Settled == nil || !q.service.Engine {
+	if q.Settled == nil || !q.service.IsEngine {
 		return
 	}
 	t := time.NewTimer(place.Patience(q.want().Shared))
@@ -61,14 +61,14 @@
 
 // again says whether another target may be tried, and takes it from the budget.
 func (q *request) again(err error) bool {
-	if !q.tally.Again(q.route.Idempotent(), q.route.Tries) {
+	if !q.tally.Again(q.route.IsIdempotent(), q.route.MaxAttempts) {
 		return false
 	}
 	if time.Until(q.deadline) < leastLeft {
 		return false
 	}
 	if reached(err) && !q.Budgets.Spend(time.Now(), q.service.Name) {
-		q.Meters.Denied.Add(1, q.service.Name)
+		q.Meters.RetriesDenied.Add(1, q.service.Name)
 		q.log(event.RelayBudget, event.Str("service", q.service.Name))
 		return false
 	}
@@ -103,13 +103,13 @@
 		q.failed(run, t, err)
 		return false, err
 	}
-	told := q.Wire.ServerHeaders(answer.Status, answer.Header)
+	told := q.Wire.TargetHeaders(answer.Status, answer.Header)
 	if err := q.validate(answer, told); err != nil {
 		answer.Close(false)
 		q.failed(run, t, err)
 		return false, err
 	}
-	if q.route.Kind == chestnutstep.Stream && answer.Status == http.StatusOK {
+	if q.route.Kind == chestnutstep.RouteStream && answer.Status == http.StatusOK {
 		err = q.forward(run, answer)
 	} else {
 		err = q.collect(run, answer)
@@ -130,9 +130,9 @@
 	if c.Ask.Tokens == 0 {
 		return
 	}
-	q.Meters.Tokens.Add(int64(c.Held), "held")
-	q.Meters.Tokens.Add(int64(c.Cached()-c.Held), "fetched")
-	q.Meters.Tokens.Add(int64(max(c.Ask.Tokens-c.Cached(), 0)), "read")
+	q.Meters.PromptTokens.Add(int64(c.Held), "held")
+	q.Meters.PromptTokens.Add(int64(c.Cached()-c.Held), "fetched")
+	q.Meters.PromptTokens.Add(int64(max(c.Ask.Tokens-c.Cached(), 0)), "read")
 }
 
 // call builds the message for a target.
@@ -143,24 +143,24 @@
 			h[name] = values
 		}
 	}
-	s := chestnutstep.Send{
-		Instance: c.ID,
-		Limit:    time.Until(q.deadline),
-		Fetch:    c.Donor.Address,
-		Urgency:  chestnutstep.UrgencyUnset,
-		Resumes:  q.ask.Resumes,
-		Last:     q.ask.Last,
+	s := chestnutstep.ForwardHeaders{
+		Instance:    c.ID,
+		Timeout:     time.Until(q.deadline),
+		FetchFrom:   c.Donor.Address,
+		Urgency:     chestnutstep.UrgencyUnset,
+		IsResume:    q.ask.IsResume,
+		LastEventID: q.ask.LastEventID,
 	}
 	if q.workspace != nil {
 		s.Workspace = q.workspace.Name
 	}
-	if q.service.Engine {
+	if q.service.IsEngine {
 		s.Urgency = q.urgency()
 	}
 	if q.stream.begun {
-		s.Resumes, s.Last = true, q.stream.last
+		s.IsResume, s.LastEventID = true, q.stream.last
 	}
-	q.Wire.Prepare(h, s)
+	q.Wire.SetForwardHeaders(h, s)
 	return &link.Call{
 		Method:   q.r.Method,
 		URI:      q.r.RequestURI,
@@ -168,7 +168,7 @@
 		Header:   h,
 		Body:     q.body,
 		HasBody:  q.r.ContentLength != 0,
-		Keep:     link.Keep(q.service.Connections, q.Board.Entries()),
+		Keep:     link.Keep(q.service.MaxConnections, q.Board.Entries()),
 		Fresh:    c.Fresh,
 		Dial:     q.dialLimit(c),
 		OnSilent: q.onSilent(c.Target),
@@ -184,16 +184,16 @@
 
 // dialLimit bounds the opening of a connection that verifies a host, in time for another one.
 func (q *request) dialLimit(c *board.Choice) time.Duration {
-	if !c.Fresh || q.route.Objective <= 0 {
+	if !c.Fresh || q.route.LatencyObjective <= 0 {
 		return 0
 	}
-	return max(time.Duration(verifyShare*float64(q.route.Objective)), verifyLeast)
+	return max(time.Duration(verifyShare*float64(q.route.LatencyObjective)), verifyLeast)
 }
 
 // onSilent returns what is done when a target's host does not acknowledge the request: a request
 // that may run once more is given up there and goes to another target.
 func (q *request) onSilent(t *roster.Target) func() bool {
-	repeat := q.route.Idempotent() && q.tally.Tries+1 < q.route.Tries
+	repeat := q.route.IsIdempotent() && q.tally.Tries+1 < q.route.MaxAttempts
 	return func() bool {
 		q.Meters.Silent.Add(1, q.service.Name)
 		known := q.Board.RecordSilence(clock.Now(), t)
--- a/relay/shed.go
+++ b/relay/shed.go
@@ -89,7 +89,7 @@
 	if v == nil {
 		return ""
 	}
-	if c := v.Routing.Client(key); c != nil {
+	if c := v.Routing.WorkspaceByKey(key); c != nil {
 		return c.Name
 	}
 	return ""
@@ -112,7 +112,7 @@
 
 func (s *Shedder) format(after time.Duration) []byte {
 	h := http.Header{"Connection": {"close"}, "Content-Length": {"0"}}
-	s.Relay.Wire.SetRetry(h, after)
+	s.Relay.Wire.SetRetryAfter(h, after)
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", http.StatusServiceUnavailable, http.StatusText(http.StatusServiceUnavailable))
 	_ = h.Write(&b) // a bytes.Buffer takes all
--- a/relay/validate.go
+++ b/relay/validate.go
@@ -19,17 +19,17 @@
 
 // validate says whether an answer's head can be that of the request, and whether
 // it says that the request ran.
-func (q *request) validate(a *link.Answer, told chestnutstep.ServerHeaders) error {
+func (q *request) validate(a *link.Answer, told chestnutstep.TargetHeaders) error {
 	switch {
 	case told.NotRun && (told.ID == "" || told.ID == q.ask.ID):
 		reason := chestnutstep.ReasonFull
-		if told.Moved {
+		if told.Misdirected {
 			reason = chestnutstep.ReasonDead
 		}
 		return link.ErrCall{Run: chestnutstep.RunNo, Reason: reason, Err: errors.Newf("status %d", a.Status)}
 	case told.ID != q.ask.ID:
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed, Err: errors.Newf("answer to %q", told.ID)}
-	case !told.Signed || a.Header.Get("Content-Encoding") != "":
+	case !told.IsSigned || a.Header.Get("Content-Encoding") != "":
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, Err: errors.Newf("status %d, not the target's own", a.Status)}
 	}
 	return nil
@@ -61,7 +61,7 @@
 
 // noteEnd takes note of what a failure says of whether its target has ended.
 func (q *request) noteEnd(t *roster.Target, e link.ErrCall, left bool) {
-	if listed := q.Roster.View().ByID[t.ID]; listed == nil || listed.Leaving || listed.Born != t.Born {
+	if listed := q.Roster.View().ByID[t.ID]; listed == nil || listed.Leaving || listed.StartedMs != t.StartedMs {
 		return // it ends as planned, or has ended before
 	}
 	u := Unfinished{Target: t, Content: q.content, Events: q.stream.events, Left: left}
@@ -158,7 +158,7 @@
 // refuse writes an answer of the relay's own.
 func (q *request) refuse(f refusal) {
 	if f.after > 0 {
-		q.Wire.SetRetry(q.w.Header(), f.after)
+		q.Wire.SetRetryAfter(q.w.Header(), f.after)
 	}
 	q.w.Header().Set("Content-Type", "text/plain")
 	q.w.WriteHeader(f.status)
--- a/relay/wait_test.go
+++ b/relay/wait_test.go
@@ -23,7 +23,7 @@
 	}
 	g.relay.Settled = make(chan struct{})
 	took(long)
-	g.roster.View().Routing.Services["shop"].Engine = true
+	g.roster.View().Routing.Services["shop"].IsEngine = true
 	assert.Assert(t, took(long) >= place.Patience(6000))
 	settled := make(chan struct{})
 	close(settled)
--- a/retry/allowance.go
+++ b/retry/allowance.go
@@ -49,7 +49,7 @@
 	last  time.Time
 }
 
-var _ chestnutstep.Allowance = (*Allowance)(nil)
+var _ chestnutstep.RetryBudget = (*Allowance)(nil)
 
 // Steps returns the budget for steps down the ranking. It is apart from that of
 // repeats: a step follows a true "not run" and costs a target one refused
@@ -91,14 +91,14 @@
 	a.saved = min(a.saved+n, a.Bank)
 }
 
-// Earn counts a first offer.
-func (a *Allowance) Earn(now time.Time) {
+// Deposit counts a first offer.
+func (a *Allowance) Deposit(now time.Time) {
 	a.refill(now)
 	a.add(a.Share)
 }
 
-// Spend takes one repeat from the budget; false means that none is left.
-func (a *Allowance) Spend(now time.Time) bool {
+// TryWithdraw takes one repeat from the budget; false means that none is left.
+func (a *Allowance) TryWithdraw(now time.Time) bool {
 	a.refill(now)
 	if a.saved < 1 {
 		return false
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -58,12 +58,12 @@
 func (b *Budgets) Earn(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.allowance(service).Earn(now)
+	b.allowance(service).Deposit(now)
 }
 
 // Spend takes one repeat; false means that none is left.
 func (b *Budgets) Spend(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allowance(service).Spend(now)
+	return b.allowance(service).TryWithdraw(now)
 }
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -85,7 +85,7 @@
 		most := rapid.IntRange(1, 4).Draw(t, "most")
 		ran := 0
 		for range 20 {
-			run := rapid.SampledFrom([]chestnutstep.Run{chestnutstep.RunNo, chestnutstep.RunMaybe, chestnutstep.RunYes}).Draw(t, "run")
+			run := rapid.SampledFrom([]chestnutstep.RunStatus{chestnutstep.RunNo, chestnutstep.RunMaybe, chestnutstep.RunYes}).Draw(t, "run")
 			if rapid.Bool().Draw(t, "unreached") {
 				tally.Unreached++
 			} else {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -112,7 +112,7 @@
 // by its share, and all is served when the targets are back.
 func TestOutageBringsNoWave(t *testing.T) {
 	var a Allowance
-	most, served := outage(&fleet{load: 70, most: 3, allowed: a.Spend, first: a.Earn})
+	most, served := outage(&fleet{load: 70, most: 3, allowed: a.TryWithdraw, first: a.Deposit})
 	plain, stuck := outage(&fleet{
 		load: 70, most: 3,
 		allowed: func(time.Time) bool { return true }, first: func(time.Time) {},
@@ -133,9 +133,9 @@
 	offers := 0
 	for n := range requests {
 		now := script.Epoch.Add(time.Duration(n) * time.Second / 70)
-		steps.Earn(now)
+		steps.Deposit(now)
 		offers++
-		for i := 1; i < tries && steps.Spend(now); i++ {
+		for i := 1; i < tries && steps.TryWithdraw(now); i++ {
 			offers++
 		}
 	}
@@ -147,14 +147,14 @@
 // of a share would refuse the one repeat that it needs.
 func TestQuietEntryMayRepeat(t *testing.T) {
 	var a Allowance
-	a.Earn(script.Epoch)
-	assert.Assert(t, a.Spend(script.Epoch))
-	assert.Assert(t, !a.Spend(script.Epoch))
-	assert.Assert(t, a.Spend(script.Epoch.Add(2*time.Second)))
-	assert.Assert(t, !a.Spend(script.Epoch.Add(time.Second)), "a clock that goes back earns nothing")
+	a.Deposit(script.Epoch)
+	assert.Assert(t, a.TryWithdraw(script.Epoch))
+	assert.Assert(t, !a.TryWithdraw(script.Epoch))
+	assert.Assert(t, a.TryWithdraw(script.Epoch.Add(2*time.Second)))
+	assert.Assert(t, !a.TryWithdraw(script.Epoch.Add(time.Second)), "a clock that goes back earns nothing")
 	night := script.Epoch.Add(10 * time.Hour)
 	n := 0
-	for a.Spend(night) {
+	for a.TryWithdraw(night) {
 		n++
 	}
 	assert.Equal(t, n, DefaultBank, "a quiet night must not pay for a wave")
--- a/retry/verdict.go
+++ b/retry/verdict.go
@@ -26,7 +26,7 @@
 // next target may well say otherwise, and is repeated where a target failed it.
 // Reasons that the next target would give too end at once: moving on would make
 // every bad request cost as many offers as there are tries.
-func May(reason chestnutstep.Reason, run chestnutstep.Run, idempotent bool) Verdict {
+func May(reason chestnutstep.Reason, run chestnutstep.RunStatus, idempotent bool) Verdict {
 	if reason == chestnutstep.ReasonLink && run != chestnutstep.RunNo {
 		return Attach
 	}
--- a/retry/verdicts.go
+++ b/retry/verdicts.go
@@ -18,7 +18,7 @@
 }
 
 // Add takes the end of one try.
-func (t *Tally) Add(run chestnutstep.Run) {
+func (t *Tally) Add(run chestnutstep.RunStatus) {
 	t.Tries++
 	switch run {
 	case chestnutstep.RunMaybe:
--- a/roster/missing.go
+++ b/roster/missing.go
@@ -21,11 +21,11 @@
 // extendSettled decides for how long targets that are missing may have lapsed. A peer says so
 // itself: it may have read the source all the while that this entry could not.
 func (r *Roster) extendSettled(now clock.Stamp, b chestnutstep.Batch, read clock.Stamp) {
-	if r.doubt && b.Direct() && now.Sub(read) > lapseLeast {
+	if r.doubt && b.IsDirect() && now.Sub(read) > lapseLeast {
 		r.settled = now.Add(settle)
 	}
 	r.doubt = false
-	r.settled = max(r.settled, now.Add(b.Settle))
+	r.settled = max(r.settled, now.Add(b.SettleTime))
 }
 
 // retire removes what a full read of a topic no longer lists.
@@ -44,8 +44,8 @@
 		}
 	}
 	for domain := range r.out {
-		if gone(chestnutstep.FactOut, domain) {
-			delete(r.held, entry{chestnutstep.FactOut, domain})
+		if gone(chestnutstep.FactDomainOut, domain) {
+			delete(r.held, entry{chestnutstep.FactDomainOut, domain})
 			r.takeOut(domain, false, c)
 		}
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -198,10 +198,10 @@
 	switch f.Kind {
 	case chestnutstep.FactRouting:
 		r.takeRouting(f, c)
-	case chestnutstep.FactOut:
-		r.takeOut(f.Name, !f.Gone, c)
+	case chestnutstep.FactDomainOut:
+		r.takeOut(f.Name, !f.Deleted, c)
 	case chestnutstep.FactInstance:
-		if f.Gone {
+		if f.Deleted {
 			r.miss(now, f.Name, c)
 			return
 		}
@@ -222,7 +222,7 @@
 // takeRouting never goes back: a request that was handled under a version must
 // not be followed by one under an older version.
 func (r *Roster) takeRouting(f chestnutstep.Fact, c *Change) {
-	if f.Gone || r.routing != nil && f.Routing.Version <= r.routing.Version {
+	if f.Deleted || r.routing != nil && f.Routing.Version <= r.routing.Version {
 		return
 	}
 	r.routing = f.Routing
@@ -244,8 +244,8 @@
 
 func (r *Roster) takeInstance(now clock.Stamp, in *chestnutstep.Instance, c *Change) {
 	old := r.targets[in.ID]
-	t := &Target{Instance: *in, ColdUntil: now.Add(in.Cold)}
-	fresh := old == nil || old.Born != in.Born || old.Address != in.Address
+	t := &Target{Instance: *in, ColdUntil: now.Add(in.ColdRemaining)}
+	fresh := old == nil || old.StartedMs != in.StartedMs || old.Address != in.Address
 	if fresh && r.topics[chestnutstep.TopicTargets].listed && !r.aged(in) {
 		// One that appears while we watch has just started, whatever it says.
 		t.ColdUntil = max(t.ColdUntil, now.Add(r.coldStart(in.Service)))
@@ -271,14 +271,14 @@
 // aged says that an instance was born long before it appeared: it was there, and
 // the list has lost it for a while.
 func (r *Roster) aged(in *chestnutstep.Instance) bool {
-	if in.Born == 0 {
+	if in.StartedMs == 0 {
 		return false
 	}
 	wall := time.Now
 	if r.Wall != nil {
 		wall = r.Wall
 	}
-	return wall().Sub(time.UnixMilli(in.Born)) > r.coldStart(in.Service)+bornMargin
+	return wall().Sub(time.UnixMilli(in.StartedMs)) > r.coldStart(in.Service)+bornMargin
 }
 
 func (r *Roster) coldStart(service string) time.Duration {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -64,7 +64,7 @@
 			if name == "age" {
 				b.Age = value
 			} else {
-				b.Settle = value
+				b.SettleTime = value
 			}
 		}
 		s.learn(b, d.Cmd == "full")
@@ -109,18 +109,18 @@
 			case "born":
 				var seconds int64
 				_, _ = fmt.Sscan(value, &seconds)
-				in.Born = 1000 * seconds
+				in.StartedMs = 1000 * seconds
 			case "cold":
-				in.Cold, _ = time.ParseDuration(value)
+				in.ColdRemaining, _ = time.ParseDuration(value)
 			default:
 				d.Fatalf(t, "unknown word %s", word)
 			}
 		}
 		switch w[0] {
 		case "target", "gone":
-			f.Kind, f.Instance, f.Gone = chestnutstep.FactInstance, in, w[0] == "gone"
+			f.Kind, f.Instance, f.Deleted = chestnutstep.FactInstance, in, w[0] == "gone"
 		case "out", "back":
-			f.Kind, f.Gone = chestnutstep.FactOut, w[0] == "back"
+			f.Kind, f.Deleted = chestnutstep.FactDomainOut, w[0] == "back"
 		case "version":
 			f.Kind, f.Name = chestnutstep.FactRouting, ""
 			f.Routing = &chestnutstep.Routing{Services: map[string]*chestnutstep.Service{
@@ -165,7 +165,7 @@
 // back while the entry that it copies from had a gap.
 func TestDomainBackInServiceIsNotHandedOnAsOut(t *testing.T) {
 	r := &roster.Roster{}
-	out := chestnutstep.Fact{Kind: chestnutstep.FactOut, Name: "z", Revision: 2}
+	out := chestnutstep.Fact{Kind: chestnutstep.FactDomainOut, Name: "z", Revision: 2}
 	r.Learn(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 2, Facts: []chestnutstep.Fact{out}}, true)
 	r.Learn(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 5}, true)
 	b, ok := r.Since(0, chestnutstep.TopicRouting, 0)
--- a/roster/since.go
+++ b/roster/since.go
@@ -17,7 +17,7 @@
 	t := &r.topics[topic]
 	b := chestnutstep.Batch{Revision: t.revision}
 	if topic == chestnutstep.TopicTargets {
-		b.Settle = max(r.settled.Sub(now), 0)
+		b.SettleTime = max(r.settled.Sub(now), 0)
 	}
 	if after == 0 {
 		b.Facts = r.all(topic)
@@ -35,7 +35,7 @@
 		}
 		f, ok := r.held[key]
 		if !ok {
-			f = chestnutstep.Fact{Kind: key.kind, Name: key.name, Revision: revision, Gone: true}
+			f = chestnutstep.Fact{Kind: key.kind, Name: key.name, Revision: revision, Deleted: true}
 		}
 		b.Facts = append(b.Facts, f)
 	}
@@ -81,10 +81,10 @@
 // keep remembers a fact as it was published, while it is in force.
 func (r *Roster) keep(key entry, f chestnutstep.Fact) {
 	switch {
-	case f.Gone && f.Kind != chestnutstep.FactRouting:
+	case f.Deleted && f.Kind != chestnutstep.FactRouting:
 		delete(r.held, key)
 	case f.Kind == chestnutstep.FactUnknown:
-	case f.Kind == chestnutstep.FactRouting && (f.Gone || r.routing != nil && f.Routing.Version <= r.routing.Version):
+	case f.Kind == chestnutstep.FactRouting && (f.Deleted || r.routing != nil && f.Routing.Version <= r.routing.Version):
 	default:
 		r.held[key] = chestnutstep.Fact{Kind: f.Kind, Name: f.Name, Revision: f.Revision, Raw: f.Raw}
 	}
--- a/roster/topic.go
+++ b/roster/topic.go
@@ -21,7 +21,7 @@
 }
 
 func (t *topic) learn(now clock.Stamp, b chestnutstep.Batch, full bool) {
-	t.read, t.direct, t.lost = now, b.Direct(), false
+	t.read, t.direct, t.lost = now, b.IsDirect(), false
 	if full {
 		t.floor, t.listed = max(t.floor, b.Revision), true
 	}
--- a/roster/whole_test.go
+++ b/roster/whole_test.go
@@ -47,7 +47,7 @@
 func (s *modelStore) fact(id string) chestnutstep.Fact {
 	list := s.history[id]
 	last := list[len(list)-1]
-	f := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: id, Revision: last.revision, Gone: last.state == absent}
+	f := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: id, Revision: last.revision, Deleted: last.state == absent}
 	if last.state != absent {
 		f.Instance = &chestnutstep.Instance{ID: id, Service: "s", Address: id + ":1", Leaving: last.state == draining}
 	}
@@ -148,7 +148,7 @@
 	}
 	b.Age = time.Millisecond
 	for i, f := range b.Facts {
-		if !f.Gone {
+		if !f.Deleted {
 			b.Facts[i] = m.decode(f)
 		}
 	}
--- a/route/rank.go
+++ b/route/rank.go
@@ -24,7 +24,7 @@
 // Rank appends at most n targets (and at most Most) to dst, best first: the
 // hint while it qualifies, then the targets of the caller's region, then those
 // of other regions. It allocates nothing when dst has room.
-func (t *Table) Rank(dst []*chestnutstep.Target, ask chestnutstep.Place, n int) []*chestnutstep.Target {
+func (t *Table) Rank(dst []*chestnutstep.Target, ask chestnutstep.RankQuery, n int) []*chestnutstep.Target {
 	p := t.pools[ask.Model]
 	if p == nil || n <= 0 {
 		return dst
@@ -51,7 +51,7 @@
 // worth a first try. A hint is text from outside: one that names a target of
 // another model, or one that left, is ignored rather than refused, as callers
 // keep hints for as long as their chats pause.
-func (t *Table) hint(ask chestnutstep.Place) *chestnutstep.Target {
+func (t *Table) hint(ask chestnutstep.RankQuery) *chestnutstep.Target {
 	if ask.Hint == "" {
 		return nil
 	}
--- a/route/rank_test.go
+++ b/route/rank_test.go
@@ -41,8 +41,8 @@
 	return p
 }
 
-func drawPlace(t *rapid.T) chestnutstep.Place {
-	return chestnutstep.Place{
+func drawPlace(t *rapid.T) chestnutstep.RankQuery {
+	return chestnutstep.RankQuery{
 		Workspace: rapid.StringN(0, 4, -1).Draw(t, "workspace"),
 		Chat:      rapid.StringN(0, 6, -1).Draw(t, "chat"),
 		Model:     rapid.SampledFrom(append(models, "none")).Draw(t, "model"),
@@ -52,10 +52,10 @@
 }
 
 // naive sorts all targets that qualify, with a logarithm for each.
-func naive(v *chestnutstep.View, skip func(*chestnutstep.Target) bool, ask chestnutstep.Place, n int) []string {
+func naive(v *chestnutstep.View, skip func(*chestnutstep.Target) bool, ask chestnutstep.RankQuery, n int) []string {
 	var all []*chestnutstep.Target
-	for _, target := range v.Serving[ask.Model] {
-		if !v.Out(target) && !skip(target) {
+	for _, target := range v.TargetsByModel[ask.Model] {
+		if !v.IsOut(target) && !skip(target) {
 			all = append(all, target)
 		}
 	}
@@ -152,7 +152,7 @@
 	table := bigTable(30)
 	var double int
 	for i := range chats {
-		first := table.Rank(nil, chestnutstep.Place{Chat: fmt.Sprint("c", i), Model: "chat", Region: "east"}, 1)[0]
+		first := table.Rank(nil, chestnutstep.RankQuery{Chat: fmt.Sprint("c", i), Model: "chat", Region: "east"}, 1)[0]
 		if first.Weight == 2 {
 			double++
 		}
@@ -164,7 +164,7 @@
 func TestRankAllocatesNothing(t *testing.T) {
 	table := bigTable(2700)
 	dst := make([]*chestnutstep.Target, 0, 8)
-	ask := chestnutstep.Place{Workspace: "desk", Chat: "c1", Model: "chat", Region: "east", Hint: "t9"}
+	ask := chestnutstep.RankQuery{Workspace: "desk", Chat: "c1", Model: "chat", Region: "east", Hint: "t9"}
 	allocs := testing.AllocsPerRun(100, func() { dst = table.Rank(dst[:0], ask, 4) })
 	assert.Equal(t, allocs, 0.0)
 }
@@ -175,7 +175,7 @@
 			table := bigTable(n)
 			dst := make([]*chestnutstep.Target, 0, 8)
 			chats := []string{"a", "b", "c", "d", "e", "f", "g"}
-			ask := chestnutstep.Place{Workspace: "desk", Model: "chat", Region: "east"}
+			ask := chestnutstep.RankQuery{Workspace: "desk", Model: "chat", Region: "east"}
 			b.ReportAllocs()
 			for i := range b.N {
 				ask.Chat = chats[i%len(chats)]
--- a/route/table.go
+++ b/route/table.go
@@ -64,9 +64,9 @@
 
 // Build computes the look-ups. Call it before the first Rank, and not again.
 func (t *Table) Build() {
-	t.pools = make(map[string]*pool, len(t.View.Serving))
+	t.pools = make(map[string]*pool, len(t.View.TargetsByModel))
 	t.byName = make(map[string]*chestnutstep.Target, len(t.View.Targets))
-	for model, targets := range t.View.Serving {
+	for model, targets := range t.View.TargetsByModel {
 		t.pools[model] = t.newPool(targets)
 	}
 }
@@ -93,7 +93,7 @@
 }
 
 func (t *Table) serves(target *chestnutstep.Target) bool {
-	if t.View.Out(target) {
+	if t.View.IsOut(target) {
 		return false
 	}
 	return t.Skip == nil || !t.Skip(target)
@@ -108,7 +108,7 @@
 }
 
 func newSeat(target *chestnutstep.Target) seat {
-	inv := 1 / target.Size()
+	inv := 1 / target.EffectiveWeight()
 	return seat{
 		hash:   xxhash.Sum64String(target.Name),
 		inv:    inv,
--- a/routing.go
+++ b/routing.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
-type Kind uint8
+// RouteKind says what may be repeated of a route's requests.
+type RouteKind uint8
 
 // The kinds of a route.
 const (
-	// Unsafe requests may run at most once: it is the safe value.
-	Unsafe Kind = iota
-	// Safe requests are idempotent.
-	Safe
-	// Stream requests are answered by a series of numbered events. They are
+	// RouteUnsafe requests may run at most once: it is the safe value.
+	RouteUnsafe RouteKind = iota
+	// RouteSafe requests are idempotent.
+	RouteSafe
+	// RouteStream requests are answered by a series of numbered events. They are
 	// handled as Unsafe unless the route is resumable.
-	Stream
+	RouteStream
 )
 
 // String is the kind's name in logs.
-func (k Kind) String() string {
+func (k RouteKind) String() string {
 	switch k {
-	case Safe:
+	case RouteSafe:
 		return "safe"
-	case Stream:
+	case RouteStream:
 		return "stream"
 	default:
 		return "unsafe"
@@ -41,12 +41,12 @@
 	Routes     []Route
 	Services   map[string]*Service
 	Limits     CallerLimits
-	Workspaces []*Client
-	// Keyed says that requests need a key.
-	Keyed bool
+	Workspaces []*WorkspaceAccess
+	// RequiresKey says that requests need a key.
+	RequiresKey bool
 
 	hosts map[string][]*Route
-	keys  map[string]*Client
+	keys  map[string]*WorkspaceAccess
 }
 
 // Route leads the requests of one host and path prefix to services.
@@ -54,27 +54,27 @@
 	Name   string
 	Host   string
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Resumable streams may go on at another target after their last event.
 	Resumable bool
 	// Public requests need no key.
 	Public bool
 	// Timeout is the longest time to a final answer.
 	Timeout time.Duration
-	// Objective is the time to the answer, or a stream's first event, that
+	// LatencyObjective is the time to the answer, or a stream's first event, that
 	// callers want.
-	Objective time.Duration
+	LatencyObjective time.Duration
 	// Rank orders routes by urgency: 0 is the most urgent.
 	Rank int
-	// Tries is the most targets that one request may reach.
-	Tries int
-	// Cached says that requests name the parts of their prompt, which targets
+	// MaxAttempts is the most targets that one request may reach.
+	MaxAttempts int
+	// HasPromptParts says that requests name the parts of their prompt, which targets
 	// keep in a cache.
-	Cached bool
+	HasPromptParts bool
 	// Splits are the services of the route, each with its weight.
 	Splits []Split
-	// Regions are the only ones whose targets may get its requests; empty for all.
-	Regions []string
+	// AllowedRegions are the only ones whose targets may get its requests; empty for all.
+	AllowedRegions []string
 }
 
 // Split is a service with its share of a route's requests.
@@ -83,9 +83,9 @@
 	Weight  float64
 }
 
-// Idempotent says whether a request of the route may run more than once.
-func (r *Route) Idempotent() bool {
-	return r.Kind == Safe || r.Kind == Stream && r.Resumable
+// IsIdempotent says whether a request of the route may run more than once.
+func (r *Route) IsIdempotent() bool {
+	return r.Kind == RouteSafe || r.Kind == RouteStream && r.Resumable
 }
 
 // Service is a group of like targets.
@@ -96,47 +96,47 @@
 	// ColdRate is the requests a second that a cold target carries, from all
 	// entries together; 0 where cold targets need no care.
 	ColdRate float64
-	// Connections is how many a target accepts from all entries together; 0 where
+	// MaxConnections is how many a target accepts from all entries together; 0 where
 	// that is not said.
-	Connections int
-	// Engine says that targets cache prompts and can fetch them.
-	Engine bool
-	// Objective is the shortest that a route to the service has; 0 where none has one.
+	MaxConnections int
+	// IsEngine says that targets cache prompts and can fetch them.
+	IsEngine bool
+	// LatencyObjective is the shortest that a route to the service has; 0 where none has one.
 	// Index sets it.
-	Objective time.Duration
+	LatencyObjective time.Duration
 }
 
-// Client is a workspace with the keys of its callers.
-type Client struct {
+// WorkspaceAccess is a workspace with the keys of its callers.
+type WorkspaceAccess struct {
 	Name string
 	Keys []string
 	// Rank goes before the route's where HasRank is set.
 	Rank    int
 	HasRank bool
-	// Regions are the only ones whose targets may get its requests; empty for all.
-	Regions []string
+	// AllowedRegions are the only ones whose targets may get its requests; empty for all.
+	AllowedRegions []string
 }
 
 // CallerLimits bound what a caller may send and how long it may stay idle.
 type CallerLimits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	Idle        time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
-// Index builds the look-ups; call it once, before the first use.
-func (c *Routing) Index() {
+// BuildIndex builds the look-ups; call it once, before the first use.
+func (c *Routing) BuildIndex() {
 	c.hosts = make(map[string][]*Route)
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		c.hosts[r.Host] = append(c.hosts[r.Host], r)
-		c.shorten(r)
+		c.updateObjectives(r)
 	}
 	for _, list := range c.hosts {
 		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	c.keys = make(map[string]*Client)
+	c.keys = make(map[string]*WorkspaceAccess)
 	for _, ws := range c.Workspaces {
 		for _, key := range ws.Keys {
 			c.keys[key] = ws
@@ -144,22 +144,22 @@
 	}
 }
 
-// shorten takes the objective of a route into those of its services.
-func (c *Routing) shorten(r *Route) {
+// updateObjectives takes the objective of a route into those of its services.
+func (c *Routing) updateObjectives(r *Route) {
 	for _, split := range r.Splits {
 		s := c.Services[split.Service]
-		if s == nil || r.Objective <= 0 {
+		if s == nil || r.LatencyObjective <= 0 {
 			continue
 		}
-		if s.Objective == 0 || r.Objective < s.Objective {
-			s.Objective = r.Objective
+		if s.LatencyObjective == 0 || r.LatencyObjective < s.LatencyObjective {
+			s.LatencyObjective = r.LatencyObjective
 		}
 	}
 }
 
-// Route finds the route of a request: the longest prefix among those of the
+// MatchRoute finds the route of a request: the longest prefix among those of the
 // host, or nil.
-func (c *Routing) Route(host, path string) *Route {
+func (c *Routing) MatchRoute(host, path string) *Route {
 	routes, ok := c.hosts[host]
 	if !ok {
 		name, _, _ := strings.Cut(host, ":")
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// Client finds the workspace that holds a key, or nil.
-func (c *Routing) Client(key string) *Client {
+// WorkspaceByKey finds the workspace that holds a key, or nil.
+func (c *Routing) WorkspaceByKey(key string) *WorkspaceAccess {
 	if key == "" {
 		return nil
 	}
@@ -193,9 +193,9 @@
 	Slots int
 	// Leaving says that the target takes no new work.
 	Leaving bool
-	// Cold is how long the target stays cold, counted from when it said so.
-	Cold time.Duration
-	// Born is when the target started, Unix milliseconds by its own clock; 0
+	// ColdRemaining is how long the target stays cold, counted from when it said so.
+	ColdRemaining time.Duration
+	// StartedMs is when the target started, Unix milliseconds by its own clock; 0
 	// where it does not say.
-	Born int64
+	StartedMs int64
 }
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -100,7 +100,7 @@
 	}
 	defer log.Close()
 	cmd := exec.Command(e.soak.Program, "entry")
-	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+e.file)
+	cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+e.file)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, "start")
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -24,7 +24,7 @@
 	{"door", (*Soak).troubleDoor},
 	{"source", (*Soak).holdSource},
 	{"target", (*Soak).holdTarget},
-	{"reset", func(s *Soak) func() { s.pickTarget().relay.Break(); return nil }},
+	{"reset", func(s *Soak) func() { s.pickTarget().relay.CloseConnections(); return nil }},
 	{"manner", (*Soak).mislead},
 	{"leave", (*Soak).leaveTarget},
 	{"revoke", (*Soak).revokeKey},
@@ -133,7 +133,7 @@
 	return x.relay.Heal
 }
 
-func (s *Soak) way() pipe.Way {
+func (s *Soak) way() pipe.Direction {
 	if s.rand.IntN(2) == 0 {
 		return pipe.Up
 	}
--- a/source.go
+++ b/source.go
@@ -11,10 +11,10 @@
 
 // The kinds of a fact.
 const (
-	FactUnknown  FactKind = iota // another writer's entry; it is left alone
-	FactRouting                  // a version of the configuration
-	FactOut                      // a failure domain is out of service
-	FactInstance                 // a target
+	FactUnknown   FactKind = iota // another writer's entry; it is left alone
+	FactRouting                   // a version of the configuration
+	FactDomainOut                 // a failure domain is out of service
+	FactInstance                  // a target
 )
 
 // Topic is a part of the facts that is read on its own, so that a large configuration holds
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("topic %d", uint8(t))
 }
 
-// TopicNamed returns the topic of a name, and whether there is one.
-func TopicNamed(name string) (Topic, bool) {
+// ParseTopic returns the topic of a name, and whether there is one.
+func ParseTopic(name string) (Topic, bool) {
 	for t := range TopicCount {
 		if topicNames[t] == name {
 			return t, true
@@ -64,8 +64,8 @@
 	Name string
 	// Revision is when the entry changed last.
 	Revision uint64
-	// Gone says that the entry was removed.
-	Gone     bool
+	// Deleted says that the entry was removed.
+	Deleted  bool
 	Routing  *Routing
 	Instance *Instance
 	// Raw is the entry as it was published, for peers that can't read it.
@@ -80,16 +80,16 @@
 	// Age is by how much the answer may be older than the beginning of the call; 0 for
 	// an answer of the source itself.
 	Age time.Duration
-	// Settle is for how much longer instances that are missing may still come back, after
+	// SettleTime is for how much longer instances that are missing may still come back, after
 	// the source was lost.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Bytes is the size of the answer, and First how long it took to begin.
-	Bytes int
-	First time.Duration
+	Bytes           int
+	TimeToFirstByte time.Duration
 }
 
-// Direct says that the source itself answered.
-func (b *Batch) Direct() bool { return b.Age == 0 }
+// IsDirect says that the source itself answered.
+func (b *Batch) IsDirect() bool { return b.Age == 0 }
 
 // Source is where the facts of one topic are published. Nothing is ever written there.
 type Source interface {
@@ -104,9 +104,9 @@
 type ErrSource struct {
 	// Status is what it answered, 0 for no answer.
 	Status int
-	// Gap says that the history after the revision is gone: a full read is due.
-	Gap bool
-	Err error
+	// Compacted says that the history after the revision is gone: a full read is due.
+	Compacted bool
+	Err       error
 }
 
 // Error says which answer came.
--- a/ticket/issuer.go
+++ b/ticket/issuer.go
@@ -173,7 +173,7 @@
 //
 // RunNo is only said where it is final. A held ticket answers RunMaybe, as it
 // may run the moment after.
-func (b *Issuer) Hold(now time.Time, token, workspace, request string) chestnutstep.Stub {
+func (b *Issuer) Hold(now time.Time, token, workspace, request string) chestnutstep.TicketStatus {
 	b.start(now)
 	c, reason := b.check(token, workspace)
 	if reason != "" {
@@ -197,9 +197,9 @@
 	return stub(r)
 }
 
-// Run marks a held ticket as handed to the target. It is the one step that lets
+// Start marks a held ticket as handed to the target. It is the one step that lets
 // an action run, and its chart has no way back to held.
-func (b *Issuer) Run(now time.Time, token string) bool {
+func (b *Issuer) Start(now time.Time, token string) bool {
 	b.start(now)
 	c, r, ok := b.lookup(token)
 	if !ok || !b.move(c, &r, eventRun) {
@@ -219,8 +219,8 @@
 	}
 }
 
-// Done ends a running ticket; known says whether the outcome is known.
-func (b *Issuer) Done(now time.Time, token string, known bool) {
+// Finish ends a running ticket; known says whether the outcome is known.
+func (b *Issuer) Finish(now time.Time, token string, known bool) {
 	b.start(now)
 	event := eventLose
 	if known {
@@ -231,11 +231,11 @@
 	}
 }
 
-// Unsent turns a running ticket into a tombstone. Its owner calls it only when
+// MarkUnsent turns a running ticket into a tombstone. Its owner calls it only when
 // no connection to the target came about, so that no byte of the action left
 // this process: without it a target that is down would leave every action's
 // outcome unknown, and callers would have to ask people.
-func (b *Issuer) Unsent(now time.Time, token string) chestnutstep.Stub {
+func (b *Issuer) MarkUnsent(now time.Time, token string) chestnutstep.TicketStatus {
 	b.start(now)
 	c, r, ok := b.lookup(token)
 	if !ok {
@@ -246,7 +246,7 @@
 }
 
 // Drop writes a tombstone when the ticket has not run, and says the truth.
-func (b *Issuer) Drop(now time.Time, token, workspace string) chestnutstep.Stub {
+func (b *Issuer) Drop(now time.Time, token, workspace string) chestnutstep.TicketStatus {
 	b.start(now)
 	c, reason := b.check(token, workspace)
 	if reason != "" {
--- a/ticket/issuer_test.go
+++ b/ticket/issuer_test.go
@@ -60,13 +60,13 @@
 	case "drop":
 		return say(p.issuer.Drop(p.now, token, f[2]))
 	case "unsent":
-		return say(p.issuer.Unsent(p.now, token))
+		return say(p.issuer.MarkUnsent(p.now, token))
 	case "run":
-		return strconv.FormatBool(p.issuer.Run(p.now, token))
+		return strconv.FormatBool(p.issuer.Start(p.now, token))
 	case "release":
 		p.issuer.Release(p.now, token)
 	case "done":
-		p.issuer.Done(p.now, token, f[2] == "known")
+		p.issuer.Finish(p.now, token, f[2] == "known")
 	case "restart":
 		p.restart()
 	default:
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("%d remembered", p.issuer.spent)
 }
 
-func say(s chestnutstep.Stub) string {
+func say(s chestnutstep.TicketStatus) string {
 	return strings.TrimSpace(fmt.Sprintf("%s, run %s %s", s.State, s.Run, s.Reason))
 }
 
@@ -88,8 +88,8 @@
 	assert.Equal(t, b.spent, 0, "minting stored something")
 	for i, token := range b.Mint(script.Epoch, "brand", 5000) {
 		b.Hold(script.Epoch, token, "brand", strconv.Itoa(i))
-		if b.Run(script.Epoch, token) {
-			b.Done(script.Epoch, token, true)
+		if b.Start(script.Epoch, token) {
+			b.Finish(script.Epoch, token, true)
 		}
 	}
 	assert.Equal(t, b.spent, 500, "one workspace takes half at most")
@@ -113,8 +113,8 @@
 			b.ResetTimer()
 			for _, token := range tokens {
 				issuer.Hold(script.Epoch, token, "darkroom", id)
-				issuer.Run(script.Epoch, token)
-				issuer.Done(script.Epoch, token, true)
+				issuer.Start(script.Epoch, token)
+				issuer.Finish(script.Epoch, token, true)
 			}
 			b.StopTimer()
 			b.ReportMetric((script.Heap()-before)/float64(b.N), "B/ticket")
--- a/ticket/model_test.go
+++ b/ticket/model_test.go
@@ -101,7 +101,7 @@
 
 // hear checks an answer against the truth. Its caller, if the answer reaches it,
 // takes a "not run" for leave to ask for a fresh ticket.
-func (w *world) hear(t *rapid.T, a *truth, known bool, s chestnutstep.Stub) {
+func (w *world) hear(t *rapid.T, a *truth, known bool, s chestnutstep.TicketStatus) {
 	want := chestnutstep.TicketInvalid
 	if known {
 		want = a.state
@@ -157,7 +157,7 @@
 
 func (w *world) start(t *rapid.T, a *truth) {
 	want := a.life == w.agents[a.target].life && a.state == chestnutstep.TicketHeld
-	assert.Equal(t, w.agents[a.target].issuer.Run(w.now, a.token), want)
+	assert.Equal(t, w.agents[a.target].issuer.Start(w.now, a.token), want)
 	if !want {
 		return
 	}
@@ -184,11 +184,11 @@
 			a.runs-- // nothing had left the agent
 			w.runs[a.action]--
 		}
-		if s := b.Unsent(w.now, a.token); known && from != chestnutstep.TicketFresh {
+		if s := b.MarkUnsent(w.now, a.token); known && from != chestnutstep.TicketFresh {
 			w.hear(t, a, known, s)
 		}
 	default:
-		b.Done(w.now, a.token, how == "known")
+		b.Finish(w.now, a.token, how == "known")
 		if known && from == chestnutstep.TicketRunning {
 			a.state = map[string]chestnutstep.TicketState{
 				"known": chestnutstep.TicketDone, "lost": chestnutstep.TicketUnknown,
--- a/ticket/stub.go
+++ b/ticket/stub.go
@@ -3,8 +3,8 @@
 import "chestnutstep.example/chestnutstep"
 
 // stub tells what a record says.
-func stub(r record) chestnutstep.Stub {
-	s := chestnutstep.Stub{State: r.state, Request: r.request}
+func stub(r record) chestnutstep.TicketStatus {
+	s := chestnutstep.TicketStatus{State: r.state, RequestID: r.request}
 	switch r.state {
 	case chestnutstep.TicketDropped:
 		s.Reason = chestnutstep.ReasonDropped
@@ -21,7 +21,7 @@
 // what became of the ticket's action rather than a "not run" of its own: a
 // caller that repeats an action under a new id would take that for leave to
 // run it again.
-func repeat(r record, request string) chestnutstep.Stub {
+func repeat(r record, request string) chestnutstep.TicketStatus {
 	s := stub(r)
 	if r.state != chestnutstep.TicketDropped && r.request != request {
 		s.Reason = chestnutstep.ReasonSpent
@@ -35,9 +35,9 @@
 // ever. A forged or torn token also answers "maybe": its caller may have sent
 // the right one before. An expired ticket is "not run" only when no ticket of
 // its slot ever ran: its own record is gone, and a closed slot never reopens.
-func (b *Issuer) reject(c claim, reason chestnutstep.Reason) chestnutstep.Stub {
+func (b *Issuer) reject(c claim, reason chestnutstep.Reason) chestnutstep.TicketStatus {
 	state, _ := Chart.Next(string(chestnutstep.TicketFresh), eventReject)
-	s := chestnutstep.Stub{
+	s := chestnutstep.TicketStatus{
 		State: chestnutstep.TicketState(state), Reason: reason, Run: chestnutstep.RunMaybe,
 	}
 	if reason == chestnutstep.ReasonExpired && c.slot >= b.oldest && !b.ran[c.slot] {
@@ -49,8 +49,8 @@
 // busy turns a fresh ticket away for want of memory. It says "maybe", as there
 // is no room for the tombstone that would make "not run" true for ever: an
 // offer that was delayed on its way may still come. The ticket stays good.
-func (b *Issuer) busy(reason chestnutstep.Reason) chestnutstep.Stub {
-	return chestnutstep.Stub{
+func (b *Issuer) busy(reason chestnutstep.Reason) chestnutstep.TicketStatus {
+	return chestnutstep.TicketStatus{
 		State: chestnutstep.TicketFresh, Reason: reason, Run: chestnutstep.RunMaybe,
 	}
 }
--- a/trial/direct.go
+++ b/trial/direct.go
@@ -41,7 +41,7 @@
 func newDirect(t *trial) *direct {
 	d := &direct{
 		trial:   t,
-		service: &chestnutstep.Service{Name: serviceName, Engine: true},
+		service: &chestnutstep.Service{Name: serviceName, IsEngine: true},
 		births:  make(map[string]int64),
 	}
 	for i := range t.cfg.Entries {
@@ -71,7 +71,7 @@
 			v.Out[domain] = true
 		}
 		x := &roster.Target{Instance: chestnutstep.Instance{
-			ID: g.self.Name, Service: serviceName, Domain: domain, Slots: d.trial.cfg.Model.Slots, Born: d.births[g.self.Name],
+			ID: g.self.Name, Service: serviceName, Domain: domain, Slots: d.trial.cfg.Model.Slots, StartedMs: d.births[g.self.Name],
 		}}
 		v.Services[serviceName] = append(v.Services[serviceName], x)
 		v.ByID[x.ID] = x
@@ -131,15 +131,15 @@
 		r.run = nil
 		return false
 	}
-	r.work.Patience = d.trial.time().Add(r.limit)
+	r.work.WaitUntil = d.trial.time().Add(r.limit)
 	return d.trial.offer(r, g, false, true)
 }
 
 // parts of a request's prompt: its chat's prefix, and what is its own.
-func (d *direct) parts(r *request) []chestnutstep.Part {
+func (d *direct) parts(r *request) []chestnutstep.PromptPart {
 	s := d.trial.cfg.Streams[r.stream]
 	tokens := int(s.Prefill.Seconds() * 1000 * place.ReadRate)
-	return []chestnutstep.Part{
+	return []chestnutstep.PromptPart{
 		{ID: xxhash.Sum64String(r.chat), Tokens: tokens},
 		{ID: xxhash.Sum64String(r.work.ID), Tokens: ownTokens},
 	}
@@ -147,9 +147,9 @@
 
 // outcomes of the trial as boards know them.
 var outcomes = map[chestnutstep.Outcome]board.Outcome{
-	chestnutstep.Served:   board.Served,
-	chestnutstep.Failed:   board.Silent,
-	chestnutstep.Withdraw: board.Canceled,
+	chestnutstep.OutcomeServed:    board.Served,
+	chestnutstep.OutcomeFailed:    board.Silent,
+	chestnutstep.OutcomeAbandoned: board.Canceled,
 }
 
 // ended says how a request ended at its target.
--- a/trial/entry.go
+++ b/trial/entry.go
@@ -25,7 +25,7 @@
 	r.over = true
 	if r.at != nil {
 		g := r.at
-		g.end(r, chestnutstep.Withdraw)
+		g.end(r, chestnutstep.OutcomeAbandoned)
 		g.next()
 	}
 }
@@ -42,7 +42,7 @@
 		t.sendNaive(r)
 		return
 	}
-	ask := chestnutstep.Place{Workspace: r.work.Workspace, Chat: r.chat, Model: t.cfg.Model.Name}
+	ask := chestnutstep.RankQuery{Workspace: r.work.Workspace, Chat: r.chat, Model: t.cfg.Model.Name}
 	if t.cfg.Policy.Hint {
 		ask.Hint = t.hints[r.chat]
 	}
@@ -58,7 +58,7 @@
 }
 
 // drift lets some requests of a chat that was served elsewhere go home first.
-func (t *trial) drift(r *request, ask chestnutstep.Place) {
+func (t *trial) drift(r *request, ask chestnutstep.RankQuery) {
 	hinted := r.ranks[0]
 	if !t.cfg.Policy.Drift || hinted.Name != ask.Hint {
 		return
@@ -130,32 +130,32 @@
 		return false
 	}
 	now := t.time()
-	r.work.Home = first
+	r.work.HasCachedPrefix = first
 	if t.cfg.Policy.Know {
-		r.work.Home = g.cache.has(r.chat)
+		r.work.HasCachedPrefix = g.cache.has(r.chat)
 	}
-	r.work.Patience = now
-	if r.work.Home && t.cfg.Policy.Home {
-		r.work.Patience = now.Add(t.cfg.Streams[r.stream].Patience)
+	r.work.WaitUntil = now
+	if r.work.HasCachedPrefix && t.cfg.Policy.Home {
+		r.work.WaitUntil = now.Add(t.cfg.Streams[r.stream].Patience)
 	}
 	if last {
-		r.work.Patience = r.work.Deadline
+		r.work.WaitUntil = r.work.Deadline
 	}
 	d := g.gate.Offer(now, r.work)
 	switch d.Verdict {
-	case chestnutstep.Accept:
+	case chestnutstep.VerdictAccept:
 		r.at = g
 		t.checkCap(g)
 		g.start(r)
 		return true
-	case chestnutstep.Queue:
+	case chestnutstep.VerdictQueue:
 		r.at = g
 		g.waiting[r.work.ID] = r
-		t.after(r.work.Patience.Sub(now), g.next)
+		t.after(r.work.WaitUntil.Sub(now), g.next)
 		g.next()
 		return true
-	case chestnutstep.Refuse:
-		r.pause = d.Retry
+	case chestnutstep.VerdictRefuse:
+		r.pause = d.RetryAfter
 	}
 	return false
 }
@@ -169,7 +169,7 @@
 		t.after(0, func() { t.try(r) })
 		return
 	}
-	t.retry(r, d.Retry)
+	t.retry(r, d.RetryAfter)
 }
 
 // broken sends a request again whose target crashed.
--- a/trial/flood.go
+++ b/trial/flood.go
@@ -77,7 +77,7 @@
 func newSurge(cfg Surge) *surge {
 	s := &surge{
 		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), asked: make([][2]int, len(surgeKinds)),
-		service: &chestnutstep.Service{Name: serviceName, Engine: true, Objective: surgeKinds[0].objective},
+		service: &chestnutstep.Service{Name: serviceName, IsEngine: true, LatencyObjective: surgeKinds[0].objective},
 		view: &roster.View{
 			Services: make(map[string][]*roster.Target), ByID: make(map[string]*roster.Target), Out: make(map[string]bool),
 		},
--- a/trial/line.go
+++ b/trial/line.go
@@ -15,17 +15,17 @@
 	ids     []string
 }
 
-func (f *line) Limit(_ time.Time, l chestnutstep.Limits) {
+func (f *line) SetLimits(_ time.Time, l chestnutstep.Limits) {
 	f.slots, f.running = l.Model.Slots, map[string]bool{}
 }
 
 func (f *line) Offer(_ time.Time, w chestnutstep.Work) chestnutstep.Decision {
 	if len(f.running) < f.slots {
 		f.running[w.ID] = true
-		return chestnutstep.Decision{Verdict: chestnutstep.Accept}
+		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}
 	}
 	f.ids = append(f.ids, w.ID)
-	return chestnutstep.Decision{Verdict: chestnutstep.Queue}
+	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue}
 }
 
 func (f *line) End(_ time.Time, id string, _ chestnutstep.Outcome) {
@@ -38,19 +38,19 @@
 	}
 }
 
-func (f *line) Next(time.Time) chestnutstep.Next {
-	var n chestnutstep.Next
+func (f *line) AdvanceQueue(time.Time) chestnutstep.QueueUpdate {
+	var n chestnutstep.QueueUpdate
 	for len(f.ids) > 0 && len(f.running) < f.slots {
-		n.Start = append(n.Start, f.ids[0])
+		n.Started = append(n.Started, f.ids[0])
 		f.running[f.ids[0]] = true
 		f.ids = f.ids[1:]
 	}
 	return n
 }
 
-func (f *line) Measure(time.Time, chestnutstep.Mean) {}
-func (f *line) Chill(time.Time)                      {}
-func (f *line) Leave(time.Time, bool)                {}
+func (f *line) SetMean(time.Time, chestnutstep.Mean) {}
+func (f *line) MarkCold(time.Time)                   {}
+func (f *line) SetLeaving(time.Time, bool)           {}
 
 func (f *line) Load(time.Time) chestnutstep.Load {
 	return chestnutstep.Load{Running: len(f.running), Waiting: len(f.ids), Cap: f.slots}
--- a/trial/loads.go
+++ b/trial/loads.go
@@ -31,7 +31,7 @@
 		Targets: 100,
 		Domains: 3,
 		Model: chestnutstep.Model{
-			Name: "chat", Multiple: multiple, Floor: 4, Slots: 32, Queue: 64, Cold: 4,
+			Name: "chat", Multiple: multiple, Floor: 4, Slots: 32, QueueLimit: 64, ColdCap: 4,
 		},
 		Tries:     4,
 		Cache:     400,
--- a/trial/play_test.go
+++ b/trial/play_test.go
@@ -71,7 +71,7 @@
 	slots := int(arg("slots", 16))
 	cfg.Model = chestnutstep.Model{
 		Name: "m", Multiple: arg("multiple", 1.25), Floor: 4, Slots: slots,
-		Queue: int(arg("queue", 32)), Cold: int(arg("cold", float64(slots))),
+		QueueLimit: int(arg("queue", 32)), ColdCap: int(arg("cold", float64(slots))),
 	}
 	switch d.CmdArgs[0].Key {
 	case "whole":
--- a/trial/run.go
+++ b/trial/run.go
@@ -95,7 +95,7 @@
 	}
 	g.cache.most = t.cfg.Cache
 	g.cache.clear()
-	g.gate.Limit(t.time(), chestnutstep.Limits{Model: t.cfg.Model, Workspaces: t.cfg.Weights, Single: t.cfg.Targets == 1})
+	g.gate.SetLimits(t.time(), chestnutstep.Limits{Model: t.cfg.Model, Workspaces: t.cfg.Weights, IsOnlyTarget: t.cfg.Targets == 1})
 	t.targets = append(t.targets, g)
 	t.byName[self.Name] = g
 }
@@ -137,21 +137,21 @@
 	t.means = append(t.means, t.trueMean())
 	for _, g := range t.targets {
 		l := g.gate.Load(now)
-		g.mean.Own(now, chestnutstep.Sample{Load: float64(l.Running + l.Waiting)})
+		g.mean.SetLocal(now, chestnutstep.Sample{Load: float64(l.Running + l.Waiting)})
 	}
 	for _, g := range t.targets {
 		peer := t.targets[t.rand.IntN(len(t.targets))]
 		if g.down || peer.down || g.away || peer.away {
 			continue
 		}
-		told, heard := g.mean.Tell(now, samples), peer.mean.Tell(now, samples)
-		peer.mean.Learn(now, told)
-		g.mean.Learn(now, heard)
+		told, heard := g.mean.Samples(now, samples), peer.mean.Samples(now, samples)
+		peer.mean.Merge(now, told)
+		g.mean.Merge(now, heard)
 	}
 	for _, g := range t.targets {
 		m := g.mean.Mean(now)
 		m.Load *= max(0, 1+t.cfg.MeanError*t.rand.NormFloat64())
-		g.gate.Measure(now, m)
+		g.gate.SetMean(now, m)
 		g.next()
 	}
 }
@@ -208,7 +208,7 @@
 func (t *trial) leave() {
 	for _, g := range t.targets {
 		if g.domain == 0 {
-			g.gate.Leave(t.time(), true)
+			g.gate.SetLeaving(t.time(), true)
 			g.next()
 			t.after(time.Second, g.next)
 			t.after(2*time.Second, g.next)
@@ -223,12 +223,12 @@
 			if !t.cfg.WarmReturn {
 				g.cache.clear()
 				g.started = t.now
-				g.gate.Chill(t.time())
+				g.gate.MarkCold(t.time())
 				if t.direct != nil {
 					t.direct.births[g.self.Name]++
 				}
 			}
-			g.gate.Leave(t.time(), false)
+			g.gate.SetLeaving(t.time(), false)
 		}
 	}
 	t.after(t.cfg.Lag, func() { t.tellEntries(false) })
--- a/trial/target.go
+++ b/trial/target.go
@@ -66,7 +66,7 @@
 	}
 	g.cache.use(r.chat)
 	g.running = append(g.running, r)
-	if g.fragile() && len(g.running) > 2*g.trial.cfg.Model.Cold {
+	if g.fragile() && len(g.running) > 2*g.trial.cfg.Model.ColdCap {
 		g.trial.crashes++
 		g.restart()
 		return
@@ -142,7 +142,7 @@
 		}
 	}
 	for _, r := range whole {
-		g.end(r, chestnutstep.Served)
+		g.end(r, chestnutstep.OutcomeServed)
 		g.trial.answered(g, r)
 	}
 	g.next()
@@ -168,14 +168,14 @@
 
 // next starts and drops what waits.
 func (g *target) next() {
-	n := g.gate.Next(g.trial.time())
-	for _, id := range n.Start {
+	n := g.gate.AdvanceQueue(g.trial.time())
+	for _, id := range n.Started {
 		r := g.waiting[id]
 		delete(g.waiting, id)
 		g.trial.checkCap(g)
 		g.start(r)
 	}
-	for _, x := range n.Drop {
+	for _, x := range n.Dropped {
 		r := g.waiting[x.ID]
 		delete(g.waiting, x.ID)
 		r.at = nil
@@ -187,10 +187,10 @@
 func (g *target) restart() {
 	g.down = true
 	g.cache.clear()
-	g.gate.Chill(g.trial.time())
+	g.gate.MarkCold(g.trial.time())
 	lost := append([]*request(nil), g.running...)
 	for _, r := range lost {
-		g.end(r, chestnutstep.Failed)
+		g.end(r, chestnutstep.OutcomeFailed)
 	}
 	for _, r := range lost {
 		g.trial.broken(r)
--- a/view.go
+++ b/view.go
@@ -14,14 +14,14 @@
 	Targets map[string]*Target
 	// Models by name.
 	Models map[string]*Model
-	// Serving lists the targets of each model, in service or not.
-	Serving map[string][]*Target
+	// TargetsByModel lists the targets of each model, in service or not.
+	TargetsByModel map[string][]*Target
 	// Profiles by name.
 	Profiles map[string]*Profile
 	// Workspaces by name.
 	Workspaces map[string]*Workspace
-	// Domains of hosts: failure domain by host name.
-	Domains map[string]*Domain
+	// DomainByHost of hosts: failure domain by host name.
+	DomainByHost map[string]*Domain
 	// Hosts by name.
 	Hosts map[string]*Host
 
@@ -31,31 +31,31 @@
 // NewView builds the look-ups of a publication that was checked before.
 func NewView(p *Publication) *View {
 	v := &View{
-		Publication: p,
-		Targets:     make(map[string]*Target, len(p.Targets)),
-		Models:      make(map[string]*Model, len(p.Models)),
-		Serving:     make(map[string][]*Target, len(p.Models)),
-		Profiles:    make(map[string]*Profile, len(p.Profiles)),
-		Workspaces:  make(map[string]*Workspace, len(p.Workspaces)),
-		Domains:     make(map[string]*Domain, len(p.Hosts)),
-		Hosts:       make(map[string]*Host, len(p.Hosts)),
-		keys:        make(map[[sha256.Size]byte]*Workspace, len(p.Workspaces)),
+		Publication:    p,
+		Targets:        make(map[string]*Target, len(p.Targets)),
+		Models:         make(map[string]*Model, len(p.Models)),
+		TargetsByModel: make(map[string][]*Target, len(p.Models)),
+		Profiles:       make(map[string]*Profile, len(p.Profiles)),
+		Workspaces:     make(map[string]*Workspace, len(p.Workspaces)),
+		DomainByHost:   make(map[string]*Domain, len(p.Hosts)),
+		Hosts:          make(map[string]*Host, len(p.Hosts)),
+		keys:           make(map[[sha256.Size]byte]*Workspace, len(p.Workspaces)),
 	}
-	v.addPlaces(p)
+	v.addHosts(p)
 	v.addTargets(p)
 	v.addCallers(p)
 	return v
 }
 
-func (v *View) addPlaces(p *Publication) {
-	byName := make(map[string]*Domain, len(p.Domains))
+func (v *View) addHosts(p *Publication) {
+	domains := make(map[string]*Domain, len(p.Domains))
 	for i := range p.Domains {
-		byName[p.Domains[i].Name] = &p.Domains[i]
+		domains[p.Domains[i].Name] = &p.Domains[i]
 	}
 	for i := range p.Hosts {
 		h := &p.Hosts[i]
 		v.Hosts[h.Name] = h
-		v.Domains[h.Name] = byName[h.Domain]
+		v.DomainByHost[h.Name] = domains[h.Domain]
 	}
 }
 
@@ -66,7 +66,7 @@
 	for i := range p.Targets {
 		t := &p.Targets[i]
 		v.Targets[t.Name] = t
-		v.Serving[t.Model] = append(v.Serving[t.Model], t)
+		v.TargetsByModel[t.Model] = append(v.TargetsByModel[t.Model], t)
 	}
 }
 
@@ -97,22 +97,22 @@
 	return v.keys[sha256.Sum256([]byte(key))]
 }
 
-// Out says whether operators took the target, its host or its failure domain
+// IsOut says whether operators took the target, its host or its failure domain
 // out of service.
-func (v *View) Out(t *Target) bool {
+func (v *View) IsOut(t *Target) bool {
 	if t.Out {
 		return true
 	}
 	if h := v.Hosts[t.Host]; h == nil || h.Out {
 		return true
 	}
-	d := v.Domains[t.Host]
+	d := v.DomainByHost[t.Host]
 	return d == nil || d.Out
 }
 
-// Size returns the target's weight, 1 where the publication sets none. Whoever
+// EffectiveWeight returns the target's weight, 1 where the publication sets none. Whoever
 // divides by the weight itself gets an infinite load for such a target.
-func (t *Target) Size() float64 {
+func (t *Target) EffectiveWeight() float64 {
 	if t.Weight > 0 {
 		return t.Weight
 	}
@@ -121,7 +121,7 @@
 
 // Region returns the region of a host, or "" when the host is unknown.
 func (v *View) Region(host string) string {
-	if d := v.Domains[host]; d != nil {
+	if d := v.DomainByHost[host]; d != nil {
 		return d.Region
 	}
 	return ""
--- a/view_test.go
+++ b/view_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestViewOut(t *testing.T) {
+func TestViewIsOut(t *testing.T) {
 	sum := sha256.Sum256([]byte("secret"))
 	v := NewView(&Publication{
 		Domains: []Domain{{Name: "a", Region: "r"}, {Name: "b", Region: "r", Out: true}},
@@ -29,7 +29,7 @@
 		{Target{Host: "b1"}, true},
 		{Target{Host: "nowhere"}, true},
 	} {
-		assert.Equal(t, v.Out(&c.target), c.out, "%+v", c.target)
+		assert.Equal(t, v.IsOut(&c.target), c.out, "%+v", c.target)
 	}
 	assert.Equal(t, v.Authenticate("secret").Name, "desk")
 	assert.Assert(t, v.Authenticate("other") == nil)
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -132,7 +132,7 @@
 	if isSource && w.Topic == chestnutstep.TopicTargets {
 		w.Roster.Doubt()
 	}
-	if isSource && e.Gap {
+	if isSource && e.Compacted {
 		w.revision = 0
 	}
 	if !w.lost {
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -40,7 +40,7 @@
 	pauses := &watch.Pauses{}
 	for topic := range chestnutstep.TopicCount {
 		w := &watch.Watcher{
-			Topic: topic, Source: source.Topic(topic), Roster: f.roster, Notify: f,
+			Topic: topic, Source: source.TopicSource(topic), Roster: f.roster, Notify: f,
 			Wait: func() time.Duration { return f.wait }, Rest: rest, Pauses: pauses,
 		}
 		if topic == chestnutstep.TopicRouting {
