--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -48,7 +48,7 @@
 // they may take, and what is turned away by all of them waits at its last one.
 // Where the mean counts only what runs, the cap stays at three for ever: callers
 // wait although every target has spare slots.
-func TestWaitingWorkUnlocksTheFleet(t *testing.T) {
+func TestWaitingWorkRaisesCap(t *testing.T) {
 	const targets, demand = 10, 160
 	for _, waitingCounts := range []bool{false, true} {
 		running := 3
@@ -94,28 +94,28 @@
 // answers break off. Work that it was given before the restart ends as well;
 // counted as proof, it would open the target that has just lost everything.
 func TestColdGrowsByWholeAnswersOnly(t *testing.T) {
-	c := Cold{Start: 2, Slots: 16}
+	c := ColdCap{StartCap: 2, Slots: 16}
 	var caps []int
 	for range 14 {
 		limit, _ := c.Cap()
 		caps = append(caps, limit)
-		c.Serve(c.Era())
+		c.RecordSuccess(c.Generation())
 	}
 	assert.DeepEqual(t, caps, []int{2, 2, 4, 4, 4, 4, 8, 8, 8, 8, 8, 8, 8, 8})
 	limit, cold := c.Cap()
 	assert.Equal(t, fmt.Sprint(limit, cold), "16 false")
 
-	old := c.Era()
-	c.Chill()
+	old := c.Generation()
+	c.Reset()
 	for range 50 {
-		c.Serve(old)
+		c.RecordSuccess(old)
 	}
 	limit, cold = c.Cap()
 	assert.Equal(t, fmt.Sprint(limit, cold), "2 true")
 
-	c.Serve(c.Era())
-	c.Serve(c.Era())
-	c.Fail(c.Era())
+	c.RecordSuccess(c.Generation())
+	c.RecordSuccess(c.Generation())
+	c.RecordFailure(c.Generation())
 	limit, _ = c.Cap()
 	assert.Equal(t, limit, 2, "a bad answer takes the last step back")
 }
--- a/admit/cap.go
+++ b/admit/cap.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// Hold is how old a mean may be and still count in full. Samples are
+	// MaxMeanAge is how old a mean may be and still count in full. Samples are
 	// dropped after 10 s and travel a few seconds, so a figure that is older
 	// comes from an agent that has lost its peers, not from a slow exchange.
-	Hold = 15 * time.Second
-	// Half is how long it takes a mean older than Hold to lose half its value.
+	MaxMeanAge = 15 * time.Second
+	// MeanHalfLife is how long it takes a mean older than Hold to lose half its value.
 	// The real mean may have dropped meanwhile, so an old figure must err low:
 	// a target that is cut off then carries too little, and never more than
 	// the multiple of the mean. Load of a day falls by half in hours, so 10 s
 	// errs far on the safe side and still leaves a minute before a target with
 	// a mean of some tens falls to its floor.
-	Half = 10 * time.Second
-	// rounding absorbs the error of the product: 1.15 x 20 is 23, and not the
+	MeanHalfLife = 10 * time.Second
+	// roundingTolerance absorbs the error of the product: 1.15 x 20 is 23, and not the
 	// 22.999999999999996 that the processor makes of it.
-	rounding = 1e-9
+	roundingTolerance = 1e-9
 )
 
 // Cap is the hard cap on what one target runs: a multiple of the mean load.
@@ -47,8 +47,8 @@
 	// so that a multiple of the mean says nothing, and Slots alone decides.
 	Single bool
 
-	mean chestnutstep.Mean
-	at   time.Time
+	mean       chestnutstep.Mean
+	measuredAt time.Time
 }
 
 // Measure takes a new estimate of the mean. An estimate that rests on no other
@@ -58,7 +58,7 @@
 	if m.Targets == 0 {
 		return
 	}
-	c.mean, c.at = m, now
+	c.mean, c.measuredAt = m, now
 }
 
 // At returns the cap in force. It is the multiple of the mean load for this
@@ -79,21 +79,21 @@
 	if c.Multiple <= 0 || c.Single {
 		return slots
 	}
-	limit := int(math.Floor(c.Multiple*c.Mean(now)*weight(c.Weight) + rounding))
+	limit := int(math.Floor(c.Multiple*c.Mean(now)*weightOrDefault(c.Weight) + roundingTolerance))
 	return min(max(limit, c.Floor, 1), slots)
 }
 
 // Mean is the mean load that the cap rests on, for one unit of weight: the last
 // estimate, less what its age costs it.
 func (c *Cap) Mean(now time.Time) float64 {
-	age := c.mean.Age + now.Sub(c.at)
-	if age <= Hold {
+	age := c.mean.Age + now.Sub(c.measuredAt)
+	if age <= MaxMeanAge {
 		return c.mean.Load
 	}
-	return c.mean.Load * math.Exp2(-float64(age-Hold)/float64(Half))
+	return c.mean.Load * math.Exp2(-float64(age-MaxMeanAge)/float64(MeanHalfLife))
 }
 
-func weight(w float64) float64 {
+func weightOrDefault(w float64) float64 {
 	if w > 0 {
 		return w
 	}
--- a/admit/pace.go
+++ b/admit/pace.go
@@ -6,63 +6,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Pace is how long work holds a place at targets, as measured.
-type Pace struct {
-	// Smooth is the weight of one more measurement in the moving averages; 0.1 if unset.
-	Smooth float64
+// DurationEstimator is how long work holds a place at targets, as measured.
+type DurationEstimator struct {
+	// Smoothing is the weight of one more measurement in the moving averages; 0.1 if unset.
+	Smoothing float64
 
-	seconds float64
-	cost    float64
-	known   bool
+	meanSeconds    float64
+	meanCost       float64
+	hasMeasurement bool
 }
 
-// smoothDefault lets the last ten or so measurements count. Fewer would follow every
+// defaultSmoothing lets the last ten or so measurements count. Fewer would follow every
 // long plan, more would keep refusing for a slow target long after it has recovered.
-const smoothDefault = 0.1
+const defaultSmoothing = 0.1
 
 // Measure takes what one request took, however it ended: one that was cancelled
 // freed its place as much as one that was answered, and most are cancelled.
-func (p *Pace) Measure(took time.Duration, cost float64) {
+func (e *DurationEstimator) Measure(took time.Duration, cost float64) {
 	s := max(0, took.Seconds())
-	if !p.known {
-		p.seconds, p.cost, p.known = s, max(cost, 1), true
+	if !e.hasMeasurement {
+		e.meanSeconds, e.meanCost, e.hasMeasurement = s, max(cost, 1), true
 		return
 	}
-	smooth := p.Smooth
-	if smooth <= 0 {
-		smooth = smoothDefault
+	smoothing := e.Smoothing
+	if smoothing <= 0 {
+		smoothing = defaultSmoothing
 	}
-	p.seconds += smooth * (s - p.seconds)
-	p.cost += smooth * (max(cost, 1) - p.cost)
+	e.meanSeconds += smoothing * (s - e.meanSeconds)
+	e.meanCost += smoothing * (max(cost, 1) - e.meanCost)
 }
 
-// Run is how long work of a cost holds a place; 0 while nothing is measured.
-func (p *Pace) Run(cost float64) time.Duration {
-	if !p.known {
+// Estimate is how long work of a cost holds a place; 0 while nothing is measured.
+func (e *DurationEstimator) Estimate(cost float64) time.Duration {
+	if !e.hasMeasurement {
 		return 0
 	}
-	return seconds(p.seconds / p.cost * cost)
+	return secondsToDuration(e.meanSeconds / e.meanCost * cost)
 }
 
 // Mean is how long the average request holds a place.
-func (p *Pace) Mean() time.Duration { return seconds(p.seconds) }
+func (e *DurationEstimator) Mean() time.Duration { return secondsToDuration(e.meanSeconds) }
 
-// longest bounds every estimate: past an hour there is no difference to a
+// maxEstimate bounds every estimate: past an hour there is no difference to a
 // caller, and sums of such durations must not overflow.
-const longest = time.Hour
+const maxEstimate = time.Hour
 
-func seconds(s float64) time.Duration {
-	if s >= longest.Seconds() {
-		return longest
+func secondsToDuration(s float64) time.Duration {
+	if s >= maxEstimate.Seconds() {
+		return maxEstimate
 	}
 	return time.Duration(s * float64(time.Second))
 }
 
-// Spread stretches a pause by up to its own length, by the hash of the id.
+// Jitter stretches a pause by up to its own length, by the hash of the id.
 // Callers that were refused in one second would otherwise return in one second,
 // be refused together again, and so on. A hash spreads as well as a random
 // number and gives the same answer each time.
-func Spread(id string, d time.Duration) time.Duration {
+func Jitter(id string, d time.Duration) time.Duration {
 	const steps = 1024
 	return d + d/steps*time.Duration(xxhash.Sum64String(id)%steps)
 }
--- a/admit/shedder.go
+++ b/admit/shedder.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// delayTarget is how long work may wait for the processor before an entry counts as
+	// targetDelay is how long work may wait for the processor before an entry counts as
 	// full.
-	delayTarget = 100 * time.Millisecond
+	targetDelay = 100 * time.Millisecond
 	// shedGain is the part of what is still taken that one observation refuses, for each
 	// time that the delay is as long as the target, and shedStep bounds it.
-	shedGain = 0.2
-	shedStep = 0.25
-	// shedEase is what is left of the refused part after an observation without delay.
-	shedEase = 0.93
-	// shedLeast is the refused part that counts as none.
-	shedLeast = 0.02
-	// shedMost keeps a few requests coming, whose delay shows when the load is over.
-	shedMost = 0.98
-	// arrivalsHalf halves the count of a workspace's arrivals.
-	arrivalsHalf = 500 * time.Millisecond
-	// arrivalsForgotten is the count below which a workspace is forgotten.
-	arrivalsForgotten = 0.01
+	shedGain    = 0.2
+	maxShedStep = 0.25
+	// shedDecay is what is left of the refused part after an observation without delay.
+	shedDecay = 0.93
+	// minShedRatio is the refused part that counts as none.
+	minShedRatio = 0.02
+	// maxShedRatio keeps a few requests coming, whose delay shows when the load is over.
+	maxShedRatio = 0.98
+	// arrivalsHalfLife halves the count of a workspace's arrivals.
+	arrivalsHalfLife = 500 * time.Millisecond
+	// minArrivals is the count below which a workspace is forgotten.
+	minArrivals = 0.01
 )
 
 // LoadShedder refuses requests before they are read while an entry gets more of them than its
@@ -34,70 +34,70 @@
 // of what is taken are refused the surplus; the others are not refused. It uses the standing
 // delay of work that is ready to run; the zero value refuses nothing.
 type LoadShedder struct {
-	// part of the arrivals that is refused.
-	part float64
-	// level is the count of arrivals of one workspace up to which none is refused.
-	level    float64
-	arrivals map[string]*arrivals
+	// rejectRatio of the arrivals that is refused.
+	rejectRatio float64
+	// arrivalLimit is the count of arrivals of one workspace up to which none is refused.
+	arrivalLimit float64
+	arrivals     map[string]*arrivals
 }
 
 // arrivals are the requests of one workspace, counted with exponential decay.
 type arrivals struct {
-	n    float64
-	last clock.Stamp
+	count     float64
+	updatedAt clock.Stamp
 	// credit is what is left of the part that is taken; a request is taken for a whole.
 	credit float64
 }
 
-func (a *arrivals) at(now clock.Stamp) float64 {
-	return a.n * math.Exp2(-now.Sub(a.last).Seconds()/arrivalsHalf.Seconds())
+func (a *arrivals) decayed(now clock.Stamp) float64 {
+	return a.count * math.Exp2(-now.Sub(a.updatedAt).Seconds()/arrivalsHalfLife.Seconds())
 }
 
 // RejectRatio is the part of the arrivals that is refused.
-func (s *LoadShedder) RejectRatio() float64 { return s.part }
+func (s *LoadShedder) RejectRatio() float64 { return s.rejectRatio }
 
 // Observe takes the usual delay of work since the last observation.
 func (s *LoadShedder) Observe(now clock.Stamp, delay time.Duration) {
-	if delay > delayTarget {
-		step := min(shedGain*delay.Seconds()/delayTarget.Seconds(), shedStep)
-		s.part = min(s.part+step*(1-s.part), shedMost)
+	if delay > targetDelay {
+		step := min(shedGain*delay.Seconds()/targetDelay.Seconds(), maxShedStep)
+		s.rejectRatio = min(s.rejectRatio+step*(1-s.rejectRatio), maxShedRatio)
 	} else {
-		s.part *= shedEase
+		s.rejectRatio *= shedDecay
 	}
-	if s.part < shedLeast {
-		s.part = 0
+	if s.rejectRatio < minShedRatio {
+		s.rejectRatio = 0
 	}
-	s.divide(now)
+	s.updateArrivalLimit(now)
 }
 
-// divide finds the level at which the workspaces together get what is taken.
-func (s *LoadShedder) divide(now clock.Stamp) {
+// updateArrivalLimit finds the level at which the workspaces together get what is taken.
+func (s *LoadShedder) updateArrivalLimit(now clock.Stamp) {
 	counts := make([]float64, 0, len(s.arrivals))
 	sum := 0.0
-	for who, a := range s.arrivals {
-		n := a.at(now)
-		if n < arrivalsForgotten {
-			delete(s.arrivals, who)
+	for workspace, a := range s.arrivals {
+		n := a.decayed(now)
+		if n < minArrivals {
+			delete(s.arrivals, workspace)
 			continue
 		}
 		counts = append(counts, n)
 		sum += n
 	}
 	slices.Sort(counts)
-	left := (1 - s.part) * sum
-	s.level = math.Inf(1)
+	remaining := (1 - s.rejectRatio) * sum
+	s.arrivalLimit = math.Inf(1)
 	for i, n := range counts {
-		even := left / float64(len(counts)-i)
-		if n > even {
-			s.level = even
+		evenShare := remaining / float64(len(counts)-i)
+		if n > evenShare {
+			s.arrivalLimit = evenShare
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 }
 
-// Refuse counts a request of a workspace, and reports whether it is refused.
-func (s *LoadShedder) Refuse(now clock.Stamp, workspace string) bool {
+// ShouldReject counts a request of a workspace, and reports whether it is refused.
+func (s *LoadShedder) ShouldReject(now clock.Stamp, workspace string) bool {
 	if s.arrivals == nil {
 		s.arrivals = make(map[string]*arrivals)
 	}
@@ -106,11 +106,11 @@
 		a = &arrivals{}
 		s.arrivals[workspace] = a
 	}
-	a.n, a.last = a.at(now)+1, now
-	if s.part == 0 || a.n <= s.level {
+	a.count, a.updatedAt = a.decayed(now)+1, now
+	if s.rejectRatio == 0 || a.count <= s.arrivalLimit {
 		return false
 	}
-	a.credit += s.level / a.n
+	a.credit += s.arrivalLimit / a.count
 	if a.credit >= 1 {
 		a.credit--
 		return false
--- a/admit/shedder_test.go
+++ b/admit/shedder_test.go
@@ -11,76 +11,76 @@
 )
 
 const (
-	// taskTime is what a request that is taken costs the played processor, and shedTime
+	// parseTime is what a request that is taken costs the played processor, and shedTime
 	// one that is refused unread.
-	taskTime = 300 * time.Microsecond
-	shedTime = 30 * time.Microsecond
-	// observeEvery is how often the delay is observed.
-	observeEvery = 50 * time.Millisecond
-	// callerTime is how long a caller waits for its request to be parsed.
-	callerTime = 500 * time.Millisecond
+	parseTime  = 300 * time.Microsecond
+	rejectTime = 30 * time.Microsecond
+	// observeInterval is how often the delay is observed.
+	observeInterval = 50 * time.Millisecond
+	// callerTimeout is how long a caller waits for its request to be parsed.
+	callerTimeout = 500 * time.Millisecond
 )
 
 // processor plays an entry whose processor is what is full: requests wait for it in the
 // order in which they come.
 type processor struct {
 	shedder *admit.LoadShedder
-	// busy is until when the processor has work.
-	busy   clock.Stamp
-	served map[string]int
-	asked  map[string]int
-	worst  time.Duration
+	// busyUntil is until when the processor has work.
+	busyUntil clock.Stamp
+	served    map[string]int
+	requested map[string]int
+	maxDelay  time.Duration
 }
 
-// play lets workspaces send for a while, each so many requests a second.
-func (p *processor) play(from clock.Stamp, d time.Duration, rates map[string]int) {
-	p.served, p.asked = make(map[string]int), make(map[string]int)
+// run lets workspaces send for a while, each so many requests a second.
+func (p *processor) run(from clock.Stamp, d time.Duration, rates map[string]int) {
+	p.served, p.requested = make(map[string]int), make(map[string]int)
 	due := make(map[string]float64)
 	var delays time.Duration
 	n := 0
 	const tick = time.Millisecond
 	for at := time.Duration(0); at < d; at += tick {
 		now := from.Add(at)
-		for _, who := range []string{"a", "b", "c", "d", "hot"} {
-			for due[who] += float64(rates[who]) * tick.Seconds(); due[who] >= 1; due[who]-- {
-				delay := max(p.busy.Sub(now), 0)
+		for _, workspace := range []string{"a", "b", "c", "d", "hot"} {
+			for due[workspace] += float64(rates[workspace]) * tick.Seconds(); due[workspace] >= 1; due[workspace]-- {
+				delay := max(p.busyUntil.Sub(now), 0)
 				delays, n = delays+delay, n+1
-				p.take(now, who, delay, at > d/2)
+				p.process(now, workspace, delay, at > d/2)
 			}
 		}
-		if at%observeEvery == 0 && p.shedder != nil {
-			usual := max(p.busy.Sub(now), 0)
+		if at%observeInterval == 0 && p.shedder != nil {
+			meanDelay := max(p.busyUntil.Sub(now), 0)
 			if n > 0 {
-				usual = delays / time.Duration(n)
+				meanDelay = delays / time.Duration(n)
 			}
-			p.shedder.Observe(now, usual)
+			p.shedder.Observe(now, meanDelay)
 			delays, n = 0, 0
 		}
 	}
 }
 
-// take plays one request; counted ones are those behind the beginning of the surge.
-func (p *processor) take(now clock.Stamp, who string, delay time.Duration, counted bool) {
+// process plays one request; counted ones are those behind the beginning of the surge.
+func (p *processor) process(now clock.Stamp, workspace string, delay time.Duration, counted bool) {
 	if counted {
-		p.asked[who]++
+		p.requested[workspace]++
 	}
-	cost := taskTime
-	if p.shedder != nil && p.shedder.Refuse(now, who) {
-		cost = shedTime
+	cost := parseTime
+	if p.shedder != nil && p.shedder.ShouldReject(now, workspace) {
+		cost = rejectTime
 	} else if counted {
-		p.worst = max(p.worst, delay)
-		if delay < callerTime {
-			p.served[who]++
+		p.maxDelay = max(p.maxDelay, delay)
+		if delay < callerTimeout {
+			p.served[workspace]++
 		}
 	}
-	p.busy = max(p.busy, now).Add(cost)
+	p.busyUntil = max(p.busyUntil, now).Add(cost)
 }
 
-func (p *processor) share(who string) float64 {
-	return float64(p.served[who]) / float64(max(p.asked[who], 1))
+func (p *processor) servedRatio(workspace string) float64 {
+	return float64(p.served[workspace]) / float64(max(p.requested[workspace], 1))
 }
 
-func (p *processor) all() int {
+func (p *processor) totalServed() int {
 	n := 0
 	for _, k := range p.served {
 		n += k
@@ -92,27 +92,27 @@
 // have given up: with three times what its processor parses it serves nobody in time.
 func TestFullEntryKeepsServing(t *testing.T) {
 	const start = clock.Stamp(time.Hour)
-	usual := map[string]int{"a": 300, "b": 300, "c": 300, "d": 300, "hot": 300}
+	normal := map[string]int{"a": 300, "b": 300, "c": 300, "d": 300, "hot": 300}
 	surge := map[string]int{"a": 300, "b": 300, "c": 300, "d": 300, "hot": 8800}
 
 	best := &processor{shedder: &admit.LoadShedder{}}
-	best.play(start, 10*time.Second, usual)
-	assert.Equal(t, best.share("hot"), 1.0, "nothing is refused while the processor has time")
+	best.run(start, 10*time.Second, normal)
+	assert.Equal(t, best.servedRatio("hot"), 1.0, "nothing is refused while the processor has time")
 
 	naive := &processor{}
-	naive.play(start, 10*time.Second, surge)
-	assert.Assert(t, naive.share("a") < 0.1, "%f in time without a shedder", naive.share("a"))
+	naive.run(start, 10*time.Second, surge)
+	assert.Assert(t, naive.servedRatio("a") < 0.1, "%f in time without a shedder", naive.servedRatio("a"))
 
 	p := &processor{shedder: &admit.LoadShedder{}}
-	p.play(start, 10*time.Second, surge)
-	t.Logf("in time: %.2f of a usual workspace, %.2f of the surge; worst delay %s", p.share("a"), p.share("hot"), p.worst)
-	for _, who := range []string{"a", "b", "c", "d"} {
-		assert.Assert(t, p.share(who) >= 0.9, "%f of %s in time", p.share(who), who)
+	p.run(start, 10*time.Second, surge)
+	t.Logf("in time: %.2f of a usual workspace, %.2f of the surge; worst delay %s", p.servedRatio("a"), p.servedRatio("hot"), p.maxDelay)
+	for _, workspace := range []string{"a", "b", "c", "d"} {
+		assert.Assert(t, p.servedRatio(workspace) >= 0.9, "%f of %s in time", p.servedRatio(workspace), workspace)
 	}
-	assert.Assert(t, float64(p.all()) >= 0.8*float64(best.all()), "%d in time, %d at its best", p.all(), best.all())
-	assert.Assert(t, p.worst < 250*time.Millisecond, "a request that is taken waits for %s", p.worst)
+	assert.Assert(t, float64(p.totalServed()) >= 0.8*float64(best.totalServed()), "%d in time, %d at its best", p.totalServed(), best.totalServed())
+	assert.Assert(t, p.maxDelay < 250*time.Millisecond, "a request that is taken waits for %s", p.maxDelay)
 
 	after := start.Add(10 * time.Second)
-	p.play(after, 4*time.Second, usual)
-	assert.Assert(t, p.share("hot") >= 0.98, "%f in time after the surge", p.share("hot"))
+	p.run(after, 4*time.Second, normal)
+	assert.Assert(t, p.servedRatio("hot") >= 0.98, "%f in time after the surge", p.servedRatio("hot"))
 }
--- a/board/board.go
+++ b/board/board.go
@@ -82,7 +82,7 @@
 	reading   int
 	health    health
 	cold      coldBucket
-	limit     admit.Limit
+	limit     admit.AdaptiveLimit
 	suspicion suspicion
 	// sent are this entry's own requests that peers may not know of.
 	sent burst
@@ -145,7 +145,7 @@
 	s := b.state(key)
 	if s.born != t.StartedMs {
 		b.setApart(s)
-		s.born, s.health, s.cold, s.limit = t.StartedMs, health{}, coldBucket{}, admit.Limit{}
+		s.born, s.health, s.cold, s.limit = t.StartedMs, health{}, coldBucket{}, admit.AdaptiveLimit{}
 	}
 	return key, s
 }
--- a/board/choose.go
+++ b/board/choose.go
@@ -121,7 +121,7 @@
 		hold:     b.usage(service.Name).pace.Mean(),
 		patience: time.Duration(patienceShare * float64(service.LatencyObjective)),
 	}
-	l.reach = admit.Reach(1, l.hold, l.patience)
+	l.reach = admit.Capacity(1, l.hold, l.patience)
 	return l
 }
 
--- a/board/index.go
+++ b/board/index.go
@@ -150,7 +150,7 @@
 
 // isUsual reports whether the sums of the failure domain say all of the target.
 func (m *member) isUsual(now clock.Stamp) bool {
-	return m.usable && now >= m.ColdUntil && !m.state.health.down(now) && !m.state.limit.Binds(now)
+	return m.usable && now >= m.ColdUntil && !m.state.health.down(now) && !m.state.limit.IsBinding(now)
 }
 
 // runningAt is the number of requests in progress at a target, of all entries.
--- a/board/peers.go
+++ b/board/peers.go
@@ -96,7 +96,7 @@
 	for _, k := range list {
 		for _, u := range b.services {
 			if u.key == k.Service {
-				u.fair.Keep(now, float64(k.Part)/100)
+				u.fair.RaiseReserve(now, float64(k.Part)/100)
 			}
 		}
 	}
--- a/board/usage.go
+++ b/board/usage.go
@@ -34,8 +34,8 @@
 type usage struct {
 	// key names the service in datagrams.
 	key  uint32
-	pace admit.Pace
-	fair admit.Fair
+	pace admit.DurationEstimator
+	fair admit.FairLimiter
 	// taken is the part of all places that was taken at the last request.
 	taken float64
 }
@@ -43,7 +43,7 @@
 func (b *Board) usage(service string) *usage {
 	u := b.services[service]
 	if u == nil {
-		u = &usage{key: uint32(xxhash.Sum64String(service)), pace: admit.Pace{Smooth: paceSmooth}}
+		u = &usage{key: uint32(xxhash.Sum64String(service)), pace: admit.DurationEstimator{Smoothing: paceSmooth}}
 		b.services[service] = u
 	}
 	return u
@@ -123,7 +123,7 @@
 	r := Room{Taken: taken, Reason: chestnutstep.ReasonFull}
 	u := b.usage(service)
 	u.taken = r.Taken
-	r.Free, r.Yield = u.fair.Ask(now, who.Urgency, who.Workspace, r.Taken)
+	r.Free, r.Yield = u.fair.Admit(now, who.Urgency, who.Workspace, r.Taken)
 	r.Kept = u.fair.Reserve(now)
 	if r.Taken < 1 {
 		r.Reason = chestnutstep.ReasonShare
@@ -159,7 +159,7 @@
 		r.late(now)
 		return
 	}
-	r.board.state(r.key).limit.InTime(r.before)
+	r.board.state(r.key).limit.RecordInTime(r.before)
 }
 
 // late notes that the target had more than it could begin in time.
@@ -167,7 +167,7 @@
 	least := r.board.leastPlaces(now, r.slots, r.engine)
 	s := r.board.state(r.key)
 	r.board.setApart(s)
-	s.limit.Late(now, r.before, r.slots, least)
+	s.limit.RecordLate(now, r.before, r.slots, least)
 }
 
 // leave gives the place back.
--- a/crash/bound.go
+++ b/crash/bound.go
@@ -8,64 +8,64 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// bound drops expired suspicions and then the least useful above the limit:
+// evictExcess drops expired suspicions and then the least useful above the limit:
 // first what is not condemned, the oldest first. Without a limit a caller whose
 // requests all differ could fill the memory by crashing targets.
-func (j *Detector) bound(now time.Time) {
-	for fingerprint := range j.cases {
-		j.find(now, fingerprint)
+func (d *Detector) evictExcess(now time.Time) {
+	for fingerprint := range d.suspicions {
+		d.find(now, fingerprint)
 	}
-	if len(j.cases) <= j.Most {
+	if len(d.suspicions) <= d.MaxSuspicions {
 		return
 	}
-	all := make([]*file, 0, len(j.cases))
-	for _, f := range j.cases {
+	all := make([]*localSuspicion, 0, len(d.suspicions))
+	for _, f := range d.suspicions {
 		all = append(all, f)
 	}
-	slices.SortFunc(all, func(a, b *file) int {
+	slices.SortFunc(all, func(a, b *localSuspicion) int {
 		return cmp.Or(
-			cmp.Compare(j.weight(now, a), j.weight(now, b)),
+			cmp.Compare(d.retentionPriority(now, a), d.retentionPriority(now, b)),
 			a.SeenAt.Compare(b.SeenAt),
 			cmp.Compare(a.Fingerprint, b.Fingerprint),
 		)
 	})
-	for _, f := range all[:len(all)-j.Most] {
-		delete(j.cases, f.Fingerprint)
+	for _, f := range all[:len(all)-d.MaxSuspicions] {
+		delete(d.suspicions, f.Fingerprint)
 	}
 }
 
-func (j *Detector) weight(now time.Time, f *file) int {
-	if j.Check(now, f.Fingerprint) == chestnutstep.ContentCondemned {
+func (d *Detector) retentionPriority(now time.Time, f *localSuspicion) int {
+	if d.Check(now, f.Fingerprint) == chestnutstep.ContentCondemned {
 		return 1
 	}
 	return 0
 }
 
-// memory keeps the fingerprints that were served last, the oldest of which
+// servedCache keeps the fingerprints that were served last, the oldest of which
 // falls out when a new one comes.
-type memory struct {
-	most int
-	at   map[uint64]time.Time
-	ring []uint64
-	next int
+type servedCache struct {
+	capacity int
+	servedAt map[uint64]time.Time
+	ring     []uint64
+	next     int
 }
 
-func (m *memory) add(now time.Time, fingerprint uint64) {
-	if _, ok := m.at[fingerprint]; ok {
-		m.at[fingerprint] = now
+func (c *servedCache) add(now time.Time, fingerprint uint64) {
+	if _, ok := c.servedAt[fingerprint]; ok {
+		c.servedAt[fingerprint] = now
 		return
 	}
-	if len(m.ring) < m.most {
-		m.ring = append(m.ring, fingerprint)
+	if len(c.ring) < c.capacity {
+		c.ring = append(c.ring, fingerprint)
 	} else {
-		delete(m.at, m.ring[m.next])
-		m.ring[m.next] = fingerprint
-		m.next = (m.next + 1) % m.most
+		delete(c.servedAt, c.ring[c.next])
+		c.ring[c.next] = fingerprint
+		c.next = (c.next + 1) % c.capacity
 	}
-	m.at[fingerprint] = now
+	c.servedAt[fingerprint] = now
 }
 
-func (m *memory) recent(now time.Time, keep time.Duration, fingerprint uint64) bool {
-	at, ok := m.at[fingerprint]
-	return ok && now.Sub(at) < keep
+func (c *servedCache) isRecent(now time.Time, maxAge time.Duration, fingerprint uint64) bool {
+	servedAt, ok := c.servedAt[fingerprint]
+	return ok && now.Sub(servedAt) < maxAge
 }
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -24,47 +24,47 @@
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/detector", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
-			p := &player{juries: map[string]*Detector{}, now: script.Epoch}
+			p := &detectorScript{detectors: map[string]*Detector{}, now: script.Epoch}
 			return script.Play(d.Input, &p.now, p.step)
 		})
 	})
 }
 
-type player struct {
-	juries map[string]*Detector
-	now    time.Time
+type detectorScript struct {
+	detectors map[string]*Detector
+	now       time.Time
 }
 
-func (p *player) detector(target string) *Detector {
-	if p.juries[target] == nil {
-		p.juries[target] = &Detector{Target: target, Most: 4, Served: 3}
+func (p *detectorScript) detector(target string) *Detector {
+	if p.detectors[target] == nil {
+		p.detectors[target] = &Detector{Target: target, MaxSuspicions: 4, MaxServed: 3}
 	}
-	return p.juries[target]
+	return p.detectors[target]
 }
 
-func (p *player) step(f []string) string {
-	j := p.detector(f[1])
+func (p *detectorScript) step(f []string) string {
+	d := p.detector(f[1])
 	switch f[0] {
 	case "crash":
-		return say(j.Crash(p.now))
+		return formatSuspicions(d.Crash(p.now))
 	case "tell":
-		told := j.Suspicions(p.now, 2)
+		reported := d.Suspicions(p.now, 2)
 		for _, to := range f[2:] {
-			p.detector(to).Merge(p.now, told)
+			p.detector(to).Merge(p.now, reported)
 		}
-		return say(told)
+		return formatSuspicions(reported)
 	}
 	fingerprint, _ := strconv.ParseUint(f[2], 10, 64)
 	switch f[0] {
 	case "start":
-		j.Start(p.now, fingerprint)
+		d.Start(p.now, fingerprint)
 	case "served", "failed":
-		j.End(p.now, fingerprint, f[0] == "served")
+		d.End(p.now, fingerprint, f[0] == "served")
 	}
-	return [...]string{"clear", "suspect", "condemned"}[j.Check(p.now, fingerprint)]
+	return [...]string{"clear", "suspect", "condemned"}[d.Check(p.now, fingerprint)]
 }
 
-func say(s []chestnutstep.Suspicion) string {
+func formatSuspicions(s []chestnutstep.Suspicion) string {
 	var all []string
 	for _, one := range s {
 		all = append(all, fmt.Sprint(one.Fingerprint, one.CrashedTargets, one.Cleared))
@@ -72,7 +72,7 @@
 	return strings.Join(all, " ")
 }
 
-func suspicion(t *rapid.T) chestnutstep.Suspicion {
+func drawSuspicion(t *rapid.T) chestnutstep.Suspicion {
 	name := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	crashed := mergeCrashed(rapid.SliceOfN(name, 1, 2).Draw(t, "crashed"), nil)
 	if rapid.Bool().Draw(t, "alone") {
@@ -88,21 +88,21 @@
 // one agent would serve what another has condemned.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := suspicion(t), suspicion(t), suspicion(t)
+		a, b, c := drawSuspicion(t), drawSuspicion(t), drawSuspicion(t)
 		assert.DeepEqual(t, Merge(a, a), a)
 		assert.DeepEqual(t, Merge(a, b), Merge(b, a))
 		assert.DeepEqual(t, Merge(Merge(a, b), c), Merge(a, Merge(b, c)))
 	})
 }
 
-// outage sends one request that crashes every target again and again, beside
+// crashSim sends one request that crashes every target again and again, beside
 // popular ones that all targets have served.
-type outage struct {
-	r       *rand.Rand
-	now     time.Time
-	juries  []*Detector
-	late    []chestnutstep.Suspicion // news that come after the next offer
-	crashed map[string]bool
+type crashSim struct {
+	r         *rand.Rand
+	now       time.Time
+	detectors []*Detector
+	delayed   []chestnutstep.Suspicion // news that come after the next offer
+	crashed   map[string]bool
 }
 
 const (
@@ -110,51 +110,51 @@
 	popular = 3 // fingerprints 2 to 4
 )
 
-func newOutage(seed int64) *outage {
-	o := &outage{r: rand.New(rand.NewSource(seed)), now: script.Epoch, crashed: map[string]bool{}}
+func newCrashSim(seed int64) *crashSim {
+	o := &crashSim{r: rand.New(rand.NewSource(seed)), now: script.Epoch, crashed: map[string]bool{}}
 	for n := range 8 {
-		j := &Detector{Target: fmt.Sprint("t", n)}
+		d := &Detector{Target: fmt.Sprint("t", n)}
 		for f := range uint64(popular) {
-			j.Start(o.now, poison+1+f)
-			j.End(o.now, poison+1+f, true)
+			d.Start(o.now, poison+1+f)
+			d.End(o.now, poison+1+f, true)
 		}
-		o.juries = append(o.juries, j)
+		o.detectors = append(o.detectors, d)
 	}
 	return o
 }
 
 // offer sends the bad request to any target; blind ignores what its detector says,
 // slow delays the news of the crash by one offer.
-func (o *outage) offer(blind, slow bool) {
-	j := o.juries[o.r.Intn(len(o.juries))]
+func (o *crashSim) offer(ignoreDetector, delayReports bool) {
+	d := o.detectors[o.r.Intn(len(o.detectors))]
 	o.now = o.now.Add(time.Second)
-	news := o.late
-	o.late = nil
-	judged := j.Check(o.now, poison)
-	if blind || judged != chestnutstep.ContentCondemned {
+	reports := o.delayed
+	o.delayed = nil
+	judgement := d.Check(o.now, poison)
+	if ignoreDetector || judgement != chestnutstep.ContentCondemned {
 		for f := range uint64(popular) {
-			if judged == chestnutstep.ContentClear && j.Check(o.now, poison+1+f) == chestnutstep.ContentClear {
-				j.Start(o.now, poison+1+f)
+			if judgement == chestnutstep.ContentClear && d.Check(o.now, poison+1+f) == chestnutstep.ContentClear {
+				d.Start(o.now, poison+1+f)
 			}
 		}
-		j.Start(o.now, poison)
-		o.crashed[j.Target] = true
-		o.late = j.Crash(o.now)
+		d.Start(o.now, poison)
+		o.crashed[d.Target] = true
+		o.delayed = d.Crash(o.now)
 	}
-	if !slow {
-		news = append(news, o.late...)
-		o.late = nil
+	if !delayReports {
+		reports = append(reports, o.delayed...)
+		o.delayed = nil
 	}
-	for _, j := range o.juries {
-		j.Merge(o.now, news)
+	for _, d := range o.detectors {
+		d.Merge(o.now, reports)
 	}
 }
 
-func (o *outage) condemned() int {
+func (o *crashSim) countCondemned() int {
 	n := 0
-	for _, j := range o.juries {
+	for _, d := range o.detectors {
 		for f := range uint64(popular) {
-			if j.Check(o.now, poison+1+f) == chestnutstep.ContentCondemned {
+			if d.Check(o.now, poison+1+f) == chestnutstep.ContentCondemned {
 				n++
 			}
 		}
@@ -170,7 +170,7 @@
 func TestPoisonStopsAfterTwoTargets(t *testing.T) {
 	var worst, naive, slow, condemned int
 	for seed := range int64(2000) {
-		prompt, blind, lagging := newOutage(seed), newOutage(seed), newOutage(seed)
+		prompt, blind, lagging := newCrashSim(seed), newCrashSim(seed), newCrashSim(seed)
 		for n := range 40 {
 			prompt.offer(false, n == 0 && seed%2 == 0)
 			blind.offer(true, false)
@@ -179,7 +179,7 @@
 		worst = max(worst, len(prompt.crashed))
 		naive = max(naive, len(blind.crashed))
 		slow = max(slow, len(lagging.crashed))
-		condemned += prompt.condemned() + lagging.condemned()
+		condemned += prompt.countCondemned() + lagging.countCondemned()
 	}
 	t.Logf("lost at most %d of 8 targets, without the detector %d, with all news late %d; popular requests condemned %d",
 		worst, naive, slow, condemned)
@@ -192,21 +192,21 @@
 // Requests that all differ crash target after target. What an agent keeps stays
 // bounded, and a condemned request is not pushed out by mere suspects.
 func TestSuspicionsAreBounded(t *testing.T) {
-	j := &Detector{Target: "t", Most: 100}
-	j.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
+	d := &Detector{Target: "t", MaxSuspicions: 100}
+	d.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
 	for n := uint64(2); n < 1000; n++ {
 		now := script.Epoch.Add(time.Duration(n) * time.Millisecond)
-		j.Start(now, n)
-		j.Crash(now)
-		j.End(now, n, false)
-		assert.Assert(t, len(j.cases) <= 100 && len(j.owed)+len(j.running) == 0)
-	}
-	assert.Equal(t, j.Check(script.Epoch, 1), chestnutstep.ContentCondemned)
-	later := script.Epoch.Add(2 * DefaultKeep)
-	assert.Equal(t, len(j.Suspicions(later, 1)), 0)
-	j.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"c"}, SeenAt: later}})
-	j.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
-	assert.Equal(t, j.Check(later, 1), chestnutstep.ContentSuspect, "news that had expired were taken in")
+		d.Start(now, n)
+		d.Crash(now)
+		d.End(now, n, false)
+		assert.Assert(t, len(d.suspicions) <= 100 && len(d.pendingEnds)+len(d.running) == 0)
+	}
+	assert.Equal(t, d.Check(script.Epoch, 1), chestnutstep.ContentCondemned)
+	later := script.Epoch.Add(2 * DefaultSuspicionTTL)
+	assert.Equal(t, len(d.Suspicions(later, 1)), 0)
+	d.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"c"}, SeenAt: later}})
+	d.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
+	assert.Equal(t, d.Check(later, 1), chestnutstep.ContentSuspect, "news that had expired were taken in")
 }
 
 func ExampleFingerprint() {
@@ -220,24 +220,24 @@
 // BenchmarkJudge prints the cost of a judgement, and what a suspicion and a
 // served fingerprint take in memory.
 func BenchmarkJudge(b *testing.B) {
-	j := &Detector{Target: "bay-engine-1"}
+	d := &Detector{Target: "bay-engine-1"}
 	before := script.Heap()
-	for n := range uint64(DefaultMost) {
+	for n := range uint64(DefaultMaxSuspicions) {
 		target := fmt.Sprint("bay-engine-", n)
-		j.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: n + 1, CrashedTargets: []string{target}, SeenAt: script.Epoch}})
+		d.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: n + 1, CrashedTargets: []string{target}, SeenAt: script.Epoch}})
 	}
 	between := script.Heap()
-	for n := range uint64(DefaultServed) {
-		j.Start(script.Epoch, n<<20)
-		j.End(script.Epoch, n<<20, true)
+	for n := range uint64(DefaultMaxServed) {
+		d.Start(script.Epoch, n<<20)
+		d.End(script.Epoch, n<<20, true)
 	}
 	after := script.Heap()
 	var n uint64
 	for b.Loop() {
 		n++
-		j.Check(script.Epoch, n%(2*DefaultMost))
+		d.Check(script.Epoch, n%(2*DefaultMaxSuspicions))
 	}
-	b.ReportMetric((between-before)/DefaultMost, "B/suspicion")
-	b.ReportMetric((after-between)/DefaultServed, "B/served")
-	runtime.KeepAlive(j)
+	b.ReportMetric((between-before)/DefaultMaxSuspicions, "B/suspicion")
+	b.ReportMetric((after-between)/DefaultMaxServed, "B/served")
+	runtime.KeepAlive(d)
 }
--- a/crash/detector.go
+++ b/crash/detector.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	// DefaultKeep is how long a suspicion lasts. It is longer than any caller
+	// DefaultSuspicionTTL is how long a suspicion lasts. It is longer than any caller
 	// repeats a request for, and short enough that one which a failing host
 	// brought about does not outlive the shift of the operators.
-	DefaultKeep = 10 * time.Minute
-	// DefaultMost bounds the suspicions that are kept. A crash brings at most
+	DefaultSuspicionTTL = 10 * time.Minute
+	// DefaultMaxSuspicions bounds the suspicions that are kept. A crash brings at most
 	// as many as a target runs at once, so that 1,024 hold some tens of crashes
 	// in ten minutes, in about 160 KB.
-	DefaultMost = 1024
-	// DefaultServed bounds the fingerprints that are remembered as served, the
+	DefaultMaxSuspicions = 1024
+	// DefaultMaxServed bounds the fingerprints that are remembered as served, the
 	// evidence that a popular request is not what crashed a target. 4,096 are a
 	// minute's worth at 70 requests a second, in about 370 KB.
-	DefaultServed = 4096
+	DefaultMaxServed = 4096
 )
 
 // Detector implements chestnutstep.Detector for one process. Set the fields before the
@@ -41,49 +41,49 @@
 type Detector struct {
 	// Target is the target beside the agent; empty at an entry.
 	Target string
-	// Keep is how long a suspicion lasts; DefaultKeep when 0.
-	Keep time.Duration
-	// Most bounds the suspicions; DefaultMost when 0.
-	Most int
-	// Served bounds the fingerprints remembered as served; DefaultServed when 0.
-	Served int
+	// SuspicionTTL is how long a suspicion lasts; DefaultKeep when 0.
+	SuspicionTTL time.Duration
+	// MaxSuspicions bounds the suspicions; DefaultMost when 0.
+	MaxSuspicions int
+	// MaxServed bounds the fingerprints remembered as served; DefaultServed when 0.
+	MaxServed int
 
-	cases   map[uint64]*file
-	running map[uint64]int
-	total   int
-	// owed counts the runs that a crash ended and whose End is still to come.
-	owed   map[uint64]int
-	served memory
+	suspicions   map[uint64]*localSuspicion
+	running      map[uint64]int
+	totalRunning int
+	// pendingEnds counts the runs that a crash ended and whose End is still to come.
+	pendingEnds    map[uint64]int
+	recentlyServed servedCache
 }
 
 var _ chestnutstep.Detector = (*Detector)(nil)
 
-// file is a suspicion with what only this process knows of it.
-type file struct {
+// localSuspicion is a suspicion with what only this process knows of it.
+type localSuspicion struct {
 	chestnutstep.Suspicion
-	// passed says that it ran to its end here since the last crash known.
-	passed bool
-	// told counts how often it was passed on since it last changed.
-	told int
+	// servedSinceCrash says that it ran to its end here since the last crash known.
+	servedSinceCrash bool
+	// reportCount counts how often it was passed on since it last changed.
+	reportCount int
 }
 
-func (j *Detector) init() {
-	if j.cases != nil {
+func (d *Detector) init() {
+	if d.suspicions != nil {
 		return
 	}
-	if j.Keep <= 0 {
-		j.Keep = DefaultKeep
+	if d.SuspicionTTL <= 0 {
+		d.SuspicionTTL = DefaultSuspicionTTL
 	}
-	if j.Most <= 0 {
-		j.Most = DefaultMost
+	if d.MaxSuspicions <= 0 {
+		d.MaxSuspicions = DefaultMaxSuspicions
 	}
-	if j.Served <= 0 {
-		j.Served = DefaultServed
+	if d.MaxServed <= 0 {
+		d.MaxServed = DefaultMaxServed
 	}
-	j.cases = map[uint64]*file{}
-	j.running = map[uint64]int{}
-	j.owed = map[uint64]int{}
-	j.served = memory{most: j.Served, at: map[uint64]time.Time{}}
+	d.suspicions = map[uint64]*localSuspicion{}
+	d.running = map[uint64]int{}
+	d.pendingEnds = map[uint64]int{}
+	d.recentlyServed = servedCache{capacity: d.MaxServed, servedAt: map[uint64]time.Time{}}
 }
 
 // Check says how a request may run.
@@ -96,124 +96,124 @@
 //
 // What was served elsewhere is clear after one crash. After a crash here, or
 // two anywhere, it runs alone once more at this target.
-func (j *Detector) Check(now time.Time, fingerprint uint64) chestnutstep.ContentState {
-	j.init()
-	f := j.find(now, fingerprint)
+func (d *Detector) Check(now time.Time, fingerprint uint64) chestnutstep.ContentState {
+	d.init()
+	f := d.find(now, fingerprint)
 	if f == nil {
 		return chestnutstep.ContentClear
 	}
-	if aloneAt(f.CrashedTargets) != "" {
+	if exclusiveCrashTarget(f.CrashedTargets) != "" {
 		return chestnutstep.ContentCondemned
 	}
-	if len(f.CrashedTargets) >= maxCrashed && !f.Cleared {
+	if len(f.CrashedTargets) >= maxCrashedTargets && !f.Cleared {
 		return chestnutstep.ContentCondemned
 	}
-	if f.passed {
+	if f.servedSinceCrash {
 		return chestnutstep.ContentClear
 	}
-	here := slices.Contains(f.CrashedTargets, j.Target)
-	if f.Cleared && !here && len(f.CrashedTargets) < maxCrashed {
+	here := slices.Contains(f.CrashedTargets, d.Target)
+	if f.Cleared && !here && len(f.CrashedTargets) < maxCrashedTargets {
 		return chestnutstep.ContentClear
 	}
 	return chestnutstep.ContentSuspect
 }
 
 // find returns the suspicion of a fingerprint unless it has expired.
-func (j *Detector) find(now time.Time, fingerprint uint64) *file {
-	f := j.cases[fingerprint]
-	if f == nil || now.Sub(f.SeenAt) < j.Keep {
+func (d *Detector) find(now time.Time, fingerprint uint64) *localSuspicion {
+	f := d.suspicions[fingerprint]
+	if f == nil || now.Sub(f.SeenAt) < d.SuspicionTTL {
 		return f
 	}
-	delete(j.cases, fingerprint)
+	delete(d.suspicions, fingerprint)
 	return nil
 }
 
 // Start notes that the content runs at this target from now on.
-func (j *Detector) Start(_ time.Time, fingerprint uint64) {
-	j.init()
-	j.running[fingerprint]++
-	j.total++
+func (d *Detector) Start(_ time.Time, fingerprint uint64) {
+	d.init()
+	d.running[fingerprint]++
+	d.totalRunning++
 }
 
 // End notes that the content no longer runs; each Start has one End, also after a
 // crash. Content that was served to its end is cleared for all, as it did not
 // crash the target that ran it.
-func (j *Detector) End(now time.Time, fingerprint uint64, served bool) {
-	j.init()
-	j.leave(fingerprint)
+func (d *Detector) End(now time.Time, fingerprint uint64, served bool) {
+	d.init()
+	d.removeRun(fingerprint)
 	if !served || fingerprint == 0 {
 		return
 	}
-	j.served.add(now, fingerprint)
-	if f := j.find(now, fingerprint); f != nil {
-		f.passed = true
-		j.clear(f)
+	d.recentlyServed.add(now, fingerprint)
+	if f := d.find(now, fingerprint); f != nil {
+		f.servedSinceCrash = true
+		d.clear(f)
 	}
 }
 
-// leave takes one run off the count. The end of a run that died in a crash comes
+// removeRun takes one run off the count. The end of a run that died in a crash comes
 // after it, when the caller's repeat may run already: taken off that one, it
 // would let the next crash of the same content pass unnoticed.
-func (j *Detector) leave(fingerprint uint64) {
-	if j.owed[fingerprint] > 0 {
-		drop(j.owed, fingerprint)
+func (d *Detector) removeRun(fingerprint uint64) {
+	if d.pendingEnds[fingerprint] > 0 {
+		decrement(d.pendingEnds, fingerprint)
 		return
 	}
-	if j.running[fingerprint] > 0 {
-		drop(j.running, fingerprint)
-		j.total--
+	if d.running[fingerprint] > 0 {
+		decrement(d.running, fingerprint)
+		d.totalRunning--
 	}
 }
 
-func drop(counts map[uint64]int, fingerprint uint64) {
+func decrement(counts map[uint64]int, fingerprint uint64) {
 	counts[fingerprint]--
 	if counts[fingerprint] == 0 {
 		delete(counts, fingerprint)
 	}
 }
 
-func (j *Detector) clear(f *file) {
+func (d *Detector) clear(f *localSuspicion) {
 	if !f.Cleared {
 		f.Cleared = true
-		f.told = 0
+		f.reportCount = 0
 	}
 }
 
 // Crash says that the target died; what was running becomes suspect. It returns
 // the suspicions that changed, which should be told to the peers at once: the
 // caller's repeat is already on its way to the next target.
-func (j *Detector) Crash(now time.Time) []chestnutstep.Suspicion {
-	j.init()
+func (d *Detector) Crash(now time.Time) []chestnutstep.Suspicion {
+	d.init()
 	var changed []chestnutstep.Suspicion
-	for _, fingerprint := range j.suspects() {
+	for _, fingerprint := range d.runningFingerprints() {
 		s := chestnutstep.Suspicion{
 			Fingerprint:    fingerprint,
-			CrashedTargets: []string{j.Target},
-			Cleared:        j.served.recent(now, j.Keep, fingerprint),
+			CrashedTargets: []string{d.Target},
+			Cleared:        d.recentlyServed.isRecent(now, d.SuspicionTTL, fingerprint),
 			SeenAt:         now,
 		}
-		if j.total == 1 && j.Check(now, fingerprint) != chestnutstep.ContentClear {
-			s.CrashedTargets = []string{j.Target, j.Target}
+		if d.totalRunning == 1 && d.Check(now, fingerprint) != chestnutstep.ContentClear {
+			s.CrashedTargets = []string{d.Target, d.Target}
 		}
-		j.merge(s)
-		f := j.cases[fingerprint]
-		f.passed = false
+		d.merge(s)
+		f := d.suspicions[fingerprint]
+		f.servedSinceCrash = false
 		changed = append(changed, f.Suspicion)
 	}
-	for fingerprint, n := range j.running {
-		j.owed[fingerprint] += n
+	for fingerprint, n := range d.running {
+		d.pendingEnds[fingerprint] += n
 	}
-	clear(j.running)
-	j.total = 0
-	j.bound(now)
+	clear(d.running)
+	d.totalRunning = 0
+	d.evictExcess(now)
 	return changed
 }
 
-// suspects lists what runs, in order, so that a crash has the same outcome each
+// runningFingerprints lists what runs, in order, so that a crash has the same outcome each
 // time. Content without a fingerprint can't be told apart and is left out.
-func (j *Detector) suspects() []uint64 {
+func (d *Detector) runningFingerprints() []uint64 {
 	var all []uint64
-	for fingerprint := range j.running {
+	for fingerprint := range d.running {
 		if fingerprint != 0 {
 			all = append(all, fingerprint)
 		}
@@ -225,50 +225,50 @@
 // Merge takes suspicions of other agents. Content that this target has served
 // of late is cleared at once, so that a popular request does not run alone at
 // every target because it stood beside a crash at one.
-func (j *Detector) Merge(now time.Time, s []chestnutstep.Suspicion) {
-	j.init()
-	for _, one := range s {
-		if one.Fingerprint == 0 || len(one.CrashedTargets) == 0 || now.Sub(one.SeenAt) >= j.Keep {
+func (d *Detector) Merge(now time.Time, s []chestnutstep.Suspicion) {
+	d.init()
+	for _, incoming := range s {
+		if incoming.Fingerprint == 0 || len(incoming.CrashedTargets) == 0 || now.Sub(incoming.SeenAt) >= d.SuspicionTTL {
 			continue
 		}
-		one.CrashedTargets = mergeCrashed(one.CrashedTargets, nil)
-		j.merge(one)
-		if j.served.recent(now, j.Keep, one.Fingerprint) {
-			j.clear(j.cases[one.Fingerprint])
+		incoming.CrashedTargets = mergeCrashed(incoming.CrashedTargets, nil)
+		d.merge(incoming)
+		if d.recentlyServed.isRecent(now, d.SuspicionTTL, incoming.Fingerprint) {
+			d.clear(d.suspicions[incoming.Fingerprint])
 		}
 	}
-	j.bound(now)
+	d.evictExcess(now)
 }
 
-func (j *Detector) merge(s chestnutstep.Suspicion) {
-	f := j.cases[s.Fingerprint]
+func (d *Detector) merge(s chestnutstep.Suspicion) {
+	f := d.suspicions[s.Fingerprint]
 	if f == nil {
-		j.cases[s.Fingerprint] = &file{Suspicion: s}
+		d.suspicions[s.Fingerprint] = &localSuspicion{Suspicion: s}
 		return
 	}
 	merged := Merge(f.Suspicion, s)
 	if !slices.Equal(merged.CrashedTargets, f.CrashedTargets) {
-		f.passed = false
-		f.told = 0
+		f.servedSinceCrash = false
+		f.reportCount = 0
 	}
 	if merged.Cleared != f.Cleared {
-		f.told = 0
+		f.reportCount = 0
 	}
 	f.Suspicion = merged
 }
 
 // Suspicions returns at most n suspicions worth passing on: those told least often
 // since they changed, so that news goes out first and all have their turn.
-func (j *Detector) Suspicions(now time.Time, n int) []chestnutstep.Suspicion {
-	j.init()
-	j.bound(now)
-	all := make([]*file, 0, len(j.cases))
-	for _, f := range j.cases {
+func (d *Detector) Suspicions(now time.Time, n int) []chestnutstep.Suspicion {
+	d.init()
+	d.evictExcess(now)
+	all := make([]*localSuspicion, 0, len(d.suspicions))
+	for _, f := range d.suspicions {
 		all = append(all, f)
 	}
-	slices.SortFunc(all, func(a, b *file) int {
+	slices.SortFunc(all, func(a, b *localSuspicion) int {
 		return cmp.Or(
-			cmp.Compare(a.told, b.told),
+			cmp.Compare(a.reportCount, b.reportCount),
 			b.SeenAt.Compare(a.SeenAt),
 			cmp.Compare(a.Fingerprint, b.Fingerprint),
 		)
@@ -276,7 +276,7 @@
 	all = all[:min(n, len(all))]
 	out := make([]chestnutstep.Suspicion, 0, len(all))
 	for _, f := range all {
-		f.told++
+		f.reportCount++
 		out = append(out, f.Suspicion)
 	}
 	return out
--- a/crash/merge.go
+++ b/crash/merge.go
@@ -6,8 +6,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// maxCrashed is how many targets a suspicion lists: two are enough to condemn.
-const maxCrashed = 2
+// maxCrashedTargets is how many targets a suspicion lists: two are enough to condemn.
+const maxCrashedTargets = 2
 
 // Merge joins what two processes know of one fingerprint. It is commutative,
 // associative and idempotent, so that suspicions may arrive late, twice and in
@@ -25,25 +25,25 @@
 }
 
 func mergeCrashed(a, b []string) []string {
-	if alone := min2(aloneAt(a), aloneAt(b)); alone != "" {
-		return []string{alone, alone}
+	if exclusive := minNonEmpty(exclusiveCrashTarget(a), exclusiveCrashTarget(b)); exclusive != "" {
+		return []string{exclusive, exclusive}
 	}
 	all := slices.Concat(a, b)
 	slices.Sort(all)
 	all = slices.Compact(all)
-	return all[:min(len(all), maxCrashed)]
+	return all[:min(len(all), maxCrashedTargets)]
 }
 
-// aloneAt returns the target where the fingerprint crashed while it ran alone.
-func aloneAt(crashed []string) string {
-	if len(crashed) >= maxCrashed && crashed[0] == crashed[1] {
+// exclusiveCrashTarget returns the target where the fingerprint crashed while it ran alone.
+func exclusiveCrashTarget(crashed []string) string {
+	if len(crashed) >= maxCrashedTargets && crashed[0] == crashed[1] {
 		return crashed[0]
 	}
 	return ""
 }
 
-// min2 returns the smaller name, where an empty one does not count.
-func min2(a, b string) string {
+// minNonEmpty returns the smaller name, where an empty one does not count.
+func minNonEmpty(a, b string) string {
 	if a == "" || (b != "" && b < a) {
 		return b
 	}
--- a/crash/quarantine.go
+++ b/crash/quarantine.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// DefaultContents bounds the contents that are remembered: those of some two hundred targets that end
+	// DefaultMaxContents bounds the contents that are remembered: those of some two hundred targets that end
 	// within ten minutes, in 0.8 MB.
-	DefaultContents = 8192
-	// quarantineAt is how many targets have to end under a content before it is refused.
-	quarantineAt = 2
-	// doubtPause is how long a content is refused after two targets where something else may
+	DefaultMaxContents = 8192
+	// quarantineThreshold is how many targets have to end under a content before it is refused.
+	quarantineThreshold = 2
+	// ambiguousPause is how long a content is refused after two targets where something else may
 	// have ended them. Peers' reports of the same moment come within a fraction of it.
-	doubtPause = 3 * time.Second
-	// stepSlack is by how many events two answers may differ that broke off at one step: a reset
+	ambiguousPause = 3 * time.Second
+	// maxEventSpread is by how many events two answers may differ that broke off at one step: a reset
 	// loses those that were on their way.
-	stepSlack = 4
-	// togetherFor is how far apart targets end that were lost to one failure, such as that of a
+	maxEventSpread = 4
+	// correlationWindow is how far apart targets end that were lost to one failure, such as that of a
 	// failure domain.
-	togetherFor = 2 * time.Second
-	// togetherAt is how many other targets end at the time before that explains one loss of a content.
-	togetherAt = 2
-	// keepFew is how long a content is remembered under which one target ended, or that was
+	correlationWindow = 2 * time.Second
+	// correlationThreshold is how many other targets end at the time before that explains one loss of a content.
+	correlationThreshold = 2
+	// suspectTTL is how long a content is remembered under which one target ended, or that was
 	// served since; keepMany the same for one that was refused.
-	keepFew  = 10 * time.Minute
-	keepMany = 24 * time.Hour
-	// expireEvery is how often what is old is looked for.
-	expireEvery = time.Second
-	// lossesMost bounds the targets that are remembered for one content.
-	lossesMost = 8
+	suspectTTL    = 10 * time.Minute
+	quarantineTTL = 24 * time.Hour
+	// expireInterval is how often what is old is looked for.
+	expireInterval = time.Second
+	// maxLosses bounds the targets that are remembered for one content.
+	maxLosses = 8
 )
 
 // pauses is for how long a content is refused after two targets and more. Each end of a pause
 // may cost one more target: together they stay within what the content may end in a day.
-var pauses = []time.Duration{time.Minute, 10 * time.Minute, time.Hour, keepMany}
+var pauses = []time.Duration{time.Minute, 10 * time.Minute, time.Hour, quarantineTTL}
 
 // Loss says that a target ended while it ran a content.
 type Loss struct {
@@ -65,25 +65,25 @@
 //
 // Losses merge in any order to the same state. A Quarantine is not safe for concurrent use.
 type Quarantine struct {
-	// Most bounds the contents; DefaultContents when 0.
-	Most int
+	// MaxContents bounds the contents; DefaultContents when 0.
+	MaxContents int
 
-	cases map[uint64]*quarantineCase
-	// ends are the targets that ended of late.
-	ends map[uint32]clock.Stamp
-	// expiredAt is when what is old was last forgotten.
-	expiredAt clock.Stamp
+	contents map[uint64]*contentRecord
+	// targetEndedAt are the targets that ended of late.
+	targetEndedAt map[uint32]clock.Stamp
+	// lastExpired is when what is old was last forgotten.
+	lastExpired clock.Stamp
 }
 
-// quarantineCase is what is known of one content.
-type quarantineCase struct {
+// contentRecord is what is known of one content.
+type contentRecord struct {
 	losses []Loss // by time
-	// trying says that a run is in progress that may end one more target.
-	trying bool
+	// isTrialRunning says that a run is in progress that may end one more target.
+	isTrialRunning bool
 }
 
-// count is how many losses the content is not cleared of.
-func (c *quarantineCase) count() int {
+// unclearedCount is how many losses the content is not cleared of.
+func (c *contentRecord) unclearedCount() int {
 	n := 0
 	for _, l := range c.losses {
 		if !l.Cleared {
@@ -93,8 +93,8 @@
 	return n
 }
 
-// open returns the losses that the content is not cleared of.
-func (c *quarantineCase) open() []Loss {
+// uncleared returns the losses that the content is not cleared of.
+func (c *contentRecord) uncleared() []Loss {
 	list := make([]Loss, 0, len(c.losses))
 	for _, l := range c.losses {
 		if !l.Cleared {
@@ -106,15 +106,15 @@
 
 // add takes a loss, and reports whether it is news. Losses that the content is cleared of make
 // room for others.
-func (c *quarantineCase) add(l Loss) bool {
+func (c *contentRecord) add(l Loss) bool {
 	for i := range c.losses {
 		if old := &c.losses[i]; old.Target == l.Target {
-			news := l.Cleared && !old.Cleared
+			changed := l.Cleared && !old.Cleared
 			old.Cleared = old.Cleared || l.Cleared
-			return news
+			return changed
 		}
 	}
-	if len(c.losses) == lossesMost {
+	if len(c.losses) == maxLosses {
 		i := slices.IndexFunc(c.losses, func(old Loss) bool { return old.Cleared })
 		if i < 0 {
 			return false
@@ -131,26 +131,26 @@
 	if l.Fingerprint == 0 {
 		return false
 	}
-	q.begin()
+	q.initialize()
 	q.expire(now)
-	q.ends[l.Target] = max(q.ends[l.Target], l.At)
-	c := q.cases[l.Fingerprint]
+	q.targetEndedAt[l.Target] = max(q.targetEndedAt[l.Target], l.At)
+	c := q.contents[l.Fingerprint]
 	if c == nil {
-		c = &quarantineCase{}
-		q.cases[l.Fingerprint] = c
+		c = &contentRecord{}
+		q.contents[l.Fingerprint] = c
 	}
-	news := c.add(l)
-	q.bound(l.Fingerprint)
-	return news
+	changed := c.add(l)
+	q.evictExcess(l.Fingerprint)
+	return changed
 }
 
-// Served clears a content, and returns the losses that it is cleared of.
-func (q *Quarantine) Served(fingerprint uint64) []Loss {
-	c := q.cases[fingerprint]
+// RecordServed clears a content, and returns the losses that it is cleared of.
+func (q *Quarantine) RecordServed(fingerprint uint64) []Loss {
+	c := q.contents[fingerprint]
 	if c == nil {
 		return nil
 	}
-	cleared := c.open()
+	cleared := c.uncleared()
 	for i := range cleared {
 		cleared[i].Cleared = true
 	}
@@ -164,66 +164,66 @@
 // that has ended targets runs once at a time; with trial the caller has to call Release.
 func (q *Quarantine) Admit(now clock.Stamp, fingerprint uint64) (wait time.Duration, trial bool) {
 	wait, losses := q.Check(now, fingerprint)
-	if wait > 0 || losses < quarantineAt {
+	if wait > 0 || losses < quarantineThreshold {
 		return wait, false
 	}
-	c := q.cases[fingerprint]
-	if c.trying {
-		return doubtPause, false
+	c := q.contents[fingerprint]
+	if c.isTrialRunning {
+		return ambiguousPause, false
 	}
-	c.trying = true
+	c.isTrialRunning = true
 	return 0, true
 }
 
-// Release ends a trial.
-func (q *Quarantine) Release(fingerprint uint64) {
-	if c := q.cases[fingerprint]; c != nil {
-		c.trying = false
+// EndTrial ends a trial.
+func (q *Quarantine) EndTrial(fingerprint uint64) {
+	if c := q.contents[fingerprint]; c != nil {
+		c.isTrialRunning = false
 	}
 }
 
 // Check returns how long a content is refused from now on, and how many targets ended under it
 // since it was last served.
 func (q *Quarantine) Check(now clock.Stamp, fingerprint uint64) (wait time.Duration, losses int) {
-	c := q.cases[fingerprint]
+	c := q.contents[fingerprint]
 	if c == nil {
 		return 0, 0
 	}
-	open := c.open()
-	if len(open) < quarantineAt {
-		return 0, len(open)
+	uncleared := c.uncleared()
+	if len(uncleared) < quarantineThreshold {
+		return 0, len(uncleared)
 	}
-	return max(open[len(open)-1].At.Add(q.pause(fingerprint, open)).Sub(now), 0), len(open)
+	return max(uncleared[len(uncleared)-1].At.Add(q.pause(fingerprint, uncleared)).Sub(now), 0), len(uncleared)
 }
 
 // pause is for how long a content is refused after its last loss.
-func (q *Quarantine) pause(fingerprint uint64, open []Loss) time.Duration {
-	n := len(open)
-	if q.others(open) >= togetherAt {
+func (q *Quarantine) pause(fingerprint uint64, uncleared []Loss) time.Duration {
+	n := len(uncleared)
+	if q.countCorrelatedEnds(uncleared) >= correlationThreshold {
 		n--
 	}
 	switch {
-	case n < quarantineAt:
+	case n < quarantineThreshold:
 		return 0
-	case n == quarantineAt && !(sameStep(open) && !q.hasOtherSuspect(fingerprint, open)):
-		return doubtPause
+	case n == quarantineThreshold && !(hasSimilarEvents(uncleared) && !q.hasOtherSuspect(fingerprint, uncleared)):
+		return ambiguousPause
 	default:
-		return pauses[min(n-quarantineAt, len(pauses)-1)]
+		return pauses[min(n-quarantineThreshold, len(pauses)-1)]
 	}
 }
 
-// sameStep reports whether the targets ended after about as many events of a content.
-func sameStep(losses []Loss) bool {
+// hasSimilarEvents reports whether the targets ended after about as many events of a content.
+func hasSimilarEvents(losses []Loss) bool {
 	byEvents := func(a, b Loss) int { return cmp.Compare(a.Events, b.Events) }
-	return slices.MaxFunc(losses, byEvents).Events-slices.MinFunc(losses, byEvents).Events <= stepSlack
+	return slices.MaxFunc(losses, byEvents).Events-slices.MinFunc(losses, byEvents).Events <= maxEventSpread
 }
 
-// others counts the targets that ended about when these did, without the content.
-func (q *Quarantine) others(losses []Loss) int {
+// countCorrelatedEnds counts the targets that ended about when these did, without the content.
+func (q *Quarantine) countCorrelatedEnds(losses []Loss) int {
 	n := 0
-	for target, at := range q.ends {
+	for target, at := range q.targetEndedAt {
 		own := slices.ContainsFunc(losses, func(l Loss) bool { return l.Target == target })
-		near := slices.ContainsFunc(losses, func(l Loss) bool { return at.Sub(l.At).Abs() <= togetherFor })
+		near := slices.ContainsFunc(losses, func(l Loss) bool { return at.Sub(l.At).Abs() <= correlationWindow })
 		if near && !own {
 			n++
 		}
@@ -233,14 +233,14 @@
 
 // hasOtherSuspect reports whether another content was found at all these losses, and at the same step.
 func (q *Quarantine) hasOtherSuspect(fingerprint uint64, losses []Loss) bool {
-	for other, c := range q.cases {
-		if other == fingerprint || c.count() < len(losses) {
+	for other, c := range q.contents {
+		if other == fingerprint || c.unclearedCount() < len(losses) {
 			continue
 		}
-		shared := slices.DeleteFunc(c.open(), func(l Loss) bool {
+		shared := slices.DeleteFunc(c.uncleared(), func(l Loss) bool {
 			return !slices.ContainsFunc(losses, func(own Loss) bool { return own.Target == l.Target })
 		})
-		if len(shared) == len(losses) && sameStep(shared) {
+		if len(shared) == len(losses) && hasSimilarEvents(shared) {
 			return true
 		}
 	}
@@ -250,69 +250,69 @@
 // Losses returns the losses of all contents that were refused, for an entry that has just started.
 func (q *Quarantine) Losses() []Loss {
 	var list []Loss
-	for _, c := range q.cases {
-		if c.count() >= quarantineAt {
-			list = append(list, c.open()...)
+	for _, c := range q.contents {
+		if c.unclearedCount() >= quarantineThreshold {
+			list = append(list, c.uncleared()...)
 		}
 	}
 	return list
 }
 
-func (q *Quarantine) begin() {
-	if q.cases != nil {
+func (q *Quarantine) initialize() {
+	if q.contents != nil {
 		return
 	}
-	if q.Most <= 0 {
-		q.Most = DefaultContents
+	if q.MaxContents <= 0 {
+		q.MaxContents = DefaultMaxContents
 	}
-	q.cases = make(map[uint64]*quarantineCase)
-	q.ends = make(map[uint32]clock.Stamp)
+	q.contents = make(map[uint64]*contentRecord)
+	q.targetEndedAt = make(map[uint32]clock.Stamp)
 }
 
 // expire forgets what is old.
 func (q *Quarantine) expire(now clock.Stamp) {
-	if now.Sub(q.expiredAt) < expireEvery {
+	if now.Sub(q.lastExpired) < expireInterval {
 		return
 	}
-	q.expiredAt = now
-	for target, at := range q.ends {
-		if now.Sub(at) > keepFew {
-			delete(q.ends, target)
+	q.lastExpired = now
+	for target, at := range q.targetEndedAt {
+		if now.Sub(at) > suspectTTL {
+			delete(q.targetEndedAt, target)
 		}
 	}
-	for fingerprint, c := range q.cases {
-		keep := keepFew
-		if c.count() >= quarantineAt {
-			keep = keepMany
+	for fingerprint, c := range q.contents {
+		ttl := suspectTTL
+		if c.unclearedCount() >= quarantineThreshold {
+			ttl = quarantineTTL
 		}
-		if now.Sub(c.losses[len(c.losses)-1].At) > keep {
-			delete(q.cases, fingerprint)
+		if now.Sub(c.losses[len(c.losses)-1].At) > ttl {
+			delete(q.contents, fingerprint)
 		}
 	}
 }
 
-// bound drops contents beyond the limit, those with the fewest and then the oldest losses first,
+// evictExcess drops contents beyond the limit, those with the fewest and then the oldest losses first,
 // but for one that was just added.
-func (q *Quarantine) bound(added uint64) {
-	if len(q.cases) <= q.Most {
+func (q *Quarantine) evictExcess(added uint64) {
+	if len(q.contents) <= q.MaxContents {
 		return
 	}
-	var worst uint64
-	var least *quarantineCase
-	for fingerprint, c := range q.cases {
+	var evicted uint64
+	var weakest *contentRecord
+	for fingerprint, c := range q.contents {
 		if fingerprint == added {
 			continue
 		}
-		if least == nil || c.weaker(least) || !least.weaker(c) && fingerprint < worst {
-			worst, least = fingerprint, c
+		if weakest == nil || c.hasLessEvidence(weakest) || !weakest.hasLessEvidence(c) && fingerprint < evicted {
+			evicted, weakest = fingerprint, c
 		}
 	}
-	delete(q.cases, worst)
+	delete(q.contents, evicted)
 }
 
-// weaker reports whether less is known against a content than against another.
-func (c *quarantineCase) weaker(other *quarantineCase) bool {
-	if a, b := c.count(), other.count(); a != b {
+// hasLessEvidence reports whether less is known against a content than against another.
+func (c *contentRecord) hasLessEvidence(other *contentRecord) bool {
+	if a, b := c.unclearedCount(), other.unclearedCount(); a != b {
 		return a < b
 	}
 	return c.losses[len(c.losses)-1].At < other.losses[len(other.losses)-1].At
--- a/crash/quarantine_test.go
+++ b/crash/quarantine_test.go
@@ -20,7 +20,7 @@
 func TestQuarantine(t *testing.T) {
 	datadriven.Walk(t, "testdata/quarantine", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			p := &quarantinePlayer{now: clock.Stamp(time.Hour), q: &Quarantine{Most: 4}}
+			p := &quarantineScript{now: clock.Stamp(time.Hour), q: &Quarantine{MaxContents: 4}}
 			var out []string
 			for _, line := range strings.Split(d.Input, "\n") {
 				out = append(out, p.step(t, strings.Fields(line)))
@@ -30,32 +30,32 @@
 	})
 }
 
-type quarantinePlayer struct {
+type quarantineScript struct {
 	now clock.Stamp
 	q   *Quarantine
 }
 
 // step plays "lost CONTENT TARGET [EVENTS]", "cleared CONTENT TARGET", "served CONTENT", "ask CONTENT",
 // "end CONTENT" or "wait TIME".
-func (p *quarantinePlayer) step(t *testing.T, w []string) string {
+func (p *quarantineScript) step(t *testing.T, w []string) string {
 	if w[0] == "wait" {
 		d, err := time.ParseDuration(w[1])
 		assert.NilError(t, err)
 		p.now = p.now.Add(d)
 		return w[1] + " later"
 	}
-	content := number(w[1])
+	content := parseNumber(w[1])
 	switch w[0] {
 	case "lost", "cleared":
-		l := Loss{Fingerprint: content, Target: uint32(number(w[2])), At: p.now, Cleared: w[0] == "cleared"}
+		l := Loss{Fingerprint: content, Target: uint32(parseNumber(w[2])), At: p.now, Cleared: w[0] == "cleared"}
 		if len(w) > 3 {
-			l.Events = uint16(number(w[3]))
+			l.Events = uint16(parseNumber(w[3]))
 		}
 		return fmt.Sprint("news ", p.q.Add(p.now, l))
 	case "served":
-		return fmt.Sprint("cleared of ", len(p.q.Served(content)))
+		return fmt.Sprint("cleared of ", len(p.q.RecordServed(content)))
 	case "end":
-		p.q.Release(content)
+		p.q.EndTrial(content)
 		return "ended"
 	}
 	wait, trial := p.q.Admit(p.now, content)
@@ -68,8 +68,8 @@
 	return "runs"
 }
 
-// number reads a name such as t7 or c12 as its number.
-func number(name string) uint64 {
+// parseNumber reads a name such as t7 or c12 as its number.
+func parseNumber(name string) uint64 {
 	n, _ := strconv.ParseUint(strings.TrimLeft(name, "abcdefghijklmnopqrstuvwxyz"), 10, 64)
 	return n
 }
@@ -104,28 +104,28 @@
 	})
 }
 
-// TestCasesAreBounded guards against memory that grows with contents which all differ.
-func TestCasesAreBounded(t *testing.T) {
-	q := &Quarantine{Most: 100}
+// TestContentsAreBounded guards against memory that grows with contents which all differ.
+func TestContentsAreBounded(t *testing.T) {
+	q := &Quarantine{MaxContents: 100}
 	q.Add(0, Loss{Fingerprint: 1, Target: 1})
 	q.Add(0, Loss{Fingerprint: 1, Target: 2})
 	for n := range uint64(1000) {
 		at := clock.Stamp(n) * clock.Stamp(time.Millisecond)
 		q.Add(at, Loss{Fingerprint: 2 + n, Target: uint32(3 + n), At: at})
-		assert.Assert(t, len(q.cases) <= 100)
+		assert.Assert(t, len(q.contents) <= 100)
 	}
 	_, losses := q.Check(0, 1)
 	assert.Equal(t, losses, 2)
-	late := clock.Stamp(keepMany + time.Hour)
+	late := clock.Stamp(quarantineTTL + time.Hour)
 	q.Add(late, Loss{Fingerprint: 5000, Target: 1, At: late})
-	assert.Equal(t, len(q.cases), 1)
+	assert.Equal(t, len(q.contents), 1)
 }
 
 // BenchmarkQuarantine prints the cost of a judgement, and what a content takes in memory.
 func BenchmarkQuarantine(b *testing.B) {
 	q := &Quarantine{}
 	before := script.Heap()
-	for n := range uint64(DefaultContents) {
+	for n := range uint64(DefaultMaxContents) {
 		q.Add(0, Loss{Fingerprint: n + 1, Target: uint32(n / 40)})
 	}
 	after := script.Heap()
@@ -133,8 +133,8 @@
 	var n uint64
 	for b.Loop() {
 		n++
-		q.Check(0, n%DefaultContents)
+		q.Check(0, n%DefaultMaxContents)
 	}
-	b.ReportMetric((after-before)/DefaultContents, "B/content")
+	b.ReportMetric((after-before)/DefaultMaxContents, "B/content")
 	runtime.KeepAlive(q)
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -46,7 +46,7 @@
 		k.fail(t, began, err)
 		return k.lost(ctx, t, err)
 	}
-	k.entry.Hosts.Answer(k.entry.Clock(), t.Host)
+	k.entry.Hosts.RecordSuccess(k.entry.Clock(), t.Host)
 	return k.follow(ctx, l, down)
 }
 
@@ -66,7 +66,7 @@
 // fail notes that a target's agent did not answer.
 func (k *walk) fail(t *chestnutstep.Target, began time.Time, err error) {
 	now := k.entry.Clock()
-	k.entry.Hosts.Fail(now, t.Host)
+	k.entry.Hosts.RecordFailure(now, t.Host)
 	answer := OfferBroken
 	if IsErrSilent(err) {
 		answer = OfferSilent
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -25,11 +25,11 @@
 
 // Hosts takes what an entry learns of hosts from its own offers.
 type Hosts interface {
-	// Fail says that a host did not answer; Answer that it did; Refuse that
+	// RecordFailure says that a host did not answer; Answer that it did; Refuse that
 	// its agent said it is leaving.
-	Fail(now time.Time, host string)
-	Answer(now time.Time, host string)
-	Refuse(now time.Time, host string)
+	RecordFailure(now time.Time, host string)
+	RecordSuccess(now time.Time, host string)
+	RecordRefusal(now time.Time, host string)
 }
 
 // Entry serves callers. Set the exported fields before its first request.
--- a/entry/moved.go
+++ b/entry/moved.go
@@ -75,7 +75,7 @@
 func (n *note) run() {
 	defer close(n.done)
 	if err := n.send(); err != nil {
-		n.entry.Hosts.Fail(n.entry.Clock(), n.target.Host)
+		n.entry.Hosts.RecordFailure(n.entry.Clock(), n.target.Host)
 	}
 }
 
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -53,9 +53,9 @@
 
 type noHosts struct{}
 
-func (noHosts) Fail(time.Time, string)   {}
-func (noHosts) Answer(time.Time, string) {}
-func (noHosts) Refuse(time.Time, string) {}
+func (noHosts) RecordFailure(time.Time, string) {}
+func (noHosts) RecordSuccess(time.Time, string) {}
+func (noHosts) RecordRefusal(time.Time, string) {}
 
 func hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
@@ -160,7 +160,7 @@
 		Name: "e", Region: "r", View: p.current, Hosts: noHosts{},
 		Ranker:  ranker,
 		Links:   p.pool,
-		Repeats: &retry.Allowance{}, Steps: retry.Steps(),
+		Repeats: &retry.TokenBucket{}, Steps: retry.NewStepBudget(),
 		Entries: func() int { return 1 }, Clock: time.Now, Notify: func(Notice) {}, OnOffer: p.onOffer,
 	}
 	s := httptest.NewServer(e)
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -30,7 +30,7 @@
 // where there is room.
 func (e *Entry) refuse(w http.ResponseWriter, err error, n Notice) {
 	ref := refused(err)
-	ans := retry.Answer(ref.Reason)
+	ans := retry.ReplyFor(ref.Reason)
 	p := problem{
 		Type:   "about:blank",
 		Title:  ans.Title,
--- a/entry/step.go
+++ b/entry/step.go
@@ -36,7 +36,7 @@
 		k.source = l.target.Agent
 	}
 	if r.Reason == string(chestnutstep.ReasonLeaving) {
-		k.entry.Hosts.Refuse(k.entry.Clock(), l.target.Host)
+		k.entry.Hosts.RecordRefusal(k.entry.Clock(), l.target.Host)
 	}
 	ref := &ErrRefused{
 		Reason: chestnutstep.Reason(r.Reason),
@@ -102,8 +102,8 @@
 		// The caller has bytes of this answer; another run would give others.
 		return step{done: true, err: ref}
 	}
-	v := retry.May(ref.Reason, ref.Run, !k.ask.profile.RequiresTicket)
-	if v == retry.Move || v == retry.Repeat && k.repeat() {
+	v := retry.Decide(ref.Reason, ref.Run, !k.ask.profile.RequiresTicket)
+	if v == retry.NextTarget || v == retry.Repeat && k.repeat() {
 		return step{}
 	}
 	return step{done: true, err: k.giveUp().(*ErrRefused)}
@@ -123,8 +123,8 @@
 	if err.Retry == 0 {
 		err.Retry = k.retry
 	}
-	if ans := retry.Answer(err.Reason); err.Retry == 0 && ans.Back {
-		err.Retry = ans.Retry
+	if ans := retry.ReplyFor(err.Reason); err.Retry == 0 && ans.Retryable {
+		err.Retry = ans.RetryAfter
 	}
 	return err
 }
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -93,7 +93,7 @@
 		if err == nil {
 			return reply.Tickets, nil
 		}
-		e.Hosts.Fail(e.Clock(), t.Host)
+		e.Hosts.RecordFailure(e.Clock(), t.Host)
 	}
 	return nil, &ErrRefused{Reason: chestnutstep.ReasonTarget, Run: chestnutstep.RunNo, Retry: time.Second}
 }
--- a/gate/back.go
+++ b/gate/back.go
@@ -11,7 +11,7 @@
 func (g *Gate) predict(w chestnutstep.Work) time.Duration {
 	n := max(1, len(g.running))
 	slot := g.pace.Mean() / time.Duration(n)
-	return slot + g.pace.Run(g.queue.Ahead(w))/time.Duration(n)
+	return slot + g.pace.Estimate(g.queue.Ahead(w))/time.Duration(n)
 }
 
 const (
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -24,10 +24,10 @@
 	leaving bool
 
 	cap   admit.Cap
-	cold  admit.Cold
+	cold  admit.ColdCap
 	ramp  ramp.Ramp
 	queue queue.Queue
-	pace  admit.Pace
+	pace  admit.DurationEstimator
 	turn  turn
 
 	running map[string]*run
@@ -54,8 +54,8 @@
 	g.cap.Slots = l.Model.Slots
 	g.cap.Weight = l.Weight
 	g.cap.Single = l.IsOnlyTarget
-	g.cold.Start = l.Model.ColdCap
-	g.cold.Warm = l.Model.WarmupAnswers
+	g.cold.StartCap = l.Model.ColdCap
+	g.cold.WarmupAnswers = l.Model.WarmupAnswers
 	g.cold.Slots = l.Model.Slots
 	g.queue.Bound = l.Model.QueueLimit
 	g.queue.Weights = l.Workspaces
@@ -67,7 +67,7 @@
 
 // MarkCold says that the target is cold. What runs is left to end as it may;
 // nothing starts until it is under the cold cap.
-func (g *Gate) MarkCold(time.Time) { g.cold.Chill() }
+func (g *Gate) MarkCold(time.Time) { g.cold.Reset() }
 
 // SetLeaving says whether the target takes no new work from now on.
 func (g *Gate) SetLeaving(now time.Time, leaving bool) {
@@ -98,9 +98,9 @@
 	g.turn.end(now, id)
 	switch o {
 	case chestnutstep.OutcomeServed:
-		g.cold.Serve(r.era)
+		g.cold.RecordSuccess(r.era)
 	case chestnutstep.OutcomeFailed:
-		g.cold.Fail(r.era)
+		g.cold.RecordFailure(r.era)
 	case chestnutstep.OutcomeAbandoned:
 		// A caller that gave up proves nothing about the target.
 	}
@@ -192,5 +192,5 @@
 	if g.running == nil {
 		g.running = make(map[string]*run)
 	}
-	g.running[w.ID] = &run{work: w, since: now, era: g.cold.Era()}
+	g.running[w.ID] = &run{work: w, since: now, era: g.cold.Generation()}
 }
--- a/gate/next.go
+++ b/gate/next.go
@@ -95,5 +95,5 @@
 // what has a fair chance is started. Work that found a free slot is never
 // judged so, and what it takes corrects an estimate that was too high.
 func (g *Gate) hopeless(now time.Time, w chestnutstep.Work) bool {
-	return now.Add(g.pace.Run(w.Cost) / 2).After(w.Deadline)
+	return now.Add(g.pace.Estimate(w.Cost) / 2).After(w.Deadline)
 }
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -65,7 +65,7 @@
 		return g.refuse(now, w, g.full(now))
 	}
 	predicted := g.predict(w)
-	if now.Add(predicted + g.pace.Run(w.Cost)).After(w.Deadline) {
+	if now.Add(predicted + g.pace.Estimate(w.Cost)).After(w.Deadline) {
 		return g.refuse(now, w, chestnutstep.ReasonLate)
 	}
 	if now.Add(predicted).After(w.WaitUntil) {
@@ -109,7 +109,7 @@
 	return chestnutstep.Decision{
 		Verdict:    chestnutstep.VerdictRefuse,
 		Reason:     reason,
-		RetryAfter: admit.Spread(w.ID, g.comeBack(now, reason)),
+		RetryAfter: admit.Jitter(w.ID, g.comeBack(now, reason)),
 	}
 }
 
--- a/gossip/fuzz_test.go
+++ b/gossip/fuzz_test.go
@@ -29,7 +29,7 @@
 		if proto.Unmarshal(raw, m) != nil {
 			return
 		}
-		n := &Node{Name: "n", Store: new(config.Store), Members: new(member.List), Sampler: new(talker)}
+		n := &Node{Name: "n", Store: new(config.Store), Members: new(member.Tracker), Sampler: new(talker)}
 		reply, err := n.Gossip(t.Context(), m)
 		assert.NilError(t, err)
 		assert.Equal(t, reply.GetVersion(), uint64(0))
@@ -46,7 +46,7 @@
 	f.Fuzz(func(_ *testing.T, raw []byte) {
 		list, err := parseHosts(raw)
 		if err == nil {
-			new(member.List).Learn(time.Now(), list)
+			new(member.Tracker).ApplyList(time.Now(), list)
 		}
 	})
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -59,7 +59,7 @@
 	Dial func(address string) (grpc.ClientConnInterface, error)
 
 	// Members learns the host lists; nil switches that off.
-	Members *member.List
+	Members *member.Tracker
 	// Sampler and Detector are carried if set. Lock guards both.
 	Sampler  chestnutstep.Sampler
 	Detector chestnutstep.Detector
--- a/gossip/hosts.go
+++ b/gossip/hosts.go
@@ -114,7 +114,7 @@
 // the same list do.
 func (n *Node) learnList(list []member.Host) {
 	now := time.Now()
-	news, ok := n.Members.Learn(now, list)
+	news, ok := n.Members.ApplyList(now, list)
 	if !ok {
 		n.notify(NoticeShort, strconv.Itoa(len(list)), nil)
 	}
--- a/gossip/message.go
+++ b/gossip/message.go
@@ -105,7 +105,7 @@
 	for _, s := range first(list, rumoursMax) {
 		h := member.Host{Name: s.GetHost(), Leaving: s.GetLeaving()}
 		age := now.Sub(ago(now, s.GetAge()))
-		if n.Members.Hear(now, h, age) && n.spread(now, h, age) && helps(n.Name, h.Name) {
+		if n.Members.ApplyReport(now, h, age) && n.spread(now, h, age) && helps(n.Name, h.Name) {
 			n.tell(h)
 		}
 	}
--- a/gossip/net_test.go
+++ b/gossip/net_test.go
@@ -107,7 +107,7 @@
 	var conns []*grpc.ClientConn
 	p.Node = &Node{
 		Name: p.name, Address: p.address, Peers: peers, Platform: p.w.srv.URL,
-		Store: new(config.Store), Members: new(member.List), Interval: 20 * time.Millisecond, Seed: 1 + uint64(len(p.name)),
+		Store: new(config.Store), Members: new(member.Tracker), Interval: 20 * time.Millisecond, Seed: 1 + uint64(len(p.name)),
 		HTTP: &http.Client{Transport: p},
 	}
 	p.seen = nil
@@ -406,7 +406,7 @@
 			if version > 0 && p.Store.Stamp().Version != version {
 				left++
 			}
-			if host != "" && !p.Members.Leaving(time.Now(), host) {
+			if host != "" && !p.Members.IsLeaving(time.Now(), host) {
 				left++
 			}
 		}
--- a/gossip/share.go
+++ b/gossip/share.go
@@ -52,7 +52,7 @@
 	var steady, others []string
 	for i := range view.Publication.Targets {
 		t := &view.Publication.Targets[i]
-		if view.IsOut(t) || (n.Members != nil && n.Members.Leaving(now, t.Host)) {
+		if view.IsOut(t) || (n.Members != nil && n.Members.IsLeaving(now, t.Host)) {
 			others = append(others, t.Name)
 			continue
 		}
--- a/matrix/stack.go
+++ b/matrix/stack.go
@@ -281,7 +281,7 @@
 			return t
 		},
 		Links:   s.pools[i],
-		Repeats: &retry.Allowance{}, Steps: retry.Steps(),
+		Repeats: &retry.TokenBucket{}, Steps: retry.NewStepBudget(),
 		Entries: func() int { return Entries }, Clock: time.Now, Notify: func(entry.Notice) {}, OnOffer: func(entry.Offer) {},
 	}
 }
@@ -444,11 +444,11 @@
 // noHosts knows nothing of hosts: what an entry learns must not matter here.
 type noHosts struct{}
 
-// Refuse implements entry.Hosts.
-func (noHosts) Refuse(time.Time, string) {}
+// RecordRefusal implements entry.Hosts.
+func (noHosts) RecordRefusal(time.Time, string) {}
 
-// Fail implements entry.Hosts.
-func (noHosts) Fail(time.Time, string) {}
+// RecordFailure implements entry.Hosts.
+func (noHosts) RecordFailure(time.Time, string) {}
 
-// Answer implements entry.Hosts.
-func (noHosts) Answer(time.Time, string) {}
+// RecordSuccess implements entry.Hosts.
+func (noHosts) RecordSuccess(time.Time, string) {}
--- a/member/example_test.go
+++ b/member/example_test.go
@@ -8,12 +8,12 @@
 )
 
 // A refusal by a host's agent counts for more than a list that lags.
-func ExampleList() {
-	var l member.List
+func ExampleTracker() {
+	var t member.Tracker
 	now := time.Now()
-	l.Learn(now, []member.Host{{Name: "east1"}, {Name: "east2"}})
-	l.Refuse(now, "east1")
-	l.Learn(now.Add(time.Second), []member.Host{{Name: "east1"}, {Name: "east2"}})
-	fmt.Println(l.Leaving(now.Add(time.Second), "east1"), l.Leaving(now.Add(time.Second), "east2"))
+	t.ApplyList(now, []member.Host{{Name: "east1"}, {Name: "east2"}})
+	t.RecordRefusal(now, "east1")
+	t.ApplyList(now.Add(time.Second), []member.Host{{Name: "east1"}, {Name: "east2"}})
+	fmt.Println(t.IsLeaving(now.Add(time.Second), "east1"), t.IsLeaving(now.Add(time.Second), "east2"))
 	// Output: true false
 }
--- a/node/advice.go
+++ b/node/advice.go
@@ -27,7 +27,7 @@
 
 // News returns what has happened since the last call, for all peers.
 func (n *Direct) News() share.News {
-	return share.News{Holds: n.board.Holds(), Gone: n.board.Gone(), Suspected: n.board.Suspicions(), Crashes: n.crashes.News()}
+	return share.News{Holds: n.board.Holds(), Gone: n.board.Gone(), Suspected: n.board.Suspicions(), Crashes: n.crashes.TakeReports()}
 }
 
 // Losses returns what an entry has to know of contents that end targets.
@@ -90,7 +90,7 @@
 		event.Str("back", strings.Join(c.Back, " ")))
 	if v := n.roster.View(); v != nil {
 		n.board.Keep(v)
-		n.crashes.Review(clock.Now(), v)
+		n.crashes.Reconcile(clock.Now(), v)
 	}
 }
 
--- a/node/agent.go
+++ b/node/agent.go
@@ -103,7 +103,7 @@
 		Dial:        n.dial,
 		Uptime:      uptime(),
 		Ranker:      newRanker,
-		Leaving:     func() bool { return n.members.Leaving(time.Now(), n.settings.Host) },
+		Leaving:     func() bool { return n.members.IsLeaving(time.Now(), n.settings.Host) },
 		Notify:      n.notice,
 	}
 	n.server = n.base.server()
--- a/node/base.go
+++ b/node/base.go
@@ -47,7 +47,7 @@
 	trail   *audit.Trail
 	meters  *meter.Set
 	store   *config.Store
-	members *member.List
+	members *member.Tracker
 	pool    *dial.Pool
 	files   *cert.Files
 	peer    *gossip.Node
@@ -61,7 +61,7 @@
 	b := &base{settings: s, role: role, started: time.Now()}
 	b.log = &event.Log{Out: out, Process: s.Name}
 	b.trail = &audit.Trail{Log: b.log, Process: s.Name}
-	b.members = &member.List{}
+	b.members = &member.Tracker{}
 	var err error
 	if b.meters, err = meter.NewSet(); err != nil {
 		return nil, errors.Wrap(err, "metrics")
--- a/node/callers.go
+++ b/node/callers.go
@@ -39,5 +39,5 @@
 		id, percent = event.CallersMany, gcCrowded
 	}
 	debug.SetGCPercent(percent)
-	n.log.Emit(id, event.Int("open", int64(open)), event.Int("most", int64(n.callers.Most)))
+	n.log.Emit(id, event.Int("open", int64(open)), event.Int("most", int64(n.callers.MaxConns)))
 }
--- a/node/count.go
+++ b/node/count.go
@@ -49,7 +49,7 @@
 		m.PlacesKept.Set(p.Kept, p.Service)
 	}
 	m.Peers.Set(float64(live))
-	m.OpenRequests.Set(float64(n.relay.Open()))
+	m.OpenRequests.Set(float64(n.relay.InFlight()))
 	m.ProofAge.Set(n.proofAge().Seconds())
 	if v := n.roster.View(); v != nil {
 		m.Version.Set(float64(v.Routing.Version))
--- a/node/delays.go
+++ b/node/delays.go
@@ -88,7 +88,7 @@
 	}
 	d.full, d.logged = true, now
 	d.node.log.Emit(event.EntryFull, event.Dur("delay", delay), event.Float("part", part), event.Int("refused", int64(d.refused)),
-		event.Int("requests", d.node.relay.Open()), event.Dur("backlog", backlog))
+		event.Int("requests", d.node.relay.InFlight()), event.Dur("backlog", backlog))
 	d.refused = 0
 }
 
--- a/node/direct.go
+++ b/node/direct.go
@@ -76,7 +76,7 @@
 	async    *event.AsyncWriter
 	roster   *roster.Roster
 	board    *board.Board
-	crashes  *relay.Crashes
+	crashes  *relay.CrashTracker
 	relay    *relay.Relay
 	callers  *relay.Listener
 	shed     *relay.Shedder
@@ -117,7 +117,7 @@
 	if err != nil {
 		return errors.Wrap(err, "ready")
 	}
-	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, Most: n.Settings.MaxCallers(filesMost()), Shed: n.shed}
+	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, MaxConns: n.Settings.MaxCallers(filesMost()), Shedder: n.shed}
 	n.logStart()
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -146,7 +146,7 @@
 func (n *Direct) logStart() {
 	n.log.Emit(event.ProcessStart, event.Str("role", string(config.RoleEntry)), event.Str("callers", n.Settings.CallerAddr))
 	n.log.Emit(event.SettingsInForce, event.Dur("grace", n.Settings.Bounds.GracePeriod), event.Dur("revoke", n.Settings.Bounds.MaxRevokeTime),
-		event.Int("callers", int64(n.callers.Most)), event.Str("unknown", strings.Join(n.Settings.UnknownFields, " ")))
+		event.Int("callers", int64(n.callers.MaxConns)), event.Str("unknown", strings.Join(n.Settings.UnknownFields, " ")))
 }
 
 // begin starts what runs beside the servers.
@@ -181,7 +181,7 @@
 	n.settled = make(chan struct{})
 	n.roster = &roster.Roster{}
 	n.pool = &link.Pool{}
-	n.crashes = &relay.Crashes{Log: n.log, Meters: &n.meters.Relay, OnLoss: n.spreadCrashes}
+	n.crashes = &relay.CrashTracker{Log: n.log, Meters: &n.meters.Relay, OnLoss: n.spreadCrashes}
 	self, err := netip.ParseAddrPort(n.Settings.PeerAddr)
 	if err != nil {
 		return errors.Wrap(err, "peer address")
@@ -189,19 +189,19 @@
 	n.delays = &delays{node: n}
 	n.board = &board.Board{Self: self, Domain: n.Settings.Domain, Cold: n.coldBounds, Overloaded: n.delays.overloaded}
 	n.relay = &relay.Relay{
-		Domain:  n.Settings.Domain,
-		Regions: n.Settings.Regions,
-		Bounds:  n.bounds,
-		Roster:  n.roster,
-		Board:   n.board,
-		Pool:    n.pool,
-		Wire:    n.Wire,
-		Crashes: n.crashes,
-		Log:     n.log,
-		Meters:  &n.meters.Relay,
-		Behind:  n.behind,
-		Settled: n.settled,
-		Budgets: &retry.Budgets{Bounds: n.retryBounds, Entries: n.board.Entries},
+		Domain:      n.Settings.Domain,
+		Regions:     n.Settings.Regions,
+		Bounds:      n.bounds,
+		Roster:      n.roster,
+		Board:       n.board,
+		Pool:        n.pool,
+		Wire:        n.Wire,
+		Crashes:     n.crashes,
+		Log:         n.log,
+		Meters:      &n.meters.Relay,
+		IsBehind:    n.behind,
+		CachesKnown: n.settled,
+		Budgets:     &retry.Budgets{Bounds: n.retryBounds, Entries: n.board.Entries},
 	}
 	n.shed = &relay.Shedder{Relay: n.relay}
 	conn, err := net.ListenPacket("udp", n.Settings.PeerAddr)
@@ -237,7 +237,7 @@
 
 func (n *Direct) retryBounds() retry.Bounds {
 	b := n.bounds()
-	return retry.Bounds{Share: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}
+	return retry.Bounds{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}
 }
 
 // reload puts changed settings in force: bounds and seeds. Addresses are taken
--- a/node/entry.go
+++ b/node/entry.go
@@ -92,8 +92,8 @@
 		Ranker:   n.ranker,
 		Links:    n.pool,
 		Hosts:    n.members,
-		Repeats:  &retry.Allowance{},
-		Steps:    retry.Steps(),
+		Repeats:  &retry.TokenBucket{},
+		Steps:    retry.NewStepBudget(),
 		Detector: &crash.Detector{},
 		Entries:  n.entries,
 		Most:     int64(n.settings.MaxStreams),
@@ -154,7 +154,7 @@
 	if r := n.ranking.Load(); r != nil && r.table.View == v {
 		return r.table
 	}
-	return n.rebuild(v, n.members.Away(time.Now()))
+	return n.rebuild(v, n.members.Unavailable(time.Now()))
 }
 
 // rebuild makes a table without the hosts that are leaving or silent. Where
@@ -179,7 +179,7 @@
 
 // update rebuilds the table if what is believed of hosts has changed.
 func (n *Entry) update(v *chestnutstep.View) {
-	away := n.members.Away(time.Now())
+	away := n.members.Unavailable(time.Now())
 	if r := n.ranking.Load(); r != nil && r.table.View == v && slices.Equal(r.away, away) {
 		return
 	}
@@ -223,7 +223,7 @@
 	}
 	now := time.Now()
 	s.Domains = admin.TargetsByDomain(v, func(t *chestnutstep.Target) admin.Target {
-		reached := !n.members.Suspect(now, t.Host)
+		reached := !n.members.IsSuspect(now, t.Host)
 		return admin.Target{Name: t.Name, Host: t.Host, Model: t.Model, IdleReason: admin.IdleReason(v, t, nil, reached)}
 	})
 	return s
@@ -239,7 +239,7 @@
 	count := 0
 	for i := range v.Publication.Hosts {
 		h := &v.Publication.Hosts[i]
-		if h.HasEntry && !h.Out && !n.members.Leaving(now, h.Name) {
+		if h.HasEntry && !h.Out && !n.members.IsLeaving(now, h.Name) {
 			count++
 		}
 	}
--- a/node/probe.go
+++ b/node/probe.go
@@ -38,7 +38,7 @@
 	for i := range v.Publication.Targets {
 		t := &v.Publication.Targets[i]
 		now := time.Now()
-		if !n.members.Suspect(now, t.Host) || !n.members.Probe(now, t.Host) {
+		if !n.members.IsSuspect(now, t.Host) || !n.members.AllowProbe(now, t.Host) {
 			continue
 		}
 		n.probeHost(ctx, t)
@@ -52,8 +52,8 @@
 	ctx, cancel := context.WithTimeout(ctx, probeLimit)
 	defer cancel()
 	if err := n.pool.Reach(ctx, t.Agent); err != nil {
-		n.members.Fail(time.Now(), t.Host)
+		n.members.RecordFailure(time.Now(), t.Host)
 		return
 	}
-	n.members.Answer(time.Now(), t.Host)
+	n.members.RecordSuccess(time.Now(), t.Host)
 }
--- a/node/ready.go
+++ b/node/ready.go
@@ -42,16 +42,16 @@
 func (n *Direct) stop(srv *http.Server) error {
 	began := time.Now()
 	n.leaving.Store(true)
-	n.relay.Leave()
+	n.relay.Drain()
 	n.peers.Leave()
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
-	n.log.Emit(event.ProcessDrain, event.Int("open", n.relay.Open()))
+	n.log.Emit(event.ProcessDrain, event.Int("open", n.relay.InFlight()))
 	time.Sleep(balancerTime)
 	limit := time.Duration(graceShare * float64(n.bounds().GracePeriod))
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limit))
 	defer cancel()
 	err := srv.Shutdown(ctx)
-	n.log.Emit(event.ProcessStop, event.Int("open", n.relay.Open()), event.Err(err))
+	n.log.Emit(event.ProcessStop, event.Int("open", n.relay.InFlight()), event.Err(err))
 	n.async.Close(ctx.Done())
 	return nil
 }
--- a/node/size_test.go
+++ b/node/size_test.go
@@ -60,12 +60,12 @@
 
 // BenchmarkAway is what an entry does each second while nothing changes.
 func BenchmarkAway(b *testing.B) {
-	l := &member.List{}
+	l := &member.Tracker{}
 	now := time.Now()
 	for _, h := range fake.Planned.Publication(1).Hosts {
-		l.Answer(now, h.Name)
+		l.RecordSuccess(now, h.Name)
 	}
 	for b.Loop() {
-		l.Away(now)
+		l.Unavailable(now)
 	}
 }
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -14,11 +14,11 @@
 	"chestnutstep.example/chestnutstep/link"
 )
 
-// answerMost bounds an answer that is held until it is whole.
-const answerMost = 8 << 20
+// maxAnswerBytes bounds an answer that is held until it is whole.
+const maxAnswerBytes = 8 << 20
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedAnswer is an answer that was read to its end.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -31,27 +31,27 @@
 	run.First(clock.Now())
 	var b bytes.Buffer
 	if a.Length > 0 {
-		b.Grow(int(min(a.Length, answerMost)))
+		b.Grow(int(min(a.Length, maxAnswerBytes)))
 	}
-	_, err := b.ReadFrom(io.LimitReader(a, answerMost+1))
-	if err == nil && b.Len() > answerMost {
+	_, err := b.ReadFrom(io.LimitReader(a, maxAnswerBytes+1))
+	if err == nil && b.Len() > maxAnswerBytes {
 		err = errors.New("answer too large")
 	}
 	a.Close(err == nil)
 	if err != nil {
-		return q.cut(err)
+		return q.truncatedErr(err)
 	}
-	answer := &whole{a.Status, a.Header, b.Bytes()}
+	answer := &bufferedAnswer{a.Status, a.Header, b.Bytes()}
 	if a.Status >= http.StatusInternalServerError {
-		q.failure = answer
+		q.failureAnswer = answer
 		return link.ErrCall{Run: chestnutstep.RunYes, Reason: chestnutstep.ReasonCrashed, Err: errors.Newf("status %d", a.Status)}
 	}
 	answer.write(q.w)
 	return nil
 }
 
-// cut is the failure of a body that ended early.
-func (q *request) cut(err error) link.ErrCall {
+// truncatedErr is the failure of a body that ended early.
+func (q *request) truncatedErr(err error) link.ErrCall {
 	if q.ctx.Err() != nil {
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonTimeout, Err: err}
 	}
@@ -59,7 +59,7 @@
 }
 
 // write gives the answer to the caller as it came.
-func (a *whole) write(w http.ResponseWriter) {
+func (a *bufferedAnswer) write(w http.ResponseWriter) {
 	copyHeader(w.Header(), a.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	w.WriteHeader(a.status)
@@ -67,10 +67,10 @@
 }
 
 // copyHeader copies what belongs to the message.
-func copyHeader(to, from http.Header) {
-	for name, values := range from {
+func copyHeader(dst, src http.Header) {
+	for name, values := range src {
 		if !chestnutstep.IsHopHeader(name) && name != "Content-Length" {
-			to[name] = values
+			dst[name] = values
 		}
 	}
 }
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -25,8 +25,8 @@
 // benchTargets is how many engines a service has that is full.
 const benchTargets = 49
 
-// fullRelay is a relay whose targets have no place left.
-func fullRelay(b *testing.B) *relay.Relay {
+// newOverloadedRelay is a relay whose targets have no place left.
+func newOverloadedRelay(b *testing.B) *relay.Relay {
 	ros := &roster.Roster{}
 	list := chestnutstep.Batch{Revision: 1}
 	for i := range benchTargets {
@@ -70,7 +70,7 @@
 // BenchmarkRefusal refuses a request for which none of 49 targets has a place: under a
 // surge most of an entry's processor goes there.
 func BenchmarkRefusal(b *testing.B) {
-	x := fullRelay(b)
+	x := newOverloadedRelay(b)
 	body := strings.Repeat("x", 12<<10)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -92,9 +92,9 @@
 func BenchmarkRefusalConnection(b *testing.B) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
-	x := fullRelay(b)
+	x := newOverloadedRelay(b)
 	srv := &http.Server{Handler: x, IdleTimeout: relay.IdleTimeout, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = srv.Serve(&relay.Listener{Listener: inner, Relay: x, Most: 512}) }()
+	go func() { _ = srv.Serve(&relay.Listener{Listener: inner, Relay: x, MaxConns: 512}) }()
 	defer srv.Close()
 	message := "POST /plan/x HTTP/1.1\r\nHost: " + host + "\r\nAttempt-Id: a\r\nCredential: " + key +
 		"\r\nDeadline-Ms: 12000\r\nPrefix-Hash: 5c1e07a2:800,91bd3f06:9410,e4402b7d:1250\r\nContent-Length: 12288\r\n\r\n" + strings.Repeat("x", 12<<10)
--- a/relay/caller.go
+++ b/relay/caller.go
@@ -15,12 +15,12 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// left reports that the caller wants no answer any more.
-func (q *request) left() bool { return q.gone || q.r.Context().Err() != nil }
+// hasCallerLeft reports that the caller wants no answer any more.
+func (q *request) hasCallerLeft() bool { return q.callerGone || q.r.Context().Err() != nil }
 
-// callerClosed looks at the caller's connection itself. The server's own reader notices a
+// isCallerConnClosed looks at the caller's connection itself. The server's own reader notices a
 // close once it gets the processor, which on a busy host is after the request was sent on.
-func (q *request) callerClosed() bool {
+func (q *request) isCallerConnClosed() bool {
 	c, ok := q.r.Context().Value(connKey{}).(*callerConn)
 	return ok && link.Closed(c.Conn)
 }
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -14,64 +14,64 @@
 	"chestnutstep.example/chestnutstep/place"
 )
 
-// next chooses the target for the next try.
-func (q *request) next() (board.Choice, *refusal) {
+// chooseTarget chooses the target for the next try.
+func (q *request) chooseTarget() (board.Choice, *refusal) {
 	now := clock.Now()
-	if q.left() || q.callerClosed() {
-		q.gone = true
+	if q.hasCallerLeft() || q.isCallerConnClosed() {
+		q.callerGone = true
 		return board.Choice{}, &refusal{0, chestnutstep.ReasonCanceled, 0}
 	}
 	if q.ctx.Err() != nil {
-		f := q.verdict(q.ctx.Err())
+		f := q.finalRefusal(q.ctx.Err())
 		return board.Choice{}, &f
 	}
 	// The view may have changed while an earlier attempt ran.
 	if v := q.Roster.View(); v != nil {
 		q.view = v
 	}
-	if q.workspace != nil && !q.current() {
-		return board.Choice{}, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, retryUnready}
+	if q.workspace != nil && !q.isConfigCurrent() {
+		return board.Choice{}, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, unreadyRetryAfter}
 	}
-	if wait := q.quarantined(now); wait > 0 {
+	if wait := q.quarantineWait(now); wait > 0 {
 		return board.Choice{}, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonCondemned, wait}
 	}
 	need := board.Need{
-		Parts: q.ask.Parts, Domain: q.Domain, Skip: q.skip, Allowed: q.allowed, Cap: q.Bounds().CapFactor,
-		VerifyHost: !q.route.IsIdempotent() || q.tally.Tries > 0,
+		Parts: q.ask.Parts, Domain: q.Domain, Skip: q.triedTargets, Allowed: q.allowsDomain, Cap: q.Bounds().CapFactor,
+		VerifyHost: !q.route.IsIdempotent() || q.attempts.Sent > 0,
 	}
-	if who := q.who(); q.tally.Tries == 0 {
-		need.Who = &who
+	if requester := q.requester(); q.attempts.Sent == 0 {
+		need.Who = &requester
 	}
-	c := q.Board.Choose(now, q.view, q.service, need, q.want())
+	c := q.Board.Choose(now, q.view, q.service, need, q.placement())
 	switch {
 	case !c.Room.Free:
 		return c, q.refuseFull(c.Room)
 	case c.Target == nil:
-		return c, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonTarget, retryBusy}
+		return c, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonTarget, busyRetryAfter}
 	}
 	return c, nil
 }
 
-// quarantined is how long the content is refused from now on, as targets ended under it.
-func (q *request) quarantined(now clock.Stamp) (wait time.Duration) {
-	if q.trial {
-		return q.Crashes.Wait(now, q.content)
+// quarantineWait is how long the content is refused from now on, as targets ended under it.
+func (q *request) quarantineWait(now clock.Stamp) (wait time.Duration) {
+	if q.isTrial {
+		return q.Crashes.RemainingWait(now, q.content)
 	}
-	wait, q.trial = q.Crashes.Admit(now, q.content)
+	wait, q.isTrial = q.Crashes.Admit(now, q.content)
 	return wait
 }
 
 // refuseFull refuses a request for which the targets have no place left, with the time after
 // which it may find one.
-func (q *request) refuseFull(room board.Room) *refusal {
-	q.room = &room
-	q.Meters.Refused.Add(1, q.who().Workspace, string(room.Reason))
-	return &refusal{http.StatusServiceUnavailable, room.Reason, admit.Back(q.ask.ID, q.route.LatencyObjective)}
+func (q *request) refuseFull(capacity board.Room) *refusal {
+	q.capacity = &capacity
+	q.Meters.Refused.Add(1, q.requester().Workspace, string(capacity.Reason))
+	return &refusal{http.StatusServiceUnavailable, capacity.Reason, admit.RetryAfter(q.ask.ID, q.route.LatencyObjective)}
 }
 
-// allowed says whether targets of a failure domain may have the request: where route
+// allowsDomain says whether targets of a failure domain may have the request: where route
 // and workspace both name regions, both bind.
-func (q *request) allowed(domain string) bool {
+func (q *request) allowsDomain(domain string) bool {
 	region := q.Regions[domain]
 	if len(q.route.AllowedRegions) > 0 && !slices.Contains(q.route.AllowedRegions, region) {
 		return false
@@ -79,8 +79,8 @@
 	return q.workspace == nil || len(q.workspace.AllowedRegions) == 0 || slices.Contains(q.workspace.AllowedRegions, region)
 }
 
-// want says what the request asks of its place.
-func (q *request) want() place.Ask {
+// placement says what the request asks of its place.
+func (q *request) placement() place.Ask {
 	a := place.Ask{Key: xxhash.Sum64String(q.ask.ID)}
 	for _, p := range q.ask.Parts {
 		a.Tokens += p.Tokens
@@ -92,8 +92,8 @@
 	return a
 }
 
-// who asks, for the places at targets.
-func (q *request) who() board.Who {
+// requester asks, for the places at targets.
+func (q *request) requester() board.Who {
 	w := board.Who{Urgency: q.urgency(), Objective: q.route.LatencyObjective}
 	if q.workspace != nil {
 		w.Workspace = q.workspace.Name
--- a/relay/deadly_test.go
+++ b/relay/deadly_test.go
@@ -23,80 +23,80 @@
 const (
 	// poison is in the body of deadly content.
 	poison = "poison"
-	// floorTargets is how many targets a floor has, and floorEntries how many entries.
-	floorTargets = 12
-	floorEntries = 3
-	// gossipEvery is how often the entries of a floor report to each other.
-	gossipEvery = 50 * time.Millisecond
-	// lostMost is how many targets one content may end, one more where its repeat was on the way.
-	lostMost = 2
+	// clusterTargets is how many targets a floor has, and floorEntries how many entries.
+	clusterTargets = 12
+	clusterEntries = 3
+	// gossipInterval is how often the entries of a floor report to each other.
+	gossipInterval = 50 * time.Millisecond
+	// maxLost is how many targets one content may end, one more where its repeat was on the way.
+	maxLost = 2
 )
 
-// floor is several entries before the targets of one rig, which report crashes to each other.
-type floor struct {
-	*rig
+// cluster is several entries before the targets of one rig, which report crashes to each other.
+type cluster struct {
+	*testRelay
 	relays  []*relay.Relay
 	entries []*httptest.Server
 	stop    chan struct{}
-	done    sync.WaitGroup
+	wg      sync.WaitGroup
 	// revision of the list of targets.
 	revision uint64
 }
 
-func newFloor(t *testing.T) *floor {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	f := buildFloor(t)
+	f := buildCluster(t)
 	f.start(t)
 	return f
 }
 
-// newPromptFloor is a floor whose entries report losses at once, over links without delay.
-func newPromptFloor(t *testing.T) *floor {
+// newPromptCluster is a floor whose entries report losses at once, over links without delay.
+func newPromptCluster(t *testing.T) *cluster {
 	t.Helper()
-	f := buildFloor(t)
-	f.spread()
+	f := buildCluster(t)
+	f.reportAtOnce()
 	f.start(t)
 	return f
 }
 
-func buildFloor(t *testing.T) *floor {
+func buildCluster(t *testing.T) *cluster {
 	t.Helper()
 	var names []string
-	for i := range floorTargets {
+	for i := range clusterTargets {
 		names = append(names, fmt.Sprintf("i-%d", i))
 	}
-	f := &floor{rig: newRigOf(t, standstill, names...), stop: make(chan struct{}), revision: 1}
+	f := &cluster{testRelay: newTestRelayOf(t, stallTimeout, names...), stop: make(chan struct{}), revision: 1}
 	f.relays, f.entries = []*relay.Relay{f.relay}, []*httptest.Server{f.server}
-	for len(f.entries) < floorEntries {
+	for len(f.entries) < clusterEntries {
 		f.addEntry(t)
 	}
 	return f
 }
 
 // start lets the entries report to each other.
-func (f *floor) start(t *testing.T) {
+func (f *cluster) start(t *testing.T) {
 	t.Helper()
-	f.done.Add(1)
-	go f.loop()
+	f.wg.Add(1)
+	go f.gossipLoop()
 	t.Cleanup(func() {
 		close(f.stop)
-		f.done.Wait()
+		f.wg.Wait()
 	})
 }
 
 // addEntry starts one more entry. It has heard nothing of the others.
-func (f *floor) addEntry(t *testing.T) {
+func (f *cluster) addEntry(t *testing.T) {
 	t.Helper()
-	e := newRelay(f.roster, config.Bounds{MaxRevokeTime: revokeIn}, 1)
+	e := newRelay(f.roster, config.Bounds{MaxRevokeTime: revokeTimeout}, 1)
 	s := httptest.NewServer(e)
 	t.Cleanup(s.Close)
 	f.relays, f.entries = append(f.relays, e), append(f.entries, s)
 }
 
-// loop passes reports on between the entries.
-func (f *floor) loop() {
-	defer f.done.Done()
-	tick := time.NewTicker(gossipEvery)
+// gossipLoop passes reports on between the entries.
+func (f *cluster) gossipLoop() {
+	defer f.wg.Done()
+	tick := time.NewTicker(gossipInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -108,22 +108,22 @@
 	}
 }
 
-func (f *floor) exchange() {
-	news := make([][]share.Crash, len(f.relays))
+func (f *cluster) exchange() {
+	reports := make([][]share.Crash, len(f.relays))
 	for i, e := range f.relays {
-		news[i] = e.Crashes.News()
+		reports[i] = e.Crashes.TakeReports()
 	}
 	for i, e := range f.relays {
-		for j := range news {
+		for j := range reports {
 			if i != j {
-				e.Crashes.Merge(clock.Now(), news[j])
+				e.Crashes.Merge(clock.Now(), reports[j])
 			}
 		}
 	}
 }
 
-// spread has the entries report losses at once.
-func (f *floor) spread() {
+// reportAtOnce has the entries report losses at once.
+func (f *cluster) reportAtOnce() {
 	for i, e := range f.relays {
 		e.Crashes.OnLoss = func(list []share.Crash) {
 			for j, other := range f.relays {
@@ -135,16 +135,16 @@
 	}
 }
 
-// deadly has all targets end by the content, at a step.
-func (f *floor) deadly(step stand.Step, byReset bool) {
+// setDeadly has all targets end by the content, at a step.
+func (f *cluster) setDeadly(step stand.Step, byReset bool) {
 	for _, x := range f.targets {
 		x.Events = 8
 		x.Deadly = &stand.Deadly{Text: poison, Step: step, Reset: byReset}
 	}
 }
 
-// lost counts the targets that have ended.
-func (f *floor) lost() int {
+// lostTargets counts the targets that have ended.
+func (f *cluster) lostTargets() int {
 	n := 0
 	for _, x := range f.targets {
 		if x.Dead() {
@@ -154,11 +154,11 @@
 	return n
 }
 
-// visit sends content to an entry under a new id.
-func (f *floor) visit(t *testing.T, entry int, kind, body string) string {
+// send sends content to an entry under a new id.
+func (f *cluster) send(t *testing.T, entry int, kind, body string) string {
 	t.Helper()
-	f.asked++
-	return send(t, f.entries[entry%len(f.entries)], kind, fmt.Sprintf("visit-%d", f.asked), body)
+	f.requestCount++
+	return send(t, f.entries[entry%len(f.entries)], kind, fmt.Sprintf("visit-%d", f.requestCount), body)
 }
 
 // TestDeadlyContentIsStopped guards against a content that ends target after target, whatever of its answers had come by then.
@@ -169,15 +169,15 @@
 				name := fmt.Sprintf("%s/%s/reset=%t", kind, step, byReset)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					f := newFloor(t)
-					f.deadly(step, byReset)
+					f := newCluster(t)
+					f.setDeadly(step, byReset)
 					last := ""
 					for n := range 10 {
-						last = f.visit(t, n, kind, poison)
-						assert.Assert(t, strings.HasPrefix(f.visit(t, n, "safe", fmt.Sprint("other ", n)), "200"), "another request failed")
-						time.Sleep(3 * gossipEvery)
+						last = f.send(t, n, kind, poison)
+						assert.Assert(t, strings.HasPrefix(f.send(t, n, "safe", fmt.Sprint("other ", n)), "200"), "another request failed")
+						time.Sleep(3 * gossipInterval)
 					}
-					assert.Assert(t, f.lost() <= lostMost, "%d targets lost", f.lost())
+					assert.Assert(t, f.lostTargets() <= maxLost, "%d targets lost", f.lostTargets())
 					assert.Equal(t, last, "503 come-back")
 				})
 			}
@@ -185,51 +185,51 @@
 	}
 }
 
-// TestContentThatSoundTargetsBreakOffIsServed guards against a content that is refused as deadly for faults of targets which live on.
-func TestContentThatSoundTargetsBreakOffIsServed(t *testing.T) {
+// TestContentOfBrokenConnectionsIsServed guards against a content that is refused as deadly for faults of targets which live on.
+func TestContentOfBrokenConnectionsIsServed(t *testing.T) {
 	for _, kind := range []string{"unsafe", "safe", "stream", "resume"} {
 		for _, manner := range []stand.Manner{stand.Resets, stand.Cuts} {
 			t.Run(fmt.Sprintf("%s/%s", kind, manner), func(t *testing.T) {
-				f := newFloor(t)
+				f := newCluster(t)
 				f.order.Set(manner, manner, manner, manner)
 				for range 4 {
-					f.visit(t, 0, kind, "a fair question")
+					f.send(t, 0, kind, "a fair question")
 				}
-				got := f.visit(t, 0, kind, "a fair question")
+				got := f.send(t, 0, kind, "a fair question")
 				assert.Assert(t, strings.HasPrefix(got, "200 signed"), got)
 			})
 		}
 	}
 }
 
-// TestNewKeyLiftsNoQuarantine guards against a content that ends two more targets with each key that its workspace takes into use.
-func TestNewKeyLiftsNoQuarantine(t *testing.T) {
-	f := newFloor(t)
-	f.deadly(stand.AtHead, false)
+// TestNewKeyKeepsQuarantine guards against a content that ends two more targets with each key that its workspace takes into use.
+func TestNewKeyKeepsQuarantine(t *testing.T) {
+	f := newCluster(t)
+	f.setDeadly(stand.AtHead, false)
 	for n := range 3 {
-		f.visit(t, 0, "stream", poison)
-		assert.Assert(t, f.lost() <= lostMost, "visit %d", n)
+		f.send(t, 0, "stream", poison)
+		assert.Assert(t, f.lostTargets() <= maxLost, "visit %d", n)
 	}
 	f.publish(2, "another")
 	assert.Equal(t, sendAs(t, f.server, "another", "stream", "again", poison), "503 come-back")
-	assert.Equal(t, f.lost(), lostMost)
+	assert.Equal(t, f.lostTargets(), maxLost)
 }
 
 // bystander is a content that runs beside a deadly one, and comes again until it is served.
 type bystander struct {
-	floor *floor
-	n     int
-	kind  string
+	cluster *cluster
+	n       int
+	kind    string
 	// refused is how often it was refused as deadly, and served when it was served.
 	refused int
 	served  time.Duration
 }
 
-func (b *bystander) run(t *testing.T, done *sync.WaitGroup) {
-	defer done.Done()
+func (b *bystander) run(t *testing.T, wg *sync.WaitGroup) {
+	defer wg.Done()
 	began := time.Now()
 	for visit := range 200 {
-		entry := b.floor.entries[(b.n+visit)%len(b.floor.entries)]
+		entry := b.cluster.entries[(b.n+visit)%len(b.cluster.entries)]
 		got := send(t, entry, b.kind, fmt.Sprintf("by-%d-%d", b.n, visit), fmt.Sprint("bystander ", b.n))
 		if strings.HasPrefix(got, "200") && !strings.HasSuffix(got, "cut") {
 			b.served = time.Since(began)
@@ -238,7 +238,7 @@
 		if strings.HasPrefix(got, "503") {
 			b.refused++
 		}
-		time.Sleep(gossipEvery)
+		time.Sleep(gossipInterval)
 	}
 }
 
@@ -251,33 +251,33 @@
 	for _, kind := range []string{"stream", "resume"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			f := newFloor(t)
-			f.deadly(stand.AtFirst, true)
+			f := newCluster(t)
+			f.setDeadly(stand.AtFirst, true)
 			for _, x := range f.targets {
 				x.Events, x.Pause = 60, 10*time.Millisecond
 			}
-			var done sync.WaitGroup
+			var wg sync.WaitGroup
 			list := make([]*bystander, contents)
 			for n := range list {
-				list[n] = &bystander{floor: f, n: n, kind: kind}
-				done.Add(1)
-				go list[n].run(t, &done)
+				list[n] = &bystander{cluster: f, n: n, kind: kind}
+				wg.Add(1)
+				go list[n].run(t, &wg)
 			}
 			for n := range visits {
-				time.Sleep(2 * gossipEvery)
-				f.visit(t, n, kind, poison)
+				time.Sleep(2 * gossipInterval)
+				f.send(t, n, kind, poison)
 			}
-			done.Wait()
+			wg.Wait()
 			refused := 0
 			for _, b := range list {
 				assert.Assert(t, b.served > 0, "bystander %d was never served", b.n)
-				assert.Assert(t, b.served < standstill, "bystander %d was served after %s", b.n, b.served)
+				assert.Assert(t, b.served < stallTimeout, "bystander %d was served after %s", b.n, b.served)
 				if b.refused > 0 {
 					refused++
 				}
 			}
-			t.Logf("%d of %d bystanders were refused for a while, %d targets lost", refused, contents, f.lost())
-			assert.Assert(t, f.lost() <= lostMost+1, "%d targets lost", f.lost())
+			t.Logf("%d of %d bystanders were refused for a while, %d targets lost", refused, contents, f.lostTargets())
+			assert.Assert(t, f.lostTargets() <= maxLost+1, "%d targets lost", f.lostTargets())
 		})
 	}
 }
@@ -287,30 +287,30 @@
 	for _, step := range stand.Steps {
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
-			f := newPromptFloor(t)
-			f.deadly(step, false)
+			f := newPromptCluster(t)
+			f.setDeadly(step, false)
 			for n := range 12 {
-				f.visit(t, n, "stream", poison)
+				f.send(t, n, "stream", poison)
 			}
-			assert.Assert(t, f.lost() <= lostMost, "%d targets lost", f.lost())
+			assert.Assert(t, f.lostTargets() <= maxLost, "%d targets lost", f.lostTargets())
 		})
 	}
 }
 
 // TestTwoDeadlyContents guards against two contents that shield each other, as each explains the losses of the other.
 func TestTwoDeadlyContents(t *testing.T) {
-	f := newFloor(t)
-	f.deadly(stand.AtFirst, true)
+	f := newCluster(t)
+	f.setDeadly(stand.AtFirst, true)
 	for n := range 12 {
-		f.visit(t, n, "stream", poison+" one")
-		f.visit(t, n, "stream", poison+" two")
-		time.Sleep(2 * gossipEvery)
+		f.send(t, n, "stream", poison+" one")
+		f.send(t, n, "stream", poison+" two")
+		time.Sleep(2 * gossipInterval)
 	}
-	assert.Assert(t, f.lost() <= 2*(lostMost+1), "%d targets lost", f.lost())
+	assert.Assert(t, f.lostTargets() <= 2*(maxLost+1), "%d targets lost", f.lostTargets())
 }
 
-// list publishes a target anew.
-func (f *floor) list(i int, born int64, leaving bool) {
+// publishTarget publishes a target anew.
+func (f *cluster) publishTarget(i int, born int64, leaving bool) {
 	x := f.targets[i]
 	f.revision++
 	f.roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: f.revision, Facts: []chestnutstep.Fact{{
@@ -320,49 +320,49 @@
 		},
 	}}}, false)
 	for _, e := range f.relays {
-		e.Crashes.Review(clock.Now(), f.roster.View())
+		e.Crashes.Reconcile(clock.Now(), f.roster.View())
 	}
 }
 
 // TestTargetThatStartsAgainAtOnceHasEnded guards against a content that ends targets which listen again before anyone looks.
 func TestTargetThatStartsAgainAtOnceHasEnded(t *testing.T) {
-	f := newFloor(t)
+	f := newCluster(t)
 	f.order.Set(stand.Resets, stand.Resets)
-	for n := range lostMost {
-		f.visit(t, 0, "unsafe", poison)
+	for n := range maxLost {
+		f.send(t, 0, "unsafe", poison)
 		for i, x := range f.targets {
 			if x.Arrived() > 0 {
-				f.list(i, int64(1+n), false)
+				f.publishTarget(i, int64(1+n), false)
 			}
 		}
 	}
-	assert.Equal(t, f.visit(t, 0, "unsafe", poison), "503 come-back")
+	assert.Equal(t, f.send(t, 0, "unsafe", poison), "503 come-back")
 }
 
 // TestPlannedEndProvesNothing guards against contents that are refused as they ran on targets which ended as planned.
 func TestPlannedEndProvesNothing(t *testing.T) {
-	f := newFloor(t)
+	f := newCluster(t)
 	for i, x := range f.targets {
 		x.Events, x.Pause = 100, 10*time.Millisecond
 		if i > 1 {
-			f.list(i, 0, true)
+			f.publishTarget(i, 0, true)
 		}
 	}
 	for n := range 2 {
-		var done sync.WaitGroup
-		done.Add(1)
+		var wg sync.WaitGroup
+		wg.Add(1)
 		go func() {
-			defer done.Done()
-			f.visit(t, 0, "stream", "a fair question")
+			defer wg.Done()
+			f.send(t, 0, "stream", "a fair question")
 		}()
 		f.waitArrived(t, n+1)
 		for i, x := range f.targets {
 			if x.Arrived() > 0 && !x.Dead() {
-				f.list(i, 0, true)
+				f.publishTarget(i, 0, true)
 				x.Die(true)
 			}
 		}
-		done.Wait()
+		wg.Wait()
 	}
 	assert.Equal(t, len(f.relay.Crashes.Losses(clock.Now())), 0)
 }
@@ -371,42 +371,42 @@
 // they leave before it does.
 func TestDeadlyContentOfCallersWhoLeave(t *testing.T) {
 	const (
-		patience   = 20 * time.Millisecond
-		visits     = 10
-		leftProven = 900 * time.Millisecond
+		patience     = 20 * time.Millisecond
+		visits       = 10
+		abandonedTTL = 900 * time.Millisecond
 	)
-	f := newPromptFloor(t)
-	f.deadly(stand.AtAccept, false)
+	f := newPromptCluster(t)
+	f.setDeadly(stand.AtAccept, false)
 	for _, x := range f.targets {
 		x.Deadly.After = 3 * patience
 	}
 	late := 0
 	for n := range visits {
 		began := time.Now()
-		f.glance(t, n, patience)
+		f.sendAndLeave(t, n, patience)
 		time.Sleep(3 * patience)
 		// What others send meets the end of the target.
-		for i := range 2 * floorTargets {
-			f.visit(t, n+i, "safe", fmt.Sprintf("other %d %d", n, i))
+		for i := range 2 * clusterTargets {
+			f.send(t, n+i, "safe", fmt.Sprintf("other %d %d", n, i))
 		}
-		if time.Since(began) > leftProven {
+		if time.Since(began) > abandonedTTL {
 			late++ // the machine stood still for longer than such runs are remembered
 		}
 	}
-	assert.Assert(t, f.lost()-late <= lostMost+1, "%d targets lost, %d visits late", f.lost(), late)
+	assert.Assert(t, f.lostTargets()-late <= maxLost+1, "%d targets lost, %d visits late", f.lostTargets(), late)
 }
 
-// glance sends the deadly content and leaves.
-func (f *floor) glance(t *testing.T, entry int, patience time.Duration) {
+// sendAndLeave sends the deadly content and leaves.
+func (f *cluster) sendAndLeave(t *testing.T, entry int, patience time.Duration) {
 	t.Helper()
-	f.asked++
+	f.requestCount++
 	e := f.entries[entry%len(f.entries)]
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.URL+"/stream/stream/x", strings.NewReader(poison))
 	assert.NilError(t, err)
 	r.Host = host
-	r.Header.Set("Attempt-Id", fmt.Sprintf("glance-%d", f.asked))
+	r.Header.Set("Attempt-Id", fmt.Sprintf("glance-%d", f.requestCount))
 	r.Header.Set("Credential", key)
 	resp, err := http.DefaultClient.Do(r)
 	if err == nil {
@@ -414,16 +414,16 @@
 	}
 }
 
-// TestRefusalProvesNothingForever guards against every later break counting as an end of its target, once it had refused a
+// TestRefusedConnectionIsNoLastingProof guards against every later break counting as an end of its target, once it had refused a
 // connection.
-func TestRefusalProvesNothingForever(t *testing.T) {
-	f := newFloor(t)
+func TestRefusedConnectionIsNoLastingProof(t *testing.T) {
+	f := newCluster(t)
 	const content = 7
 	crashes := f.relay.Crashes
 	began := clock.Now()
 	for _, x := range f.roster.View().ByID {
-		crashes.Refused(began, x)
-		<-crashes.Broken(began.Add(5*time.Second), f.relay.Pool, relay.Unfinished{Target: x, Content: content})
+		crashes.RecordConnRefused(began, x)
+		<-crashes.RecordBroken(began.Add(5*time.Second), f.relay.Pool, relay.UnfinishedRun{Target: x, Content: content})
 	}
 	wait, trial := crashes.Admit(began.Add(5*time.Second), content)
 	assert.Assert(t, wait == 0 && !trial, "refused for %s", wait)
--- a/relay/ended.go
+++ b/relay/ended.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// provenWait is how long a request waits for the proof of whether its target has ended before it goes
+	// proofTimeout is how long a request waits for the proof of whether its target has ended before it goes
 	// on. A host that is there answers within a few milliseconds.
-	provenWait = 50 * time.Millisecond
-	// breakKeep is how long a broken connection may wait for the proof that its target has
+	proofTimeout = 50 * time.Millisecond
+	// breakTTL is how long a broken connection may wait for the proof that its target has
 	// ended: longer than it takes the list of targets to lose one.
-	breakKeep = 6 * time.Second
-	// leftKeep is the same for a run whose caller has left: a target may work on it for a while.
-	leftKeep = time.Second
-	// expireEvery is how often what is old is looked for.
-	expireEvery = time.Second
-	// endKeep is for how long a target that was proven to have ended needs no further proof: its
+	breakTTL = 6 * time.Second
+	// abandonedBreakTTL is the same for a run whose caller has left: a target may work on it for a while.
+	abandonedBreakTTL = time.Second
+	// expireInterval is how often what is old is looked for.
+	expireInterval = time.Second
+	// endedTTL is for how long a target that was proven to have ended needs no further proof: its
 	// connections break one after the other.
-	endKeep = 2 * time.Second
+	endedTTL = 2 * time.Second
 )
 
 // brokenTarget is a target that did not finish all its runs of late.
@@ -38,80 +38,80 @@
 	// 0 for never.
 	usedAt, endedAt clock.Stamp
 	// breaks are its runs that wait for proof.
-	breaks []contentBreak
-	// proven is closed once the present probe has an answer; nil without one.
-	proven chan struct{}
+	breaks []brokenRun
+	// probeDone is closed once the present probe has an answer; nil without one.
+	probeDone chan struct{}
 }
 
-// ended reports whether the target was proven to have ended a moment ago.
-func (x *brokenTarget) ended(now clock.Stamp) bool {
-	return x.endedAt != 0 && now.Sub(x.endedAt) <= endKeep
+// hasEnded reports whether the target was proven to have ended a moment ago.
+func (x *brokenTarget) hasEnded(now clock.Stamp) bool {
+	return x.endedAt != 0 && now.Sub(x.endedAt) <= endedTTL
 }
 
-// contentBreak is a run that was not finished.
-type contentBreak struct {
+// brokenRun is a run that was not finished.
+type brokenRun struct {
 	content uint64
 	events  uint16
 	at      clock.Stamp
-	// keep is how long it waits for proof.
-	keep time.Duration
+	// ttl is how long it waits for proof.
+	ttl time.Duration
 }
 
-// Unfinished is a run that ended without a whole answer.
-type Unfinished struct {
+// UnfinishedRun is a run that ended without a whole answer.
+type UnfinishedRun struct {
 	Target  *roster.Target
 	Content uint64
 	// Events is how many events of the answer had come.
 	Events int64
-	// Left says that its caller has left.
-	Left bool
+	// CallerLeft says that its caller has left.
+	CallerLeft bool
 }
 
-func (u Unfinished) at(now clock.Stamp) contentBreak {
-	b := contentBreak{content: u.Content, events: uint16(min(u.Events, 1<<16-1)), at: now, keep: breakKeep}
-	if u.Left {
-		b.keep = leftKeep
+func (u UnfinishedRun) toBrokenRun(now clock.Stamp) brokenRun {
+	b := brokenRun{content: u.Content, events: uint16(min(u.Events, 1<<16-1)), at: now, ttl: breakTTL}
+	if u.CallerLeft {
+		b.ttl = abandonedBreakTTL
 	}
 	return b
 }
 
-// Broken takes note of a connection that broke while a target ran a content, and finds out
+// RecordBroken takes note of a connection that broke while a target ran a content, and finds out
 // whether the target has ended. The channel is closed once that is known, or can't be found out.
-func (c *Crashes) Broken(now clock.Stamp, pool *link.Pool, u Unfinished) <-chan struct{} {
+func (c *CrashTracker) RecordBroken(now clock.Stamp, pool *link.Pool, u UnfinishedRun) <-chan struct{} {
 	c.mu.Lock()
-	x := c.target(now, u.Target)
-	x.breaks = append(x.breaks, u.at(now))
-	if x.ended(now) {
-		list := c.settle(now, x, "known")
+	x := c.targetFor(now, u.Target)
+	x.breaks = append(x.breaks, u.toBrokenRun(now))
+	if x.hasEnded(now) {
+		list := c.confirmEnd(now, x, "known")
 		c.mu.Unlock()
 		c.announce(list)
 		return closedChan
 	}
 	defer c.mu.Unlock()
-	if x.proven == nil {
-		x.proven = make(chan struct{})
-		go (&probe{crashes: c, pool: pool, target: x, address: u.Target.Address, proven: x.proven}).run()
+	if x.probeDone == nil {
+		x.probeDone = make(chan struct{})
+		go (&probe{crashes: c, pool: pool, target: x, address: u.Target.Address, done: x.probeDone}).run()
 	}
-	return x.proven
+	return x.probeDone
 }
 
-// GivenUp takes note of a run that was given up, as its caller has left or its target did not answer.
+// RecordAbandoned takes note of a run that was given up, as its caller has left or its target did not answer.
 // The target may still end by it.
-func (c *Crashes) GivenUp(now clock.Stamp, u Unfinished) {
+func (c *CrashTracker) RecordAbandoned(now clock.Stamp, u UnfinishedRun) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.target(now, u.Target)
-	x.breaks = append(x.breaks, u.at(now))
+	x := c.targetFor(now, u.Target)
+	x.breaks = append(x.breaks, u.toBrokenRun(now))
 }
 
-// Refused takes note of a target that refuses connections: it has ended, also for the peers, which
+// RecordConnRefused takes note of a target that refuses connections: it has ended, also for the peers, which
 // may know what it ran.
-func (c *Crashes) Refused(now clock.Stamp, t *roster.Target) {
+func (c *CrashTracker) RecordConnRefused(now clock.Stamp, t *roster.Target) {
 	c.mu.Lock()
-	x := c.target(now, t)
+	x := c.targetFor(now, t)
 	var list []share.Crash
-	if !x.ended(now) {
-		list = append(c.settle(now, x, "refused"), share.Crash{Target: x.key})
+	if !x.hasEnded(now) {
+		list = append(c.confirmEnd(now, x, "refused"), share.Crash{Target: x.key})
 	}
 	c.mu.Unlock()
 	c.announce(list)
@@ -124,8 +124,8 @@
 	return ch
 }()
 
-// target returns what is known of a target. The caller holds the lock.
-func (c *Crashes) target(now clock.Stamp, t *roster.Target) *brokenTarget {
+// targetFor returns what is known of a target. The caller holds the lock.
+func (c *CrashTracker) targetFor(now clock.Stamp, t *roster.Target) *brokenTarget {
 	c.expire(now)
 	key := board.Key(&t.Instance)
 	x := c.targets[key]
@@ -141,13 +141,13 @@
 }
 
 // expire forgets what is old. The caller holds the lock.
-func (c *Crashes) expire(now clock.Stamp) {
-	if now.Sub(c.expiredAt) < expireEvery {
+func (c *CrashTracker) expire(now clock.Stamp) {
+	if now.Sub(c.lastExpired) < expireInterval {
 		return
 	}
-	c.expiredAt = now
+	c.lastExpired = now
 	for key, x := range c.targets {
-		if now.Sub(x.usedAt) > breakKeep {
+		if now.Sub(x.usedAt) > breakTTL {
 			delete(c.targets, key)
 			continue
 		}
@@ -157,13 +157,13 @@
 
 // expire forgets runs that have waited for too long.
 func (x *brokenTarget) expire(now clock.Stamp) {
-	x.breaks = slices.DeleteFunc(x.breaks, func(b contentBreak) bool { return now.Sub(b.at) > b.keep })
+	x.breaks = slices.DeleteFunc(x.breaks, func(b brokenRun) bool { return now.Sub(b.at) > b.ttl })
 }
 
-// settle turns the breaks of a target that has ended into losses, and returns those that are
+// confirmEnd turns the breaks of a target that has ended into losses, and returns those that are
 // news, to be announced. The caller holds the lock.
-func (c *Crashes) settle(now clock.Stamp, x *brokenTarget, proof string) []share.Crash {
-	first := !x.ended(now)
+func (c *CrashTracker) confirmEnd(now clock.Stamp, x *brokenTarget, proof string) []share.Crash {
+	first := !x.hasEnded(now)
 	if first {
 		x.endedAt = now
 	}
@@ -172,8 +172,8 @@
 	for _, b := range x.breaks {
 		l := crash.Loss{Fingerprint: b.content, Target: x.key, Events: b.events, At: b.at}
 		if c.quarantine.Add(now, l) {
-			c.note(now, l, x.id, "own")
-			list = append(list, report(now, l))
+			c.logLoss(now, l, x.id, "own")
+			list = append(list, toReport(now, l))
 		}
 	}
 	if first && len(x.breaks) > 0 {
@@ -182,21 +182,21 @@
 			event.Int("contents", int64(len(x.breaks))), event.Dur("after", now.Sub(x.breaks[0].at)))
 	}
 	x.breaks = nil
-	c.addNews(list)
+	c.queueReports(list)
 	return list
 }
 
-// Review looks for targets that are no longer listed, or listed with a later start, after
+// Reconcile looks for targets that are no longer listed, or listed with a later start, after
 // connections to them broke.
-func (c *Crashes) Review(now clock.Stamp, v *roster.View) {
+func (c *CrashTracker) Reconcile(now clock.Stamp, v *roster.View) {
 	c.mu.Lock()
 	var list []share.Crash
 	for _, x := range c.targets {
 		t := v.ByID[x.id]
-		if x.ended(now) || len(x.breaks) == 0 || t != nil && t.StartedMs == x.born {
+		if x.hasEnded(now) || len(x.breaks) == 0 || t != nil && t.StartedMs == x.born {
 			continue
 		}
-		list = append(list, c.settle(now, x, "list")...)
+		list = append(list, c.confirmEnd(now, x, "list")...)
 	}
 	c.mu.Unlock()
 	c.announce(list)
@@ -204,29 +204,29 @@
 
 // probe finds out whether a target whose connection broke has ended.
 type probe struct {
-	crashes *Crashes
+	crashes *CrashTracker
 	pool    *link.Pool
 	target  *brokenTarget
 	address string
-	proven  chan struct{}
+	done    chan struct{}
 }
 
 func (p *probe) run() {
 	state := p.pool.Probe(p.address)
-	p.crashes.announce(p.take(state))
-	close(p.proven)
+	p.crashes.announce(p.applyResult(state))
+	close(p.done)
 }
 
-// take takes the answer. The breaks of a target that lives wait on: it may have started again
+// applyResult takes the answer. The breaks of a target that lives wait on: it may have started again
 // within moments, which the list of targets shows.
-func (p *probe) take(state link.Life) []share.Crash {
+func (p *probe) applyResult(state link.Life) []share.Crash {
 	c := p.crashes
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p.target.proven = nil
+	p.target.probeDone = nil
 	switch state {
 	case link.Ended:
-		return c.settle(clock.Now(), p.target, "refused")
+		return c.confirmEnd(clock.Now(), p.target, "refused")
 	case link.Lives:
 		c.Log.Emit(event.TargetLives, event.Str("target", p.target.id), event.Int("contents", int64(len(p.target.breaks))))
 	}
--- a/relay/full_test.go
+++ b/relay/full_test.go
@@ -16,7 +16,7 @@
 // behind it late: it is refused at once, with the time after which it may be in time yet.
 // As soon as places are free again it is served.
 func TestFullTargetsRefuseAtOnce(t *testing.T) {
-	g := newRig(t)
+	g := newTestRelay(t)
 	v := g.roster.View()
 	service := v.Routing.Services["shop"]
 	who := board.Who{Workspace: "other", Objective: time.Second}
@@ -29,7 +29,7 @@
 		}
 	}
 	began := time.Now()
-	got := g.ask(t, "unsafe")
+	got := g.doRequest(t, "unsafe")
 	assert.Equal(t, got, "503 come-back")
 	assert.Assert(t, time.Since(began) < timeout, "held for %s", time.Since(began))
 	for _, x := range g.targets {
@@ -38,6 +38,6 @@
 	for _, r := range runs {
 		r.End(clock.Now(), board.Served)
 	}
-	got = g.ask(t, "unsafe")
+	got = g.doRequest(t, "unsafe")
 	assert.Assert(t, strings.HasPrefix(got, "200 signed"), got)
 }
--- a/relay/idle.go
+++ b/relay/idle.go
@@ -7,30 +7,30 @@
 // are open.
 const IdleTimeout = 24 * time.Hour
 
-// idleMark tells the deadline of an idle connection from that of a header.
-const idleMark = IdleTimeout / 2
+// idleDeadlineThreshold tells the deadline of an idle connection from that of a header.
+const idleDeadlineThreshold = IdleTimeout / 2
 
-// idleFirst is the idle time before a configuration is known.
-const idleFirst = 15 * time.Second
+// defaultIdleTimeout is the idle time before a configuration is known.
+const defaultIdleTimeout = 15 * time.Second
 
-// headerMark tells the deadline of headers from those that net/http sets in the past
+// headerDeadlineThreshold tells the deadline of headers from those that net/http sets in the past
 // or at once, to end a read that is under way.
-const headerMark = time.Second
+const headerDeadlineThreshold = time.Second
 
-// headerTime is how long headers may take: what the configuration says, or else what
+// headerTimeout is how long headers may take: what the configuration says, or else what
 // the server had in mind.
-func (e *Relay) headerTime(usual time.Duration) time.Duration {
+func (e *Relay) headerTimeout(fallback time.Duration) time.Duration {
 	v := e.Roster.View()
 	if v == nil || v.Routing.Limits.HeaderTimeout <= 0 {
-		return usual
+		return fallback
 	}
 	return v.Routing.Limits.HeaderTimeout
 }
 
-func (e *Relay) idle() time.Duration {
+func (e *Relay) idleTimeout() time.Duration {
 	v := e.Roster.View()
 	if v == nil || v.Routing.Limits.IdleTimeout <= 0 {
-		return idleFirst
+		return defaultIdleTimeout
 	}
 	return v.Routing.Limits.IdleTimeout
 }
--- a/relay/listen.go
+++ b/relay/listen.go
@@ -24,24 +24,24 @@
 type Listener struct {
 	net.Listener
 	Relay *Relay
-	// Most connections are held, and from half as many on the one that was idle for
+	// MaxConns connections are held, and from half as many on the one that was idle for
 	// longest makes place for a new one; 0 for no bound.
-	Most int
-	// Shed refuses requests unread while the processor is full; nil for never.
-	Shed *Shedder
+	MaxConns int
+	// Shedder refuses requests unread while the processor is full; nil for never.
+	Shedder *Shedder
 
-	queue acceptQueue
-	// row counts the connections accepted since other work had the processor.
-	row int
+	acceptQueue acceptQueue
+	// acceptedInRow counts the connections accepted since other work had the processor.
+	acceptedInRow int
 	// head is what was read of the connection at hand.
-	head [headMost]byte
+	head [maxHeadBytes]byte
 
-	mu   sync.Mutex
-	room *sync.Cond
-	open int
-	// idle are connections without a request, the longest idle first.
-	idle   list.List
-	closed bool
+	mu        sync.Mutex
+	slotFreed *sync.Cond
+	openConns int
+	// idleConns are connections without a request, the longest idle first.
+	idleConns list.List
+	closed    bool
 }
 
 // Accept returns the next connection, once there is room for it. While requests are refused
@@ -49,13 +49,13 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		l.yield()
-		l.wait()
-		if l.Shed != nil && l.Shed.active() {
-			c, waits := l.sift()
+		l.waitForSlot()
+		if l.Shedder != nil && l.Shedder.isActive() {
+			c, pending := l.acceptOrReject()
 			if c != nil {
 				return c, nil
 			}
-			if waits {
+			if pending {
 				continue
 			}
 		}
@@ -63,78 +63,78 @@
 		if err != nil {
 			return nil, err
 		}
-		return l.hold(c, nil), nil
+		return l.wrapConn(c, nil), nil
 	}
 }
 
-// acceptRow is how many connections are accepted in a row.
-const acceptRow = 8
+// acceptsPerYield is how many connections are accepted in a row.
+const acceptsPerYield = 8
 
 // yield lets other work run between rows of connections. While callers wait, accepting never
 // blocks, and the runtime would leave it the processor: answers under way stand still, and
 // callers who leave are not noticed.
 func (l *Listener) yield() {
-	if l.row++; l.row >= acceptRow {
-		l.row = 0
+	if l.acceptedInRow++; l.acceptedInRow >= acceptsPerYield {
+		l.acceptedInRow = 0
 		runtime.Gosched()
 	}
 }
 
-// sift accepts a connection that waits, and refuses its request or returns it. It reports
+// acceptOrReject accepts a connection that waits, and refuses its request or returns it. It reports
 // whether one waited. Nothing is built for a request that is refused.
-func (l *Listener) sift() (c net.Conn, waits bool) {
-	fd, ok := acceptNow(l.Listener)
-	l.queue.observe(clock.Now(), ok)
+func (l *Listener) acceptOrReject() (c net.Conn, pending bool) {
+	fd, ok := acceptNonblock(l.Listener)
+	l.acceptQueue.observe(clock.Now(), ok)
 	if !ok {
 		return nil, false
 	}
-	head := l.head[:readNow(fd, l.head[:])]
-	if answer := l.answer(head); answer != nil {
-		rejectNow(fd, answer, len(head) == len(l.head))
+	head := l.head[:readNonblock(fd, l.head[:])]
+	if answer := l.rejection(head); answer != nil {
+		rejectFD(fd, answer, len(head) == len(l.head))
 		return nil, true
 	}
-	conn, err := connOf(fd)
+	conn, err := connFromFD(fd)
 	if err != nil {
 		return nil, true
 	}
-	return l.hold(conn, bytes.Clone(head)), true
+	return l.wrapConn(conn, bytes.Clone(head)), true
 }
 
-// answer is that to a request that is refused by its first bytes, nil for one that is not.
+// rejection is that to a request that is refused by its first bytes, nil for one that is not.
 // One whose headers are not all there is not refused.
-func (l *Listener) answer(head []byte) []byte {
-	if l.Shed == nil || !l.Shed.active() || !bytes.Contains(head, []byte("\r\n\r\n")) {
+func (l *Listener) rejection(head []byte) []byte {
+	if l.Shedder == nil || !l.Shedder.isActive() || !bytes.Contains(head, []byte("\r\n\r\n")) {
 		return nil
 	}
-	return l.Shed.refuse(head)
+	return l.Shedder.rejection(head)
 }
 
-// hold counts a connection, some bytes of which may have been read already.
-func (l *Listener) hold(c net.Conn, ahead []byte) *callerConn {
-	if idle := l.add(); idle != nil {
+// wrapConn counts a connection, some bytes of which may have been read already.
+func (l *Listener) wrapConn(c net.Conn, buffered []byte) *callerConn {
+	if idle := l.addConn(); idle != nil {
 		_ = idle.Close() // it is closed either way
 	}
-	return &callerConn{Conn: c, listener: l, ahead: ahead, fresh: len(ahead) == 0}
+	return &callerConn{Conn: c, listener: l, buffered: buffered, atRequestStart: len(buffered) == 0}
 }
 
 // Backlog looks whether connections wait to be accepted, and returns for how long they have
 // at each look.
 func (l *Listener) Backlog() time.Duration {
 	now := clock.Now()
-	l.queue.observe(now, connWaits(l.Listener))
-	return l.queue.standing(now)
+	l.acceptQueue.observe(now, hasPendingConn(l.Listener))
+	return l.acceptQueue.nonEmptyFor(now)
 }
 
-// evictTries is how many of the longest idle connections are looked at for one that no
+// maxEvictTries is how many of the longest idle connections are looked at for one that no
 // request waits on: on a busy host a request may have come that nobody has read yet.
-const evictTries = 8
+const maxEvictTries = 8
 
-// add counts a new connection, and returns an idle one to be closed if there are many.
-func (l *Listener) add() *callerConn {
+// addConn counts a new connection, and returns an idle one to be closed if there are many.
+func (l *Listener) addConn() *callerConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open++
-	if !l.crowded() {
+	l.openConns++
+	if !l.isCrowded() {
 		return nil
 	}
 	return l.evict()
@@ -144,8 +144,8 @@
 // that has come on it would be lost: one that is chosen passes nothing on any more, and one
 // on which bytes wait is left alone.
 func (l *Listener) evict() *callerConn {
-	e := l.idle.Front()
-	for range evictTries {
+	e := l.idleConns.Front()
+	for range maxEvictTries {
 		if e == nil {
 			return nil
 		}
@@ -163,65 +163,65 @@
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	if l.room != nil {
-		l.room.Broadcast()
+	if l.slotFreed != nil {
+		l.slotFreed.Broadcast()
 	}
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
 
-// full says that no more connections are held.
-func (l *Listener) full() bool { return l.Most > 0 && l.open >= l.Most }
+// isFull says that no more connections are held.
+func (l *Listener) isFull() bool { return l.MaxConns > 0 && l.openConns >= l.MaxConns }
 
-// wait returns once there is room for one more connection: one has ended, or has become
+// waitForSlot returns once there is room for one more connection: one has ended, or has become
 // idle and can be closed.
-func (l *Listener) wait() {
-	for idle := l.await(); idle != nil; idle = l.await() {
+func (l *Listener) waitForSlot() {
+	for idle := l.nextToEvict(); idle != nil; idle = l.nextToEvict() {
 		_ = idle.Close() // it is closed either way
 	}
 }
 
-// await waits for room, and returns an idle connection that has to be closed for it; nil
+// nextToEvict waits for room, and returns an idle connection that has to be closed for it; nil
 // once there is room.
-func (l *Listener) await() *callerConn {
+func (l *Listener) nextToEvict() *callerConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.room == nil {
-		l.room = sync.NewCond(&l.mu)
+	if l.slotFreed == nil {
+		l.slotFreed = sync.NewCond(&l.mu)
 	}
-	for l.full() && !l.closed {
+	for l.isFull() && !l.closed {
 		if idle := l.evict(); idle != nil {
 			return idle
 		}
-		l.room.Wait()
+		l.slotFreed.Wait()
 	}
 	return nil
 }
 
-// crowded says that idle connections make room for new ones.
-func (l *Listener) crowded() bool { return l.Most > 0 && 2*l.open > l.Most }
+// isCrowded says that idle connections make room for new ones.
+func (l *Listener) isCrowded() bool { return l.MaxConns > 0 && 2*l.openConns > l.MaxConns }
 
 // Open is how many connections are held, and whether they are so many that idle ones make
 // room for new ones.
 func (l *Listener) Open() (n int, crowded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open, l.crowded()
+	return l.openConns, l.isCrowded()
 }
 
 // callerConn is a caller's connection.
 type callerConn struct {
 	net.Conn
-	listener *Listener
-	once     sync.Once
-	// place in the listener's list while the connection is idle.
-	place *list.Element
+	listener  *Listener
+	closeOnce sync.Once
+	// idleElem in the listener's list while the connection is idle.
+	idleElem *list.Element
 	// evicted says that it is closed to make room for another.
 	evicted bool
-	// ahead are bytes that were read already, and fresh says that the next bytes begin a
+	// buffered are bytes that were read already, and fresh says that the next bytes begin a
 	// request that may be refused unread.
-	ahead []byte
-	fresh bool
+	buffered       []byte
+	atRequestStart bool
 }
 
 // reject answers a request that is not read.
@@ -233,12 +233,12 @@
 // SetReadDeadline replaces the deadline of an idle connection, and that of headers.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	relay := c.listener.Relay
-	switch left := time.Until(t); {
-	case left > idleMark:
-		t = time.Now().Add(relay.idle())
-		c.rest()
-	case left > headerMark:
-		t = time.Now().Add(relay.headerTime(left))
+	switch remaining := time.Until(t); {
+	case remaining > idleDeadlineThreshold:
+		t = time.Now().Add(relay.idleTimeout())
+		c.markIdle()
+	case remaining > headerDeadlineThreshold:
+		t = time.Now().Add(relay.headerTimeout(remaining))
 	}
 	return c.Conn.SetReadDeadline(t)
 }
@@ -246,21 +246,21 @@
 // Read reads from the caller, whose connection is idle no more. What comes after it had to
 // make room is not read: the caller sees it closed before its request was taken.
 func (c *callerConn) Read(b []byte) (int, error) {
-	if len(c.ahead) > 0 {
-		n := copy(b, c.ahead)
-		c.ahead = c.ahead[n:]
+	if len(c.buffered) > 0 {
+		n := copy(b, c.buffered)
+		c.buffered = c.buffered[n:]
 		return n, nil
 	}
 	n, err := c.Conn.Read(b)
-	if n > 0 && !c.wake() {
+	if n > 0 && !c.markBusy() {
 		return 0, io.EOF
 	}
-	fresh := c.fresh && n > 0
-	c.fresh = c.fresh && n == 0
-	if !fresh {
+	atStart := c.atRequestStart && n > 0
+	c.atRequestStart = c.atRequestStart && n == 0
+	if !atStart {
 		return n, err
 	}
-	if answer := c.listener.answer(b[:n]); answer != nil {
+	if answer := c.listener.rejection(b[:n]); answer != nil {
 		c.reject(answer)
 		return 0, io.EOF
 	}
@@ -269,41 +269,41 @@
 
 // Close closes the connection and makes room for another.
 func (c *callerConn) Close() error {
-	c.once.Do(func() {
-		c.wake()
+	c.closeOnce.Do(func() {
+		c.markBusy()
 		l := c.listener
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.open--
-		if l.room != nil {
-			l.room.Signal()
+		l.openConns--
+		if l.slotFreed != nil {
+			l.slotFreed.Signal()
 		}
 	})
 	return c.Conn.Close()
 }
 
-// rest notes that the connection has no request.
-func (c *callerConn) rest() {
+// markIdle notes that the connection has no request.
+func (c *callerConn) markIdle() {
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.fresh = true
-	if c.place == nil {
-		c.place = l.idle.PushBack(c)
+	c.atRequestStart = true
+	if c.idleElem == nil {
+		c.idleElem = l.idleConns.PushBack(c)
 	}
-	if l.full() && l.room != nil {
-		l.room.Signal()
+	if l.isFull() && l.slotFreed != nil {
+		l.slotFreed.Signal()
 	}
 }
 
-// wake notes that it has one again; false says that it had to make room.
-func (c *callerConn) wake() bool {
+// markBusy notes that it has one again; false says that it had to make room.
+func (c *callerConn) markBusy() bool {
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.place != nil {
-		l.idle.Remove(c.place)
-		c.place = nil
+	if c.idleElem != nil {
+		l.idleConns.Remove(c.idleElem)
+		c.idleElem = nil
 	}
 	return !c.evicted
 }
--- a/relay/listen_test.go
+++ b/relay/listen_test.go
@@ -51,13 +51,13 @@
 }
 
 // listen serves the rig's relay with a bound on connections.
-func listen(t *testing.T, g *rig, most int) *relay.Listener {
+func listen(t *testing.T, g *testRelay, maxConns int) *relay.Listener {
 	t.Helper()
-	return serve(t, g, &relay.Listener{Relay: g.relay, Most: most})
+	return serve(t, g, &relay.Listener{Relay: g.relay, MaxConns: maxConns})
 }
 
 // serve serves the rig's relay behind a listener.
-func serve(t *testing.T, g *rig, l *relay.Listener) *relay.Listener {
+func serve(t *testing.T, g *testRelay, l *relay.Listener) *relay.Listener {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -75,8 +75,8 @@
 // Many callers come, each on a connection that it keeps. Without a bound the entry runs
 // out of descriptors: it can neither accept callers nor reach targets. The connections
 // that were idle for longest are closed, and whoever asks is answered.
-func TestIdleCallersMakeRoom(t *testing.T) {
-	g := newRig(t)
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	g := newTestRelay(t)
 	l := listen(t, g, 8)
 	var kept []*caller
 	for i := range 40 {
@@ -96,8 +96,8 @@
 
 // As many requests are in progress as connections may be held. None of them is cut to
 // make room: the next caller is accepted when the first of them has ended.
-func TestCallersInProgressAreNotCut(t *testing.T) {
-	g := newRig(t)
+func TestActiveConnectionsAreNotEvicted(t *testing.T) {
+	g := newTestRelay(t)
 	for _, x := range g.targets {
 		x.Behave(stand.Slow)
 	}
@@ -117,11 +117,11 @@
 // On a busy host a caller's next request has come on a connection that still counts as
 // idle: nobody has read it yet. Closed to make room for another caller, it would lose a
 // booking, or worse, cut one that has just been passed on. Another idle one goes.
-func TestRequestThatCameIsNotEvicted(t *testing.T) {
-	g := newRig(t)
+func TestConnectionWithPendingRequestIsNotEvicted(t *testing.T) {
+	g := newTestRelay(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	l := &relay.Listener{Listener: inner, Relay: g.relay, Most: 4}
+	l := &relay.Listener{Listener: inner, Relay: g.relay, MaxConns: 4}
 	defer l.Close()
 	var callers, conns []net.Conn
 	for i := range 4 {
@@ -155,8 +155,8 @@
 // All connections that may be held have a request, and their callers keep them open when
 // they have their answers. The next caller must not wait until the idle time is over: an
 // entry that says it is ready would take nobody for seconds after a surge.
-func TestFullListenerTakesCallersAgain(t *testing.T) {
-	g := newRig(t)
+func TestFullListenerAcceptsAgain(t *testing.T) {
+	g := newTestRelay(t)
 	for _, x := range g.targets {
 		x.Behave(stand.Slow)
 	}
@@ -179,7 +179,7 @@
 // TestRequestOfCallerWhoLeftIsNotSent guards against work at targets for callers who left
 // while their request waited for the entry's processor.
 func TestRequestOfCallerWhoLeftIsNotSent(t *testing.T) {
-	g := newRig(t)
+	g := newTestRelay(t)
 	l := listen(t, g, 8)
 	held, release := make(chan struct{}, 1), make(chan struct{})
 	bounds := g.relay.Bounds
@@ -199,11 +199,11 @@
 	time.Sleep(20 * time.Millisecond) // the close is on its way
 	close(release)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if g.relay.Open() == 0 {
+		if g.relay.InFlight() == 0 {
 			return poll.Success()
 		}
 		return poll.Continue("the request is open")
 	})
-	arrived, _ := g.count()
+	arrived, _ := g.countRequests()
 	assert.Equal(t, arrived, 0)
 }
--- a/relay/log.go
+++ b/relay/log.go
@@ -19,50 +19,50 @@
 // logSend logs a send, with what decided for its target.
 func (q *request) logSend(c *board.Choice) {
 	q.log(event.RelaySent,
-		event.Str("target", c.ID), event.Str("service", q.service.Name), event.Int("try", int64(q.tally.Tries+1)),
+		event.Str("target", c.ID), event.Str("service", q.service.Name), event.Int("try", int64(q.attempts.Sent+1)),
 		event.Float("running", c.Running), event.Int("own", int64(c.Held)), event.Int("held", int64(c.Cached())),
 		event.Int("shared", int64(c.Ask.Shared)), event.Uint("prefix", c.Ask.Key), event.Float("cost", c.Cost),
 		event.Int("of", int64(c.Of)), event.Bool("cold", c.Cold), event.Str("fetch", c.Donor.Address), event.Bool("fresh", c.Fresh),
 		event.Uint("version", q.view.Routing.Version), event.Dur("listed", clock.Now().Sub(q.Roster.Proof(chestnutstep.TopicTargets))))
 }
 
-// kind names the kind of the request's route in metrics.
-func (q *request) kind() string {
+// routeKind names the kind of the request's route in metrics.
+func (q *request) routeKind() string {
 	if q.route == nil {
 		return "none"
 	}
 	return q.route.Kind.String()
 }
 
-// done logs a request that was served.
-func (q *request) done(t *roster.Target) {
-	q.Meters.Requests.Add(1, q.kind(), "ok")
-	q.Meters.Answer.Observe(time.Since(q.began), q.kind())
+// recordDone logs a request that was served.
+func (q *request) recordDone(t *roster.Target) {
+	q.Meters.Requests.Add(1, q.routeKind(), "ok")
+	q.Meters.Answer.Observe(time.Since(q.startedAt), q.routeKind())
 	q.Meters.Tries.Add(1, q.service.Name, "ok")
 	q.log(event.RelayDone,
-		event.Str("route", q.route.Name), event.Str("target", t.ID), event.Int("tries", int64(q.tally.Tries)),
-		event.Dur("took", time.Since(q.began)), event.Int("last", q.stream.last))
+		event.Str("route", q.route.Name), event.Str("target", t.ID), event.Int("tries", int64(q.attempts.Sent)),
+		event.Dur("took", time.Since(q.startedAt)), event.Int("last", q.stream.lastID))
 }
 
 // logEnd logs an answer of the relay's own, with what decided it.
 func (q *request) logEnd(f refusal) {
-	q.Meters.Requests.Add(1, q.kind(), string(f.reason))
+	q.Meters.Requests.Add(1, q.routeKind(), string(f.reason))
 	id := event.RelayRefused
 	if f.status == http.StatusBadGateway || f.status == http.StatusGatewayTimeout || f.status == 0 {
 		id = event.RelayBroken
 	}
 	run := chestnutstep.RunNo
-	if !q.tally.NotRun() {
+	if !q.attempts.NotRun() {
 		run = chestnutstep.RunMaybe
 	}
 	fields := []event.Field{
 		event.Int("status", int64(f.status)), event.Str("reason", string(f.reason)), event.Str("run", string(run)),
-		event.Int("tries", int64(q.tally.Tries)), event.Dur("took", time.Since(q.began)),
+		event.Int("tries", int64(q.attempts.Sent)), event.Dur("took", time.Since(q.startedAt)),
 		event.Dur("proof", clock.Now().Sub(q.Roster.Confirmed())),
 	}
-	if q.room != nil {
-		fields = append(fields, event.Str("workspace", q.who().Workspace), event.Float("taken", q.room.Taken),
-			event.Float("kept", q.room.Kept), event.Int("yield", int64(q.room.Yield)), event.Dur("after", f.after))
+	if q.capacity != nil {
+		fields = append(fields, event.Str("workspace", q.requester().Workspace), event.Float("taken", q.capacity.Taken),
+			event.Float("kept", q.capacity.Kept), event.Int("yield", int64(q.capacity.Yield)), event.Dur("after", f.retryAfter))
 	}
 	if f.reason == chestnutstep.ReasonCondemned {
 		fields = append(fields, event.Uint("content", q.content))
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -34,24 +34,24 @@
 	Pool    *link.Pool
 	Wire    chestnutstep.HeaderCodec
 	Budgets *retry.Budgets
-	Crashes *Crashes
+	Crashes *CrashTracker
 	Log     *event.Log
 	Meters  *meter.Relay
-	// Behind says that a peer knows a newer configuration than this entry.
-	Behind func() bool
-	// Settled is closed once the entry knows what targets hold, or won't learn it
+	// IsBehind says that a peer knows a newer configuration than this entry.
+	IsBehind func() bool
+	// CachesKnown is closed once the entry knows what targets hold, or won't learn it
 	// soon. With nil nobody waits for it.
-	Settled <-chan struct{}
+	CachesKnown <-chan struct{}
 
-	leaving atomic.Bool
-	open    atomic.Int64
+	draining atomic.Bool
+	inFlight atomic.Int64
 }
 
-// Leave makes the relay ask callers to close their connections.
-func (e *Relay) Leave() { e.leaving.Store(true) }
+// Drain makes the relay ask callers to close their connections.
+func (e *Relay) Drain() { e.draining.Store(true) }
 
-// Open is how many requests are in progress.
-func (e *Relay) Open() int64 { return e.open.Load() }
+// InFlight is how many requests are in progress.
+func (e *Relay) InFlight() int64 { return e.inFlight.Load() }
 
 // request is one request of a caller on its way.
 type request struct {
@@ -62,37 +62,37 @@
 	ask  chestnutstep.CallerHeaders
 	view *roster.View
 
-	route     *chestnutstep.Route
-	service   *chestnutstep.Service
-	workspace *chestnutstep.WorkspaceAccess
-	body      []byte
-	content   uint64
-	began     time.Time
-	deadline  time.Time
-	tally     retry.Tally
-	skip      []string
-	// failure is a target's own answer of failure, kept for the caller in case
+	route        *chestnutstep.Route
+	service      *chestnutstep.Service
+	workspace    *chestnutstep.WorkspaceAccess
+	body         []byte
+	content      uint64
+	startedAt    time.Time
+	deadline     time.Time
+	attempts     retry.Attempts
+	triedTargets []string
+	// failureAnswer is a target's own answer of failure, kept for the caller in case
 	// nothing better comes.
-	failure *whole
+	failureAnswer *bufferedAnswer
 	// stream is what the caller has of a stream already.
 	stream stream
-	// gone reports that the caller was found to have closed its connection.
-	gone bool
-	// trial says that the content has ended targets and that no other of this entry's requests
+	// callerGone reports that the caller was found to have closed its connection.
+	callerGone bool
+	// isTrial says that the content has ended targets and that no other of this entry's requests
 	// may run it meanwhile.
-	trial bool
-	// room is what was known of the targets' places when none was left; nil before.
-	room *board.Room
+	isTrial bool
+	// capacity is what was known of the targets' places when none was left; nil before.
+	capacity *board.Room
 }
 
 // ServeHTTP answers one request of a caller.
 func (e *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.open.Add(1)
-	defer e.open.Add(-1)
-	if e.leaving.Load() {
+	e.inFlight.Add(1)
+	defer e.inFlight.Add(-1)
+	if e.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{Relay: e, w: w, r: r, began: time.Now(), ask: e.Wire.CallerHeaders(r.Header), view: e.Roster.View()}
+	q := &request{Relay: e, w: w, r: r, startedAt: time.Now(), ask: e.Wire.CallerHeaders(r.Header), view: e.Roster.View()}
 	if refused := q.accept(); refused != nil {
 		q.refuse(*refused)
 		return
@@ -100,14 +100,14 @@
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	q.ctx = ctx
-	q.await()
+	q.awaitCaches()
 	defer q.endTrial()
 	q.run()
 }
 
 func (q *request) endTrial() {
-	if q.trial {
-		q.Crashes.Release(q.content)
+	if q.isTrial {
+		q.Crashes.EndTrial(q.content)
 	}
 }
 
@@ -115,49 +115,49 @@
 type refusal struct {
 	status int
 	reason chestnutstep.Reason
-	// after is when the caller may come back; 0 for no word on it.
-	after time.Duration
+	// retryAfter is when the caller may come back; 0 for no word on it.
+	retryAfter time.Duration
 }
 
 // Error makes a refusal usable as an error.
 func (f refusal) Error() string { return string(f.reason) }
 
-// retryUnready is when to come back to an entry that knows no configuration, or
+// unreadyRetryAfter is when to come back to an entry that knows no configuration, or
 // none that is surely current: another entry is likely to know one.
-const retryUnready = 200 * time.Millisecond
+const unreadyRetryAfter = 200 * time.Millisecond
 
 // accept checks who asks for what, and reads the body.
 func (q *request) accept() *refusal {
 	if q.view == nil {
-		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, retryUnready}
+		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, unreadyRetryAfter}
 	}
 	c := q.view.Routing
 	q.route = c.MatchRoute(q.r.Host, q.r.URL.Path)
 	if q.route == nil {
-		return q.unknown(http.StatusNotFound, chestnutstep.ReasonProfile)
+		return q.refuseUnknown(http.StatusNotFound, chestnutstep.ReasonProfile)
 	}
 	if c.RequiresKey && !q.route.Public {
-		if !q.current() {
-			return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, retryUnready}
+		if !q.isConfigCurrent() {
+			return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, unreadyRetryAfter}
 		}
 		q.workspace = c.WorkspaceByKey(q.ask.Key)
 		if q.workspace == nil {
-			return q.unknown(http.StatusUnauthorized, chestnutstep.ReasonKey)
+			return q.refuseUnknown(http.StatusUnauthorized, chestnutstep.ReasonKey)
 		}
 	}
 	if q.ask.ID == "" {
 		return &refusal{http.StatusBadRequest, chestnutstep.ReasonHeader, 0}
 	}
-	if most := c.Limits.MaxHeaderBytes; most > 0 && headerBytes(q.r.Header) > most {
+	if maxBytes := c.Limits.MaxHeaderBytes; maxBytes > 0 && headerBytes(q.r.Header) > maxBytes {
 		return &refusal{http.StatusRequestHeaderFieldsTooLarge, chestnutstep.ReasonLarge, 0}
 	}
-	q.deadline = q.began.Add(q.route.Timeout)
+	q.deadline = q.startedAt.Add(q.route.Timeout)
 	if q.ask.Timeout > 0 && q.ask.Timeout < q.route.Timeout {
-		q.deadline = q.began.Add(q.ask.Timeout)
+		q.deadline = q.startedAt.Add(q.ask.Timeout)
 	}
-	q.service = c.Services[q.split()]
+	q.service = c.Services[q.pickService()]
 	if q.service == nil {
-		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonTarget, retryUnready}
+		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonTarget, unreadyRetryAfter}
 	}
 	return q.readBody(c.Limits.MaxBodyBytes)
 }
@@ -173,36 +173,36 @@
 	return n
 }
 
-// unknown refuses a key or a route that the configuration does not hold, unless
+// refuseUnknown refuses a key or a route that the configuration does not hold, unless
 // a newer one may hold it.
-func (q *request) unknown(status int, reason chestnutstep.Reason) *refusal {
-	if q.Behind() || !q.current() {
-		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, retryUnready}
+func (q *request) refuseUnknown(status int, reason chestnutstep.Reason) *refusal {
+	if q.IsBehind() || !q.isConfigCurrent() {
+		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, unreadyRetryAfter}
 	}
 	return &refusal{status, reason, 0}
 }
 
-// keySafe is the part of the bound on keys up to which the configuration counts as
+// revokeSafetyRatio is the part of the bound on keys up to which the configuration counts as
 // current. The bound runs from when a caller sent its request, which is before it is
 // checked here, and a proof is never later than it says: the rest is for clocks that
 // don't run alike. Each part less refuses keys sooner
 // after the source has fallen silent.
-const keySafe = 0.94
+const revokeSafetyRatio = 0.94
 
-// current says whether the configuration is surely new enough to decide on keys.
+// isConfigCurrent says whether the configuration is surely new enough to decide on keys.
 // A process that was cut off or suspended would otherwise let in a key that was
 // taken away meanwhile. The boot clock goes on during a suspension.
-func (q *request) current() bool {
+func (q *request) isConfigCurrent() bool {
 	revoke := q.Bounds().MaxRevokeTime
 	if revoke <= 0 {
 		return true
 	}
-	limit := time.Duration(keySafe * float64(revoke))
+	limit := time.Duration(revokeSafetyRatio * float64(revoke))
 	return clock.Now().Sub(q.Roster.Confirmed()) <= limit
 }
 
-// split picks a service of the route by its weights, the same one for all tries.
-func (q *request) split() string {
+// pickService picks a service of the route by its weights, the same one for all tries.
+func (q *request) pickService() string {
 	list := q.route.Splits
 	if len(list) == 1 {
 		return list[0].Service
@@ -211,7 +211,7 @@
 	for _, s := range list {
 		sum += s.Weight
 	}
-	at := uniform(q.ask.ID) * sum
+	at := hashFraction(q.ask.ID) * sum
 	for _, s := range list {
 		at -= s.Weight
 		if at < 0 {
@@ -221,18 +221,18 @@
 	return list[len(list)-1].Service
 }
 
-func (q *request) readBody(most int64) *refusal {
-	if most <= 0 {
-		most = bodyMost
+func (q *request) readBody(maxBytes int64) *refusal {
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if q.r.ContentLength > most {
+	if q.r.ContentLength > maxBytes {
 		return &refusal{http.StatusRequestEntityTooLarge, chestnutstep.ReasonLarge, 0}
 	}
-	body, err := readAll(q.r, most)
+	body, err := readAll(q.r, maxBytes)
 	if err != nil {
 		return &refusal{http.StatusBadRequest, chestnutstep.ReasonShort, 0}
 	}
-	if int64(len(body)) > most {
+	if int64(len(body)) > maxBytes {
 		return &refusal{http.StatusRequestEntityTooLarge, chestnutstep.ReasonLarge, 0}
 	}
 	q.body = body
@@ -242,14 +242,14 @@
 
 // readAll reads a body; one whose length is not said up to a byte beyond most. Where the
 // length is said, as it mostly is, nothing is copied on the way.
-func readAll(r *http.Request, most int64) ([]byte, error) {
+func readAll(r *http.Request, maxBytes int64) ([]byte, error) {
 	if r.ContentLength < 0 {
-		return io.ReadAll(io.LimitReader(r.Body, most+1))
+		return io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	}
 	body := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, body)
 	return body, err
 }
 
-// bodyMost bounds a body in bytes where the configuration does not.
-const bodyMost = 4 << 20
+// defaultMaxBodyBytes bounds a body in bytes where the configuration does not.
+const defaultMaxBodyBytes = 4 << 20
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -32,37 +32,37 @@
 	key     = "secret"
 	host    = "shop.example"
 	timeout = 400 * time.Millisecond
-	// standstill is a time limit for tests whose verdict must not depend on how long the machine stood still.
-	standstill = 10 * time.Second
-	revokeIn   = 5 * time.Second
+	// stallTimeout is a time limit for tests whose verdict must not depend on how long the machine stood still.
+	stallTimeout  = 10 * time.Second
+	revokeTimeout = 5 * time.Second
 )
 
-// rig is a relay before three targets.
-type rig struct {
-	targets []*stand.Target
-	order   *stand.Order
-	roster  *roster.Roster
-	relay   *relay.Relay
-	server  *httptest.Server
-	asked   int
-	limit   time.Duration
+// testRelay is a relay before three targets.
+type testRelay struct {
+	targets      []*stand.Target
+	order        *stand.Order
+	roster       *roster.Roster
+	relay        *relay.Relay
+	server       *httptest.Server
+	requestCount int
+	routeTimeout time.Duration
 }
 
-func newRig(t *testing.T) *rig {
+func newTestRelay(t *testing.T) *testRelay {
 	t.Helper()
-	return newRigWith(t, timeout)
+	return newTestRelayWithTimeout(t, timeout)
 }
 
-// newRigWith is a rig whose routes have a time limit.
-func newRigWith(t *testing.T, limit time.Duration) *rig {
+// newTestRelayWithTimeout is a rig whose routes have a time limit.
+func newTestRelayWithTimeout(t *testing.T, limit time.Duration) *testRelay {
 	t.Helper()
-	return newRigOf(t, limit, "i-a", "i-b", "i-c")
+	return newTestRelayOf(t, limit, "i-a", "i-b", "i-c")
 }
 
-// newRigOf is a rig before these targets.
-func newRigOf(t *testing.T, limit time.Duration, names ...string) *rig {
+// newTestRelayOf is a rig before these targets.
+func newTestRelayOf(t *testing.T, limit time.Duration, names ...string) *testRelay {
 	t.Helper()
-	g := &rig{order: &stand.Order{}, roster: &roster.Roster{}, limit: limit}
+	g := &testRelay{order: &stand.Order{}, roster: &roster.Roster{}, routeTimeout: limit}
 	b := chestnutstep.Batch{Revision: 1}
 	for _, name := range names {
 		x := stand.NewTarget(name)
@@ -77,7 +77,7 @@
 	g.roster.Learn(clock.Now(), chestnutstep.TopicTargets, b, true)
 	g.publish(1, key)
 	g.roster.Confirm(clock.Now())
-	bounds := config.Bounds{MaxRevokeTime: revokeIn}
+	bounds := config.Bounds{MaxRevokeTime: revokeTimeout}
 	g.relay = newRelay(g.roster, bounds, 1)
 	g.server = httptest.NewServer(g.relay)
 	t.Cleanup(g.server.Close)
@@ -90,19 +90,19 @@
 	return &relay.Relay{
 		Domain: "d", Bounds: func() config.Bounds { return bounds },
 		Roster: ros, Board: &board.Board{}, Pool: &link.Pool{}, Wire: platform.HeaderCodec{},
-		Crashes: &relay.Crashes{Meters: &meter.Relay{}}, Meters: &meter.Relay{}, Behind: func() bool { return false },
+		Crashes: &relay.CrashTracker{Meters: &meter.Relay{}}, Meters: &meter.Relay{}, IsBehind: func() bool { return false },
 		Budgets: &retry.Budgets{
-			Bounds:  func() retry.Bounds { return retry.Bounds{Share: retries, Slack: 100 * retries, Window: time.Second} },
+			Bounds:  func() retry.Bounds { return retry.Bounds{Ratio: retries, Slack: 100 * retries, Window: time.Second} },
 			Entries: func() int { return 1 },
 		},
 	}
 }
 
 // waitArrived waits until so many requests have reached the targets.
-func (g *rig) waitArrived(t *testing.T, want int) {
+func (g *testRelay) waitArrived(t *testing.T, minArrived int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if arrived, _ := g.count(); arrived >= want {
+		if arrived, _ := g.countRequests(); arrived >= minArrived {
 			return poll.Success()
 		}
 		return poll.Continue("not all arrived")
@@ -110,7 +110,7 @@
 }
 
 // publish puts a version in force whose workspace has these keys.
-func (g *rig) publish(version uint64, keys ...string) {
+func (g *testRelay) publish(version uint64, keys ...string) {
 	c := &chestnutstep.Routing{
 		Version:     version,
 		RequiresKey: true,
@@ -123,7 +123,7 @@
 		"stream": {Kind: chestnutstep.RouteStream, MaxAttempts: 2},
 		"resume": {Kind: chestnutstep.RouteStream, MaxAttempts: 2, Resumable: true},
 	} {
-		r.Name, r.Host, r.Prefix, r.Timeout = name, host, "/"+name+"/", g.limit
+		r.Name, r.Host, r.Prefix, r.Timeout = name, host, "/"+name+"/", g.routeTimeout
 		r.LatencyObjective = timeout / 2
 		if r.Kind == chestnutstep.RouteStream {
 			r.Prefix = "/" + name + "/stream/"
@@ -137,11 +137,11 @@
 	}}}, false)
 }
 
-// ask sends one request on a connection of its own and says what came.
-func (g *rig) ask(t *testing.T, kind string, headers ...string) string {
+// doRequest sends one request on a connection of its own and says what came.
+func (g *testRelay) doRequest(t *testing.T, kind string, headers ...string) string {
 	t.Helper()
-	g.asked++
-	id := fmt.Sprintf("req-%d", g.asked)
+	g.requestCount++
+	id := fmt.Sprintf("req-%d", g.requestCount)
 	return send(t, g.server, kind, id, "the body of "+id, headers...)
 }
 
@@ -198,8 +198,8 @@
 	return out
 }
 
-// count says how many requests arrived at targets and how many ran.
-func (g *rig) count() (arrived, ran int) {
+// countRequests says how many requests arrived at targets and how many ran.
+func (g *testRelay) countRequests() (arrived, ran int) {
 	for _, x := range g.targets {
 		arrived += x.Arrived()
 		ran += len(x.Runs())
@@ -213,7 +213,7 @@
 // may never notice.
 func TestAnswers(t *testing.T) {
 	datadriven.RunTest(t, "testdata/answers", func(t *testing.T, d *datadriven.TestData) string {
-		g := newRig(t)
+		g := newTestRelay(t)
 		var kind, order string
 		d.ScanArgs(t, "kind", &kind)
 		if d.HasArg("order") {
@@ -226,16 +226,16 @@
 			}
 		}
 		g.order.Set(list...)
-		out := g.ask(t, kind)
-		arrived, ran := g.count()
+		out := g.doRequest(t, kind)
+		arrived, ran := g.countRequests()
 		return fmt.Sprintf("%s; arrived %d, ran %d\n", out, arrived, ran)
 	})
 }
 
 func newRoster() *roster.Roster { return &roster.Roster{} }
 
-// leave lets targets leave.
-func (g *rig) leave(names ...string) {
+// markLeaving lets targets leave.
+func (g *testRelay) markLeaving(names ...string) {
 	var b chestnutstep.Batch
 	for _, name := range names {
 		for _, x := range g.targets {
--- a/relay/run.go
+++ b/relay/run.go
@@ -19,55 +19,55 @@
 )
 
 const (
-	// retryBusy is when to come back after no target could take the request.
-	retryBusy = 250 * time.Millisecond
-	// leastLeft is the shortest time for which a further target is worth asking.
-	leastLeft = 20 * time.Millisecond
+	// busyRetryAfter is when to come back after no target could take the request.
+	busyRetryAfter = 250 * time.Millisecond
+	// minAttemptTime is the shortest time for which a further target is worth asking.
+	minAttemptTime = 20 * time.Millisecond
 )
 
 // run sends the request to targets until one has answered or none is left.
 func (q *request) run() {
 	for {
-		c, refused := q.next()
+		c, refused := q.chooseTarget()
 		if refused != nil {
-			q.end(*refused)
+			q.answerFinal(*refused)
 			return
 		}
-		done, err := q.try(&c)
+		done, err := q.attempt(&c)
 		if done {
 			return
 		}
-		if q.ctx.Err() != nil || !q.again(err) {
-			q.end(q.verdict(err))
+		if q.ctx.Err() != nil || !q.canRetry(err) {
+			q.answerFinal(q.finalRefusal(err))
 			return
 		}
 	}
 }
 
-// await lets a request wait at an entry that has just started, until it is known
+// awaitCaches lets a request wait at an entry that has just started, until it is known
 // what targets hold, and no longer than its prefix is worth.
-func (q *request) await() {
-	if q.Settled == nil || !q.service.IsEngine {
+func (q *request) awaitCaches() {
+	if q.CachesKnown == nil || !q.service.IsEngine {
 		return
 	}
-	t := time.NewTimer(place.Patience(q.want().Shared))
+	t := time.NewTimer(place.Patience(q.placement().Shared))
 	defer t.Stop()
 	select {
-	case <-q.Settled:
+	case <-q.CachesKnown:
 	case <-t.C:
 	case <-q.ctx.Done():
 	}
 }
 
-// again says whether another target may be tried, and takes it from the budget.
-func (q *request) again(err error) bool {
-	if !q.tally.Again(q.route.IsIdempotent(), q.route.MaxAttempts) {
+// canRetry says whether another target may be tried, and takes it from the budget.
+func (q *request) canRetry(err error) bool {
+	if !q.attempts.CanRetry(q.route.IsIdempotent(), q.route.MaxAttempts) {
 		return false
 	}
-	if time.Until(q.deadline) < leastLeft {
+	if time.Until(q.deadline) < minAttemptTime {
 		return false
 	}
-	if reached(err) && !q.Budgets.Spend(time.Now(), q.service.Name) {
+	if hasReachedTarget(err) && !q.Budgets.Spend(time.Now(), q.service.Name) {
 		q.Meters.RetriesDenied.Add(1, q.service.Name)
 		q.log(event.RelayBudget, event.Str("service", q.service.Name))
 		return false
@@ -75,22 +75,22 @@
 	return true
 }
 
-// reached says whether the target saw the request.
-func reached(err error) bool {
+// hasReachedTarget says whether the target saw the request.
+func hasReachedTarget(err error) bool {
 	var e link.ErrCall
 	return !errors.As(err, &e) || e.Reason != chestnutstep.ReasonDown
 }
 
-// try sends the request to one target. Done says that the caller has its final
+// attempt sends the request to one target. Done says that the caller has its final
 // answer.
-func (q *request) try(c *board.Choice) (done bool, err error) {
+func (q *request) attempt(c *board.Choice) (done bool, err error) {
 	now, t := clock.Now(), c.Target
-	q.skip = append(q.skip, t.ID)
-	if q.tally.Tries+q.tally.Unreached == 0 {
+	q.triedTargets = append(q.triedTargets, t.ID)
+	if q.attempts.Sent+q.attempts.Unreached == 0 {
 		q.Budgets.Earn(time.Now(), q.service.Name)
 	}
 	q.stream.events = 0
-	run := q.Board.Start(now, t, q.service, q.ask.Parts, c.Cached(), q.who())
+	run := q.Board.Start(now, t, q.service, q.ask.Parts, c.Cached(), q.requester())
 	q.logSend(c)
 	q.countTokens(c)
 	if c.Fresh {
@@ -98,30 +98,30 @@
 	}
 	ctx, cancel := context.WithCancel(q.ctx)
 	defer cancel()
-	answer, err := q.Pool.Do(ctx, t.Address, q.call(c))
+	answer, err := q.Pool.Do(ctx, t.Address, q.buildCall(c))
 	if err != nil {
-		q.failed(run, t, err)
+		q.recordFailure(run, t, err)
 		return false, err
 	}
-	told := q.Wire.TargetHeaders(answer.Status, answer.Header)
-	if err := q.validate(answer, told); err != nil {
+	headers := q.Wire.TargetHeaders(answer.Status, answer.Header)
+	if err := q.validate(answer, headers); err != nil {
 		answer.Close(false)
-		q.failed(run, t, err)
+		q.recordFailure(run, t, err)
 		return false, err
 	}
 	if q.route.Kind == chestnutstep.RouteStream && answer.Status == http.StatusOK {
-		err = q.forward(run, answer)
+		err = q.forwardEvents(run, answer)
 	} else {
 		err = q.collect(run, answer)
 	}
 	if err != nil {
-		q.failed(run, t, err)
+		q.recordFailure(run, t, err)
 		return false, err
 	}
 	run.End(clock.Now(), board.Served)
-	q.tally.Add(chestnutstep.RunYes)
-	q.Crashes.Served(clock.Now(), q.content)
-	q.done(t)
+	q.attempts.Record(chestnutstep.RunYes)
+	q.Crashes.RecordServed(clock.Now(), q.content)
+	q.recordDone(t)
 	return true, nil
 }
 
@@ -135,11 +135,11 @@
 	q.Meters.PromptTokens.Add(int64(max(c.Ask.Tokens-c.Cached(), 0)), "read")
 }
 
-// call builds the message for a target.
-func (q *request) call(c *board.Choice) *link.Call {
+// buildCall builds the message for a target.
+func (q *request) buildCall(c *board.Choice) *link.Call {
 	h := make(http.Header, len(q.r.Header)+4)
 	for name, values := range q.r.Header {
-		if !chestnutstep.IsHopHeader(name) && !q.named(name) && name != "Content-Length" && name != "Expect" {
+		if !chestnutstep.IsHopHeader(name) && !q.isConnectionHeader(name) && name != "Content-Length" && name != "Expect" {
 			h[name] = values
 		}
 	}
@@ -157,8 +157,8 @@
 	if q.service.IsEngine {
 		s.Urgency = q.urgency()
 	}
-	if q.stream.begun {
-		s.IsResume, s.LastEventID = true, q.stream.last
+	if q.stream.started {
+		s.IsResume, s.LastEventID = true, q.stream.lastID
 	}
 	q.Wire.SetForwardHeaders(h, s)
 	return &link.Call{
@@ -170,44 +170,44 @@
 		HasBody:  q.r.ContentLength != 0,
 		Keep:     link.Keep(q.service.MaxConnections, q.Board.Entries()),
 		Fresh:    c.Fresh,
-		Dial:     q.dialLimit(c),
-		OnSilent: q.onSilent(c.Target),
+		Dial:     q.dialTimeout(c),
+		OnSilent: q.onUnresponsive(c.Target),
 	}
 }
 
 const (
-	// verifyShare is the part of its objective that a request may wait for a connection which
+	// verifyRatio is the part of its objective that a request may wait for a connection which
 	// verifies that the target's host is there, and verifyLeast its least time.
-	verifyShare = 0.25
-	verifyLeast = 250 * time.Millisecond
+	verifyRatio      = 0.25
+	minVerifyTimeout = 250 * time.Millisecond
 )
 
-// dialLimit bounds the opening of a connection that verifies a host, in time for another one.
-func (q *request) dialLimit(c *board.Choice) time.Duration {
+// dialTimeout bounds the opening of a connection that verifies a host, in time for another one.
+func (q *request) dialTimeout(c *board.Choice) time.Duration {
 	if !c.Fresh || q.route.LatencyObjective <= 0 {
 		return 0
 	}
-	return max(time.Duration(verifyShare*float64(q.route.LatencyObjective)), verifyLeast)
+	return max(time.Duration(verifyRatio*float64(q.route.LatencyObjective)), minVerifyTimeout)
 }
 
-// onSilent returns what is done when a target's host does not acknowledge the request: a request
+// onUnresponsive returns what is done when a target's host does not acknowledge the request: a request
 // that may run once more is given up there and goes to another target.
-func (q *request) onSilent(t *roster.Target) func() bool {
-	repeat := q.route.IsIdempotent() && q.tally.Tries+1 < q.route.MaxAttempts
+func (q *request) onUnresponsive(t *roster.Target) func() bool {
+	canRepeat := q.route.IsIdempotent() && q.attempts.Sent+1 < q.route.MaxAttempts
 	return func() bool {
 		q.Meters.Silent.Add(1, q.service.Name)
 		known := q.Board.RecordSilence(clock.Now(), t)
-		q.log(event.TargetSilent, event.Str("target", t.ID), event.Bool("link", known), event.Bool("again", known && repeat))
-		return known && repeat
+		q.log(event.TargetSilent, event.Str("target", t.ID), event.Bool("link", known), event.Bool("again", known && canRepeat))
+		return known && canRepeat
 	}
 }
 
-// named says whether the caller's Connection header names a header: such a one
+// isConnectionHeader says whether the caller's Connection header names a header: such a one
 // belongs to the connection.
-func (q *request) named(name string) bool {
+func (q *request) isConnectionHeader(name string) bool {
 	for _, line := range q.r.Header["Connection"] {
-		for _, one := range splitList(line) {
-			if http.CanonicalHeaderKey(one) == name {
+		for _, token := range splitList(line) {
+			if http.CanonicalHeaderKey(token) == name {
 				return true
 			}
 		}
@@ -227,7 +227,7 @@
 // fingerprint names the content, so that one that crashes targets is known
 // again when its caller repeats it under another id or key.
 func (q *request) fingerprint() uint64 {
-	return crash.Fingerprint(q.who().Workspace, q.r.Method+" "+q.r.RequestURI, q.body)
+	return crash.Fingerprint(q.requester().Workspace, q.r.Method+" "+q.r.RequestURI, q.body)
 }
 
-func uniform(id string) float64 { return float64(xxhash.Sum64String(id)>>11) / (1 << 53) }
+func hashFraction(id string) float64 { return float64(xxhash.Sum64String(id)>>11) / (1 << 53) }
--- a/relay/shed_test.go
+++ b/relay/shed_test.go
@@ -19,16 +19,16 @@
 	"chestnutstep.example/chestnutstep/relay"
 )
 
-// shedding serves the rig's relay behind a listener that may refuse requests unread.
-func shedding(t *testing.T, g *rig, most int) *relay.Listener {
+// newSheddingListener serves the rig's relay behind a listener that may refuse requests unread.
+func newSheddingListener(t *testing.T, g *testRelay, maxConns int) *relay.Listener {
 	t.Helper()
-	return serve(t, g, &relay.Listener{Relay: g.relay, Most: most, Shed: &relay.Shedder{Relay: g.relay}})
+	return serve(t, g, &relay.Listener{Relay: g.relay, MaxConns: maxConns, Shedder: &relay.Shedder{Relay: g.relay}})
 }
 
-// full reports a long wait to the listener.
-func full(l *relay.Listener) {
+// overload reports a long wait to the listener.
+func overload(l *relay.Listener) {
 	for range 40 {
-		l.Shed.Observe(clock.Now(), time.Second)
+		l.Shedder.Observe(clock.Now(), time.Second)
 	}
 }
 
@@ -62,22 +62,22 @@
 // TestFullEntryRefusesUnread guards against a processor that is spent on requests which
 // come too late for their callers: the surplus gets a refusal that is true, at once.
 func TestFullEntryRefusesUnread(t *testing.T) {
-	g := newRig(t)
-	l := shedding(t, g, 64)
+	g := newTestRelay(t)
+	l := newSheddingListener(t, g, 64)
 	message := "POST /unsafe/x HTTP/1.1\r\nHost: " + host + "\r\nAttempt-Id: a\r\nCredential: " + key + "\r\nContent-Length: 4\r\n\r\nbody"
 	assert.Equal(t, surge(t, l, 5, message)[http.StatusOK], 5)
-	before, _ := g.count()
-	full(l)
+	before, _ := g.countRequests()
+	overload(l)
 	first := surge(t, l, 5, message) // counted until the next observation
-	full(l)
+	overload(l)
 	got := surge(t, l, 100, message)
-	arrived, _ := g.count()
+	arrived, _ := g.countRequests()
 	assert.Assert(t, got[http.StatusServiceUnavailable] >= 90, "%v", got)
 	assert.Equal(t, first[http.StatusOK]+got[http.StatusOK], arrived-before, "each request that was not refused arrived, and no other")
-	refused, _ := l.Shed.Observe(clock.Now(), 0)
+	refused, _ := l.Shedder.Observe(clock.Now(), 0)
 	assert.Equal(t, refused, got[http.StatusServiceUnavailable])
 	for range 100 {
-		l.Shed.Observe(clock.Now(), 0)
+		l.Shedder.Observe(clock.Now(), 0)
 	}
 	assert.Equal(t, surge(t, l, 5, message)[http.StatusOK], 5)
 }
@@ -85,12 +85,12 @@
 // TestOtherWorkspacesPassAFullEntry guards against small workspaces that are refused for the
 // surge of a large one.
 func TestOtherWorkspacesPassAFullEntry(t *testing.T) {
-	g := newRig(t)
-	l := shedding(t, g, 64)
+	g := newTestRelay(t)
+	l := newSheddingListener(t, g, 64)
 	format := "POST /safe/x HTTP/1.1\r\nHost: " + host + "\r\nAttempt-Id: a\r\nCredential: %s\r\nContent-Length: 0\r\n\r\n"
-	full(l)
+	overload(l)
 	surge(t, l, 200, fmt.Sprintf(format, "unknown")) // counted as one workspace
-	full(l)
+	overload(l)
 	got := surge(t, l, 20, fmt.Sprintf(format, "unknown"))
 	assert.Assert(t, got[http.StatusServiceUnavailable] > 0, "%v", got)
 	got = surge(t, l, 2, fmt.Sprintf(format, key)) // a fiftieth of what is taken, and less than half of it
@@ -100,14 +100,14 @@
 // TestKeptConnectionsAreRefusedToo guards against a surge on connections that callers keep:
 // their requests are never accepted anew.
 func TestKeptConnectionsAreRefusedToo(t *testing.T) {
-	g := newRig(t)
-	l := shedding(t, g, 64)
+	g := newTestRelay(t)
+	l := newSheddingListener(t, g, 64)
 	c := dial(t, l.Addr().String())
 	c.send("first")
 	assert.Equal(t, c.status(), http.StatusOK)
 	refused := 0
 	for i := range 20 {
-		full(l)
+		overload(l)
 		c.send(fmt.Sprint("next-", i))
 		if c.status() != http.StatusOK {
 			refused++
@@ -120,29 +120,29 @@
 // countingListener counts the connections that are asked of it.
 type countingListener struct {
 	*net.TCPListener
-	asked atomic.Int64
+	calls atomic.Int64
 }
 
 func (l *countingListener) SyscallConn() (syscall.RawConn, error) {
-	l.asked.Add(1)
+	l.calls.Add(1)
 	return l.TCPListener.SyscallConn()
 }
 
-// TestRefusalsLeaveTurnsToRequests guards against an entry that only refuses: as long as connections wait, nothing else
+// TestRejectionsYieldToRequests guards against an entry that only refuses: as long as connections wait, nothing else
 // gets its processor, neither answers under way nor callers who leave.
-func TestRefusalsLeaveTurnsToRequests(t *testing.T) {
+func TestRejectionsYieldToRequests(t *testing.T) {
 	const callers, turns = 200, 16
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	counting := &countingListener{TCPListener: inner.(*net.TCPListener)}
-	g := newRig(t)
-	l := &relay.Listener{Relay: g.relay, Listener: counting, Shed: &relay.Shedder{Relay: g.relay}}
+	g := newTestRelay(t)
+	l := &relay.Listener{Relay: g.relay, Listener: counting, Shedder: &relay.Shedder{Relay: g.relay}}
 	for range callers {
 		c := dial(t, inner.Addr().String())
 		c.send("waits")
 	}
-	full(l)
+	overload(l)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -154,14 +154,14 @@
 			_ = c.Close()
 		}
 	}()
-	most := int64(0)
+	maxInRow := int64(0)
 	for before := int64(0); before < callers; {
 		runtime.Gosched()
-		now := counting.asked.Load()
-		most = max(most, now-before)
+		now := counting.calls.Load()
+		maxInRow = max(maxInRow, now-before)
 		before = now
 	}
 	assert.NilError(t, l.Close())
 	<-done
-	assert.Assert(t, most <= turns, "%d connections in a row", most)
+	assert.Assert(t, maxInRow <= turns, "%d connections in a row", maxInRow)
 }
--- a/relay/silent_test.go
+++ b/relay/silent_test.go
@@ -15,30 +15,30 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// deaf is a host that takes connections and, once its buffers are full, acknowledges nothing.
-type deaf struct {
+// unresponsiveHost is a host that takes connections and, once its buffers are full, acknowledges nothing.
+type unresponsiveHost struct {
 	net.Listener
-	taken atomic.Int32
+	accepted atomic.Int32
 }
 
-func (d *deaf) run(t *testing.T) {
+func (d *unresponsiveHost) run(t *testing.T) {
 	for {
 		c, err := d.Accept()
 		if err != nil {
 			return
 		}
-		d.taken.Add(1)
+		d.accepted.Add(1)
 		t.Cleanup(func() { c.Close() })
 	}
 }
 
-// addDeaf adds a target whose host is deaf.
-func (g *rig) addDeaf(t *testing.T) *deaf {
+// addUnresponsiveHost adds a target whose host is deaf.
+func (g *testRelay) addUnresponsiveHost(t *testing.T) *unresponsiveHost {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
-	d := &deaf{Listener: l}
+	d := &unresponsiveHost{Listener: l}
 	go d.run(t)
 	g.roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactInstance, Name: "i-deaf", Revision: 9,
@@ -47,8 +47,8 @@
 	return d
 }
 
-// proveLink lets another target answer all the time.
-func (g *rig) proveLink(t *testing.T) {
+// keepLinkActive lets another target answer all the time.
+func (g *testRelay) keepLinkActive(t *testing.T) {
 	v := g.roster.View()
 	x := v.ByID["i-a"]
 	run := g.relay.Board.Start(clock.Now(), x, v.Routing.Services["shop"], nil, 0, board.Who{})
@@ -62,7 +62,7 @@
 }
 
 // send asks for a safe answer with a body that fits no socket's buffers.
-func (g *rig) sendLong(t *testing.T, id string) (int, time.Duration) {
+func (g *testRelay) sendLargeBody(t *testing.T, id string) (int, time.Duration) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, g.server.URL+"/safe/x", strings.NewReader(strings.Repeat("x", 3500<<10)))
 	assert.NilError(t, err)
@@ -76,26 +76,26 @@
 	return resp.StatusCode, time.Since(began)
 }
 
-// TestSilentHostIsLeftInTime guards against requests that wait for a dead host until TCP gives
+// TestUnresponsiveHostIsAbandonedInTime guards against requests that wait for a dead host until TCP gives
 // its connection up, though another target could serve them in time.
-func TestSilentHostIsLeftInTime(t *testing.T) {
-	const tcpGivesUp = 1200 * time.Millisecond
-	g := newRigWith(t, 5*time.Second)
-	d := g.addDeaf(t)
-	g.proveLink(t)
+func TestUnresponsiveHostIsAbandonedInTime(t *testing.T) {
+	const tcpTimeout = 1200 * time.Millisecond
+	g := newTestRelayWithTimeout(t, 5*time.Second)
+	d := g.addUnresponsiveHost(t)
+	g.keepLinkActive(t)
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "k"} {
-		status, took := g.sendLong(t, id)
+		status, took := g.sendLargeBody(t, id)
 		assert.Equal(t, status, http.StatusOK)
-		assert.Assert(t, took < tcpGivesUp, "%s", took)
+		assert.Assert(t, took < tcpTimeout, "%s", took)
 	}
-	assert.Assert(t, d.taken.Load() > 0, "no request went to the dead host")
+	assert.Assert(t, d.accepted.Load() > 0, "no request went to the dead host")
 }
 
-// TestOwnLinkIsNotTheTargets guards against an entry whose own link is down or full giving up
+// TestOwnLinkFailureIsNotTheTargets guards against an entry whose own link is down or full giving up
 // request after request, at targets that are sound.
-func TestOwnLinkIsNotTheTargets(t *testing.T) {
+func TestOwnLinkFailureIsNotTheTargets(t *testing.T) {
 	b := &board.Board{}
-	g := newRig(t)
+	g := newTestRelay(t)
 	v := g.roster.View()
 	assert.Assert(t, !b.RecordSilence(clock.Now(), v.ByID["i-a"]), "nothing has answered here")
 	run := b.Start(clock.Now(), v.ByID["i-b"], v.Routing.Services["shop"], nil, 0, board.Who{})
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -16,40 +16,40 @@
 	"chestnutstep.example/chestnutstep/link"
 )
 
-// eventMost bounds one event of a stream in bytes.
-const eventMost = 1 << 20
+// maxEventBytes bounds one event of a stream in bytes.
+const maxEventBytes = 1 << 20
 
 // stream is what the caller has of a stream.
 type stream struct {
-	begun bool
-	last  int64
+	started bool
+	lastID  int64
 	// events counts those of the present target.
 	events int64
 }
 
-// forward passes events on as they come, each whole. A target may break off in
+// forwardEvents passes events on as they come, each whole. A target may break off in
 // the middle of one: had the first half gone out, nothing could follow it.
-func (q *request) forward(run *board.Run, a *link.Answer) error {
+func (q *request) forwardEvents(run *board.Run, a *link.Answer) error {
 	flush := http.NewResponseController(q.w)
 	br := bufio.NewReaderSize(a, 1<<10)
 	for {
 		raw, id, err := readEvent(br)
 		if err == io.EOF && len(raw) == 0 {
 			a.Close(true)
-			q.finish(a)
+			q.finishStream(a)
 			return nil
 		}
 		if err != nil {
 			a.Close(false)
-			return q.cut(err)
+			return q.truncatedErr(err)
 		}
 		run.First(clock.Now())
 		q.stream.events++
-		if err := q.check(id); err != nil {
+		if err := q.checkOrder(id); err != nil {
 			a.Close(false)
 			return err
 		}
-		q.begin(a)
+		q.writeHead(a)
 		if _, err := q.w.Write(raw); err != nil {
 			a.Close(false)
 			return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCanceled, Err: err}
@@ -58,35 +58,35 @@
 			a.Close(false)
 			return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCanceled, Err: err}
 		}
-		q.stream.last = id
+		q.stream.lastID = id
 	}
 }
 
-// check says whether an event is the one that follows.
-func (q *request) check(id int64) error {
-	if q.stream.begun && id != q.stream.last+1 {
+// checkOrder says whether an event is the one that follows.
+func (q *request) checkOrder(id int64) error {
+	if q.stream.started && id != q.stream.lastID+1 {
 		return link.ErrCall{
 			Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed,
-			Err: errors.Newf("event %d after %d", id, q.stream.last),
+			Err: errors.Newf("event %d after %d", id, q.stream.lastID),
 		}
 	}
 	return nil
 }
 
-// begin sends the head of the answer before the first event. It is that of the
+// writeHead sends the head of the answer before the first event. It is that of the
 // first target also when others go on.
-func (q *request) begin(a *link.Answer) {
-	if q.stream.begun {
+func (q *request) writeHead(a *link.Answer) {
+	if q.stream.started {
 		return
 	}
-	q.stream.begun = true
-	q.Meters.FirstByte.Observe(time.Since(q.began), q.kind())
+	q.stream.started = true
+	q.Meters.FirstByte.Observe(time.Since(q.startedAt), q.routeKind())
 	copyHeader(q.w.Header(), a.Header)
 	q.w.WriteHeader(a.Status)
 }
 
-// finish ends a stream; one without events has a head all the same.
-func (q *request) finish(a *link.Answer) { q.begin(a) }
+// finishStream ends a stream; one without events has a head all the same.
+func (q *request) finishStream(a *link.Answer) { q.writeHead(a) }
 
 // readEvent reads up to the blank line that ends an event. At the end of the
 // body it returns io.EOF, with what was left over.
@@ -97,7 +97,7 @@
 		if err != nil {
 			return raw, 0, err
 		}
-		if len(raw) > eventMost {
+		if len(raw) > maxEventBytes {
 			return raw, 0, errors.New("event too large")
 		}
 		text := bytes.TrimRight(line, "\r\n")
--- a/relay/validate.go
+++ b/relay/validate.go
@@ -19,35 +19,35 @@
 
 // validate says whether an answer's head can be that of the request, and whether
 // it says that the request ran.
-func (q *request) validate(a *link.Answer, told chestnutstep.TargetHeaders) error {
+func (q *request) validate(a *link.Answer, headers chestnutstep.TargetHeaders) error {
 	switch {
-	case told.NotRun && (told.ID == "" || told.ID == q.ask.ID):
+	case headers.NotRun && (headers.ID == "" || headers.ID == q.ask.ID):
 		reason := chestnutstep.ReasonFull
-		if told.Misdirected {
+		if headers.Misdirected {
 			reason = chestnutstep.ReasonDead
 		}
 		return link.ErrCall{Run: chestnutstep.RunNo, Reason: reason, Err: errors.Newf("status %d", a.Status)}
-	case told.ID != q.ask.ID:
-		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed, Err: errors.Newf("answer to %q", told.ID)}
-	case !told.IsSigned || a.Header.Get("Content-Encoding") != "":
+	case headers.ID != q.ask.ID:
+		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed, Err: errors.Newf("answer to %q", headers.ID)}
+	case !headers.IsSigned || a.Header.Get("Content-Encoding") != "":
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, Err: errors.Newf("status %d, not the target's own", a.Status)}
 	}
 	return nil
 }
 
-// failed takes note of a try without a usable answer.
-func (q *request) failed(run *board.Run, t *roster.Target, err error) {
+// recordFailure takes note of a try without a usable answer.
+func (q *request) recordFailure(run *board.Run, t *roster.Target, err error) {
 	now := clock.Now()
 	var e link.ErrCall
 	if !errors.As(err, &e) {
 		e = link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonLink, Err: err}
 	}
-	left := q.left()
-	run.End(now, outcome(e, left))
+	callerLeft := q.hasCallerLeft()
+	run.End(now, outcome(e, callerLeft))
 	if e.Reason == chestnutstep.ReasonDown {
-		q.tally.Unreached++
+		q.attempts.Unreached++
 	} else {
-		q.tally.Add(e.Run)
+		q.attempts.Record(e.Run)
 	}
 	if e.Reason == chestnutstep.ReasonDown || e.Reason == chestnutstep.ReasonDead {
 		q.Pool.Drop(t.Address)
@@ -55,49 +55,49 @@
 	q.Meters.Tries.Add(1, q.service.Name, string(e.Reason))
 	q.log(event.RelayFailed,
 		event.Str("target", t.ID), event.Str("reason", string(e.Reason)), event.Str("run", string(e.Run)),
-		event.Bool("reused", e.Reused), event.Int("last", q.stream.last), event.Uint("content", q.content), event.Err(e.Err))
-	q.noteEnd(t, e, left)
+		event.Bool("reused", e.Reused), event.Int("last", q.stream.lastID), event.Uint("content", q.content), event.Err(e.Err))
+	q.recordTargetEnd(t, e, callerLeft)
 }
 
-// noteEnd takes note of what a failure says of whether its target has ended.
-func (q *request) noteEnd(t *roster.Target, e link.ErrCall, left bool) {
+// recordTargetEnd takes note of what a failure says of whether its target has ended.
+func (q *request) recordTargetEnd(t *roster.Target, e link.ErrCall, callerLeft bool) {
 	if listed := q.Roster.View().ByID[t.ID]; listed == nil || listed.Leaving || listed.StartedMs != t.StartedMs {
 		return // it ends as planned, or has ended before
 	}
-	u := Unfinished{Target: t, Content: q.content, Events: q.stream.events, Left: left}
+	u := UnfinishedRun{Target: t, Content: q.content, Events: q.stream.events, CallerLeft: callerLeft}
 	switch {
 	case e.Reason == chestnutstep.ReasonDown:
 		if errors.Is(e.Err, syscall.ECONNREFUSED) {
-			q.Crashes.Refused(clock.Now(), t)
+			q.Crashes.RecordConnRefused(clock.Now(), t)
 		}
-	case left || e.Silent || e.Reason == chestnutstep.ReasonTimeout:
-		q.Crashes.GivenUp(clock.Now(), u)
+	case callerLeft || e.Silent || e.Reason == chestnutstep.ReasonTimeout:
+		q.Crashes.RecordAbandoned(clock.Now(), u)
 	case e.Broke:
-		q.findEnd(u)
+		q.awaitProof(u)
 	}
 }
 
-// findEnd finds out whether a target has ended whose connection broke. Its caller's next try must
+// awaitProof finds out whether a target has ended whose connection broke. Its caller's next try must
 // not be faster than that.
-func (q *request) findEnd(u Unfinished) {
-	proven := q.Crashes.Broken(clock.Now(), q.Pool, u)
-	limit := time.NewTimer(provenWait)
+func (q *request) awaitProof(u UnfinishedRun) {
+	probeDone := q.Crashes.RecordBroken(clock.Now(), q.Pool, u)
+	limit := time.NewTimer(proofTimeout)
 	defer limit.Stop()
 	select {
-	case <-proven:
+	case <-probeDone:
 	case <-limit.C:
 	case <-q.ctx.Done():
 	}
 }
 
 // outcome is what a failure says of the target's health.
-func outcome(e link.ErrCall, left bool) board.Outcome {
+func outcome(e link.ErrCall, callerLeft bool) board.Outcome {
 	switch {
-	case left:
+	case callerLeft:
 		return board.Canceled
 	case e.Reason == chestnutstep.ReasonFull:
 		return board.Refused
-	case e.Silent, e.Reason == chestnutstep.ReasonDown && timedOut(e.Err):
+	case e.Silent, e.Reason == chestnutstep.ReasonDown && isTimeout(e.Err):
 		return board.Unreached
 	case e.Reason == chestnutstep.ReasonDown:
 		return board.Closed
@@ -110,21 +110,21 @@
 	}
 }
 
-// timedOut says that nothing answered in time.
-func timedOut(err error) bool {
+// isTimeout says that nothing answered in time.
+func isTimeout(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// verdict is the final answer after the last try failed.
-func (q *request) verdict(err error) refusal {
-	if q.tally.NotRun() {
+// finalRefusal is the final answer after the last try failed.
+func (q *request) finalRefusal(err error) refusal {
+	if q.attempts.NotRun() {
 		reason := chestnutstep.ReasonTarget
 		var e link.ErrCall
 		if errors.As(err, &e) {
 			reason = e.Reason
 		}
-		return refusal{http.StatusServiceUnavailable, reason, retryBusy}
+		return refusal{http.StatusServiceUnavailable, reason, busyRetryAfter}
 	}
 	if q.ctx.Err() != nil {
 		return refusal{http.StatusGatewayTimeout, chestnutstep.ReasonTimeout, 0}
@@ -136,19 +136,19 @@
 	return refusal{http.StatusBadGateway, chestnutstep.ReasonLink, 0}
 }
 
-// end gives the caller the final answer that the tries allow.
-func (q *request) end(f refusal) {
+// answerFinal gives the caller the final answer that the tries allow.
+func (q *request) answerFinal(f refusal) {
 	switch {
-	case q.left():
-		q.Meters.Requests.Add(1, q.kind(), string(chestnutstep.ReasonCanceled))
-		q.log(event.RelayCanceled, event.Int("tries", int64(q.tally.Tries)))
-	case q.stream.begun:
+	case q.hasCallerLeft():
+		q.Meters.Requests.Add(1, q.routeKind(), string(chestnutstep.ReasonCanceled))
+		q.log(event.RelayCanceled, event.Int("tries", int64(q.attempts.Sent)))
+	case q.stream.started:
 		q.logEnd(refusal{0, f.reason, 0})
 		panic(http.ErrAbortHandler) // a stream that ends early must not look whole
-	case q.failure != nil:
-		q.failure.write(q.w)
-		q.logEnd(refusal{q.failure.status, f.reason, 0})
-	case !q.tally.NotRun() && f.status == http.StatusServiceUnavailable:
+	case q.failureAnswer != nil:
+		q.failureAnswer.write(q.w)
+		q.logEnd(refusal{q.failureAnswer.status, f.reason, 0})
+	case !q.attempts.NotRun() && f.status == http.StatusServiceUnavailable:
 		q.refuse(refusal{http.StatusBadGateway, f.reason, 0})
 	default:
 		q.refuse(f)
@@ -157,8 +157,8 @@
 
 // refuse writes an answer of the relay's own.
 func (q *request) refuse(f refusal) {
-	if f.after > 0 {
-		q.Wire.SetRetryAfter(q.w.Header(), f.after)
+	if f.retryAfter > 0 {
+		q.Wire.SetRetryAfter(q.w.Header(), f.retryAfter)
 	}
 	q.w.Header().Set("Content-Type", "text/plain")
 	q.w.WriteHeader(f.status)
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// budgetSafe is the part of the fleet's budget that entries use: they count
+	// budgetSafetyRatio is the part of the fleet's budget that entries use: they count
 	// for themselves, and their windows don't begin together.
-	budgetSafe = 0.7
+	budgetSafetyRatio = 0.7
 )
 
 // Bounds is what all entries together may repeat: Share of first sends, and
 // Slack beyond it within Window.
 type Bounds struct {
-	Share  float64
+	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
@@ -29,28 +29,28 @@
 	// Entries is how many entries share Slack.
 	Entries func() int
 
-	mu       sync.Mutex
-	services map[string]*Allowance
+	mu      sync.Mutex
+	buckets map[string]*TokenBucket
 }
 
-func (b *Budgets) allowance(service string) *Allowance {
-	if b.services == nil {
-		b.services = make(map[string]*Allowance)
+func (b *Budgets) bucket(service string) *TokenBucket {
+	if b.buckets == nil {
+		b.buckets = make(map[string]*TokenBucket)
 	}
-	a := b.services[service]
+	a := b.buckets[service]
 	if a == nil {
-		a = &Allowance{}
-		b.services[service] = a
+		a = &TokenBucket{}
+		b.buckets[service] = a
 	}
 	bounds := b.Bounds()
-	a.Share = budgetSafe * bounds.Share
-	part := budgetSafe * bounds.Slack / float64(max(b.Entries(), 1))
+	a.Ratio = budgetSafetyRatio * bounds.Ratio
+	slack := budgetSafetyRatio * bounds.Slack / float64(max(b.Entries(), 1))
 	// Half at once, half over the window: no window gets more than the whole. Among
 	// many entries a part is less than one repeat: it is saved up, as one given to
 	// each at its start would make more repeats than the whole fleet may.
-	a.Bank = max(part/2, 1)
-	a.Begin = part / 2
-	a.Floor = part / 2 / max(bounds.Window, time.Second).Seconds()
+	a.Capacity = max(slack/2, 1)
+	a.Initial = slack / 2
+	a.Rate = slack / 2 / max(bounds.Window, time.Second).Seconds()
 	return a
 }
 
@@ -58,12 +58,12 @@
 func (b *Budgets) Earn(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.allowance(service).Deposit(now)
+	b.bucket(service).Deposit(now)
 }
 
 // Spend takes one repeat; false means that none is left.
 func (b *Budgets) Spend(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allowance(service).TryWithdraw(now)
+	return b.bucket(service).TryWithdraw(now)
 }
