--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -14,7 +14,7 @@
 
 // fleetBounds are those of an installation: a fifth of the requests, and 56 more, in
 // any ten seconds.
-var fleetBounds = retry.Bounds{Share: 0.2, Slack: 56, Window: 10 * time.Second}
+var fleetBounds = retry.Bounds{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 
 // A service fails all that it gets. Every entry repeats every request as often as it
 // may, and what is left of the service gets twice its load. The bound is over all
@@ -30,14 +30,14 @@
 				}
 			}
 			now := time.Unix(0, 0)
-			first, again := make([]int, 40), make([]int, 40)
+			first, repeated := make([]int, 40), make([]int, 40)
 			for second := range 40 {
 				for n := range 100 {
 					b := list[n*n%entries]
 					b.Earn(now, "s")
 					first[second]++
 					for b.Spend(now, "s") {
-						again[second]++
+						repeated[second]++
 					}
 					now = now.Add(10 * time.Millisecond)
 				}
@@ -46,7 +46,7 @@
 			for second := range 30 {
 				sent, repeats := 0, 0
 				for k := second; k < second+10; k++ {
-					sent, repeats = sent+first[k], repeats+again[k]
+					sent, repeats = sent+first[k], repeats+repeated[k]
 				}
 				sum += repeats
 				assert.Assert(t, float64(repeats) <= 0.2*float64(sent)+56, "%d repeats of %d", repeats, sent)
@@ -78,34 +78,34 @@
 // However the tries of a request end: what is not idempotent is never sent again once
 // it may have run, no more targets than the route allows may run it, and "not run" is
 // said only when no try may have run. A caller who is told "not run" books again.
-func TestTally(t *testing.T) {
+func TestAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var tally retry.Tally
+		var attempts retry.Attempts
 		idempotent := rapid.Bool().Draw(t, "idempotent")
-		most := rapid.IntRange(1, 4).Draw(t, "most")
+		maxAttempts := rapid.IntRange(1, 4).Draw(t, "most")
 		ran := 0
 		for range 20 {
 			run := rapid.SampledFrom([]chestnutstep.RunStatus{chestnutstep.RunNo, chestnutstep.RunMaybe, chestnutstep.RunYes}).Draw(t, "run")
 			if rapid.Bool().Draw(t, "unreached") {
-				tally.Unreached++
+				attempts.Unreached++
 			} else {
-				tally.Add(run)
+				attempts.Record(run)
 				if run != chestnutstep.RunNo {
 					ran++
 				}
 			}
-			if !tally.Again(idempotent, most) {
+			if !attempts.CanRetry(idempotent, maxAttempts) {
 				break
 			}
 		}
-		if tally.NotRun() != (ran == 0) {
-			t.Fatalf("not run is %v, and %d may have run", tally.NotRun(), ran)
+		if attempts.NotRun() != (ran == 0) {
+			t.Fatalf("not run is %v, and %d may have run", attempts.NotRun(), ran)
 		}
-		if ran > most || !idempotent && ran > 1 {
-			t.Fatalf("%d may have run, %d allowed", ran, most)
+		if ran > maxAttempts || !idempotent && ran > 1 {
+			t.Fatalf("%d may have run, %d allowed", ran, maxAttempts)
 		}
-		if tally.Unreached > 6 {
-			t.Fatalf("%d targets tried that can't be reached", tally.Unreached)
+		if attempts.Unreached > 6 {
+			t.Fatalf("%d targets tried that can't be reached", attempts.Unreached)
 		}
 	})
 }
--- a/trial/flood.go
+++ b/trial/flood.go
@@ -181,7 +181,7 @@
 		return
 	}
 	r.again = true
-	s.after(admit.Back(r.id, surgeKinds[r.kind].objective), func() { s.send(r) })
+	s.after(admit.RetryAfter(r.id, surgeKinds[r.kind].objective), func() { s.send(r) })
 }
 
 // begin starts what a target has slots for.
