--- a/board/board.go
+++ b/board/board.go
@@ -46,7 +46,7 @@
 	targets map[uint32]*state
 	// holds is by the low half of a part's ID, and by target.
 	holds map[uint32]map[uint32]hold
-	news  []share.Hold
+	news  []share.CachedPart
 	gone  []uint32
 	peers map[netip.AddrPort]*peer
 	sums  map[uint32]share.Load
@@ -170,7 +170,7 @@
 		Running:    float64(b.runningAt(m)),
 		Limit:      limit,
 		Unreported: b.unreported(l.now, s, limit),
-		Reading:    float64(s.reading + readingUnit*int(b.sums[m.key].Reading)),
+		Reading:    float64(s.reading + readingUnit*int(b.sums[m.key].PendingPrefill)),
 		Slots:      m.Slots,
 		Held:       b.held(l.now, m.cache, l.need.Parts, false),
 		Failing:    s.health.failing(),
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -51,7 +51,7 @@
 // talk lets each entry tell all others.
 func talk(list []*board.Board, now clock.Stamp) {
 	for i, from := range list {
-		r := &share.Report{From: addr(i), Loads: from.Loads(), Holds: from.Holds(), Gone: from.Gone()}
+		r := &share.Report{From: addr(i), Loads: from.Loads(), CachedParts: from.Holds(), Replaced: from.Gone()}
 		for j, to := range list {
 			if i != j {
 				to.MergeReport(now, r)
--- a/board/domain.go
+++ b/board/domain.go
@@ -109,18 +109,18 @@
 }
 
 // merge takes what a near entry has seen.
-func (d *domain) merge(now clock.Stamp, from netip.AddrPort, r share.Domain, wait time.Duration) {
-	if r.Answered >= 0 {
-		d.answeredAt = max(d.answeredAt, ago(now, r.Answered))
+func (d *domain) merge(now clock.Stamp, from netip.AddrPort, r share.DomainHealth, wait time.Duration) {
+	if r.AnsweredAgo >= 0 {
+		d.answeredAt = max(d.answeredAt, ago(now, r.AnsweredAgo))
 		if d.answered() {
 			d.recordResponse(d.answeredAt)
 		}
 	}
-	if r.TimedOut >= 0 {
-		d.near[from] = timeouts{ago(now, r.TimedOut), int(r.Targets)}
+	if r.TimedOutAgo >= 0 {
+		d.near[from] = timeouts{ago(now, r.TimedOutAgo), int(r.TimedOutTargets)}
 	}
 	d.forget(now)
-	if !d.answered() && (r.Lost || d.silentForAll()) {
+	if !d.answered() && (r.Avoided || d.silentForAll()) {
 		d.leaveToOthers(now, wait)
 	}
 }
@@ -171,16 +171,16 @@
 }
 
 // report says what this entry has seen of late; false for nothing.
-func (d *domain) report(now clock.Stamp, name string) (share.Domain, bool) {
+func (d *domain) report(now clock.Stamp, name string) (share.DomainHealth, bool) {
 	d.forget(now)
-	r := share.Domain{
-		Name: DomainKey(name), Answered: age(now, d.answeredHere), TimedOut: -1,
-		Targets: uint8(min(len(d.silent), math.MaxUint8)), Lost: d.pause > 0,
+	r := share.DomainHealth{
+		Name: DomainKey(name), AnsweredAgo: age(now, d.answeredHere), TimedOutAgo: -1,
+		TimedOutTargets: uint8(min(len(d.silent), math.MaxUint8)), Avoided: d.pause > 0,
 	}
-	if r.Lost || r.Targets > 0 {
-		r.TimedOut = age(now, d.lastTimeout())
+	if r.Avoided || r.TimedOutTargets > 0 {
+		r.TimedOutAgo = age(now, d.lastTimeout())
 	}
-	return r, r.Answered >= 0 || r.TimedOut >= 0
+	return r, r.AnsweredAgo >= 0 || r.TimedOutAgo >= 0
 }
 
 // age is how long ago something was, in milliseconds; -1 for too long.
@@ -221,10 +221,10 @@
 }
 
 // Domains lists what this entry has seen of failure domains of late, for the peers.
-func (b *Board) Domains(now clock.Stamp) []share.Domain {
+func (b *Board) Domains(now clock.Stamp) []share.DomainHealth {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []share.Domain
+	var list []share.DomainHealth
 	for name, d := range b.domains {
 		if r, ok := d.report(now, name); ok {
 			list = append(list, r)
@@ -234,7 +234,7 @@
 }
 
 // mergeDomains takes what another entry of the own failure domain has seen.
-func (b *Board) mergeDomains(now clock.Stamp, from netip.AddrPort, list []share.Domain) {
+func (b *Board) mergeDomains(now clock.Stamp, from netip.AddrPort, list []share.DomainHealth) {
 	for _, r := range list {
 		for name, d := range b.domains {
 			if DomainKey(name) == r.Name {
--- a/board/holds.go
+++ b/board/holds.go
@@ -40,7 +40,7 @@
 	}
 	for _, p := range parts[:len(parts)-1] {
 		if b.recordPart(now, uint32(p.ID), key, ready) {
-			b.news = append(b.news, share.Hold{Target: key, Part: uint32(p.ID), Ready: ready})
+			b.news = append(b.news, share.CachedPart{Target: key, Part: uint32(p.ID), Ready: ready})
 		}
 	}
 }
@@ -88,10 +88,10 @@
 }
 
 // Lists returns all that is known of caches, for a peer that has just started.
-func (b *Board) Lists(now clock.Stamp) []share.List {
+func (b *Board) Lists(now clock.Stamp) []share.CacheList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	byTarget := make(map[uint32]*share.List)
+	byTarget := make(map[uint32]*share.CacheList)
 	for part, m := range b.holds {
 		for key, h := range m {
 			if !h.ready || now.Sub(h.at) > holdKeep {
@@ -99,7 +99,7 @@
 			}
 			l := byTarget[key]
 			if l == nil {
-				l = &share.List{Target: key}
+				l = &share.CacheList{Target: key}
 				byTarget[key] = l
 			}
 			l.Add(part)
@@ -107,10 +107,10 @@
 	}
 	for key := range b.listed {
 		if byTarget[key] == nil {
-			byTarget[key] = &share.List{Target: key}
+			byTarget[key] = &share.CacheList{Target: key}
 		}
 	}
-	lists := make([]share.List, 0, len(byTarget))
+	lists := make([]share.CacheList, 0, len(byTarget))
 	for _, l := range byTarget {
 		lists = append(lists, *l)
 	}
@@ -118,7 +118,7 @@
 }
 
 // MergeLists notes what a peer knows of caches.
-func (b *Board) MergeLists(now clock.Stamp, lists []share.List) {
+func (b *Board) MergeLists(now clock.Stamp, lists []share.CacheList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.begin()
--- a/board/peers.go
+++ b/board/peers.go
@@ -69,22 +69,22 @@
 			continue
 		}
 		list = append(list, share.Load{
-			Target:  key,
-			Running: uint16(min(s.running, 1<<16-1)),
-			Reading: uint16(min(max(s.reading, 0)/readingUnit, 1<<16-1)),
+			Target:         key,
+			Running:        uint16(min(s.running, 1<<16-1)),
+			PendingPrefill: uint16(min(max(s.reading, 0)/readingUnit, 1<<16-1)),
 		})
 	}
 	return list
 }
 
 // Kept lists the places that this entry keeps free.
-func (b *Board) Kept(now clock.Stamp) []share.Kept {
+func (b *Board) Kept(now clock.Stamp) []share.Reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []share.Kept
+	var list []share.Reservation
 	for _, u := range b.services {
 		if part := uint8(100 * u.fair.Reserve(now)); part > 0 {
-			list = append(list, share.Kept{Service: u.key, Part: part})
+			list = append(list, share.Reservation{Service: u.key, Percent: part})
 		}
 	}
 	return list
@@ -92,11 +92,11 @@
 
 // mergeKept keeps as much free as a peer does. An entry that kept less would give away
 // what the others leave, and what a workspace is refused there it gets here.
-func (b *Board) mergeKept(now clock.Stamp, list []share.Kept) {
+func (b *Board) mergeKept(now clock.Stamp, list []share.Reservation) {
 	for _, k := range list {
 		for _, u := range b.services {
 			if u.key == k.Service {
-				u.fair.RaiseReserve(now, float64(k.Part)/100)
+				u.fair.RaiseReserve(now, float64(k.Percent)/100)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 
 // Holds returns what this entry's requests have changed in targets' caches since the last
 // call.
-func (b *Board) Holds() []share.Hold {
+func (b *Board) Holds() []share.CachedPart {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := b.news
@@ -127,7 +127,7 @@
 		b.most, b.mostAt = len(b.peers)+1, now
 	}
 	if r.Partial {
-		b.mergeLists(now, r.Lists)
+		b.mergeLists(now, r.CacheLists)
 		return
 	}
 	b.add(p.loads, -1)
@@ -137,8 +137,8 @@
 		p.loads = nil
 	}
 	b.add(p.loads, 1)
-	b.mergeKept(now, r.Kept)
-	for _, key := range r.Gone {
+	b.mergeKept(now, r.Reservations)
+	for _, key := range r.Replaced {
 		if s := b.targets[key]; s != nil {
 			b.setApart(s)
 			s.health.take(now, Replaced)
@@ -148,7 +148,7 @@
 	if r.Domain == DomainKey(b.Domain) {
 		b.mergeDomains(now, r.From, r.Domains)
 	}
-	for _, h := range r.Holds {
+	for _, h := range r.CachedParts {
 		if old, known := b.holds[h.Part][h.Target]; !known || h.Ready && !old.ready {
 			b.recordPart(now, h.Part, h.Target, h.Ready)
 		}
@@ -156,7 +156,7 @@
 }
 
 // mergeLists takes whole caches from a peer.
-func (b *Board) mergeLists(now clock.Stamp, lists []share.List) {
+func (b *Board) mergeLists(now clock.Stamp, lists []share.CacheList) {
 	for _, l := range lists {
 		l.Each(func(part uint32) { b.list(now, l.Target, part) })
 		b.listed[l.Target] = true
@@ -169,11 +169,11 @@
 		s := b.sums[l.Target]
 		before := int(s.Running)
 		s.Running = uint16(max(int(s.Running)+sign*int(l.Running), 0))
-		s.Reading = uint16(max(int(s.Reading)+sign*int(l.Reading), 0))
+		s.PendingPrefill = uint16(max(int(s.PendingPrefill)+sign*int(l.PendingPrefill), 0))
 		if known := b.targets[l.Target]; known != nil {
 			known.addToArea(int(s.Running) - before)
 		}
-		if s.Running == 0 && s.Reading == 0 {
+		if s.Running == 0 && s.PendingPrefill == 0 {
 			delete(b.sums, l.Target)
 			continue
 		}
--- a/cmd/chestnutstep/serve.go
+++ b/cmd/chestnutstep/serve.go
@@ -48,7 +48,7 @@
 	n := &node.Direct{
 		Settings: s,
 		Source:   store.TopicSource,
-		Facts:    store,
+		Decoder:  store,
 		Wire:     platform.HeaderCodec{},
 		Caches:   platform.NewTargetClient(),
 		Reloader: &config.Reloader{Path: file, Parse: parse, Read: raw},
--- a/dial/dial.go
+++ b/dial/dial.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	// connectLimit bounds one attempt to connect. A host that is cut off does
+	// connectTimeout bounds one attempt to connect. A host that is cut off does
 	// not refuse, it stays silent; callers have 1.4 s to their first token.
-	connectLimit = 400 * time.Millisecond
-	// backoffMost bounds the pause between attempts, so that a host that comes
+	connectTimeout = 400 * time.Millisecond
+	// maxBackoff bounds the pause between attempts, so that a host that comes
 	// back is used again within seconds.
-	backoffMost = 2 * time.Second
-	// pingAfter and pingLimit find a peer that went silent under open streams.
-	pingAfter = 10 * time.Second
-	pingLimit = 3 * time.Second
-	// buffer is smaller than gRPC's 32 KiB: two of these stand for each
+	maxBackoff = 2 * time.Second
+	// pingInterval and pingLimit find a peer that went silent under open streams.
+	pingInterval = 10 * time.Second
+	pingTimeout  = 3 * time.Second
+	// bufferSize is smaller than gRPC's 32 KiB: two of these stand for each
 	// connection, and an entry may hold hundreds.
-	buffer = 8 << 10
-	// DefaultIdle closes a connection that carried nothing for this long.
-	DefaultIdle = time.Minute
+	bufferSize = 8 << 10
+	// DefaultIdleTimeout closes a connection that carried nothing for this long.
+	DefaultIdleTimeout = time.Minute
 )
 
 // Pool keeps one connection for each address in use. Set the fields first.
 type Pool struct {
 	// Credentials of the links; insecure ones only where settings allow it.
 	Credentials credentials.TransportCredentials
-	// Idle is when an unused connection is closed.
-	Idle time.Duration
+	// IdleTimeout is when an unused connection is closed.
+	IdleTimeout time.Duration
 
 	mu    sync.Mutex
-	conns map[string]*pooled
+	conns map[string]*pooledConn
 }
 
-// pooled is a connection and when it was last asked for.
-type pooled struct {
-	conn *grpc.ClientConn
-	used time.Time
+// pooledConn is a connection and when it was last asked for.
+type pooledConn struct {
+	conn     *grpc.ClientConn
+	lastUsed time.Time
 }
 
 // Conn returns the connection to an address. It does not wait for it.
@@ -56,7 +56,7 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	if e := p.conns[addr]; e != nil {
-		e.used = now
+		e.lastUsed = now
 		return e.conn, nil
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr, p.options()...)
@@ -64,37 +64,37 @@
 		return nil, errors.Wrapf(err, "connect to %s", addr)
 	}
 	if p.conns == nil {
-		p.conns = make(map[string]*pooled)
+		p.conns = make(map[string]*pooledConn)
 	}
-	p.conns[addr] = &pooled{conn: conn, used: now}
+	p.conns[addr] = &pooledConn{conn: conn, lastUsed: now}
 	return conn, nil
 }
 
 func (p *Pool) options() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(p.Credentials),
-		grpc.WithIdleTimeout(p.idle()),
-		grpc.WithReadBufferSize(buffer),
-		grpc.WithWriteBufferSize(buffer),
+		grpc.WithIdleTimeout(p.idleTimeout()),
+		grpc.WithReadBufferSize(bufferSize),
+		grpc.WithWriteBufferSize(bufferSize),
 		grpc.WithSharedWriteBuffer(true),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: backoffMost},
-			MinConnectTimeout: connectLimit,
+			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff},
+			MinConnectTimeout: connectTimeout,
 		}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingLimit}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingInterval, Timeout: pingTimeout}),
 	}
 }
 
-func (p *Pool) idle() time.Duration {
-	if p.Idle == 0 {
-		return DefaultIdle
+func (p *Pool) idleTimeout() time.Duration {
+	if p.IdleTimeout == 0 {
+		return DefaultIdleTimeout
 	}
-	return p.Idle
+	return p.IdleTimeout
 }
 
 // Run forgets connections that have been idle for long, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(p.idle())
+	tick := time.NewTicker(p.idleTimeout())
 	defer tick.Stop()
 	for {
 		select {
@@ -112,7 +112,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, e := range p.conns {
-		if now.Sub(e.used) < 2*p.idle() || e.conn.GetState() != connectivity.Idle {
+		if now.Sub(e.lastUsed) < 2*p.idleTimeout() || e.conn.GetState() != connectivity.Idle {
 			continue
 		}
 		_ = e.conn.Close()
@@ -127,9 +127,9 @@
 	return len(p.conns)
 }
 
-// Reach connects to an address, or says why it can't within ctx. A frozen
+// Connect connects to an address, or says why it can't within ctx. A frozen
 // process does not answer the connection's first frames, so it isn't reached.
-func (p *Pool) Reach(ctx context.Context, addr string) error {
+func (p *Pool) Connect(ctx context.Context, addr string) error {
 	c, err := p.Conn(addr)
 	if err != nil {
 		return err
--- a/dial/dial_test.go
+++ b/dial/dial_test.go
@@ -16,29 +16,29 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// server is a peer that answers nothing but holds its connections.
-func server(t testing.TB) string {
+// startServer is a peer that answers nothing but holds its connections.
+func startServer(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	srv := grpc.NewServer(grpc.ReadBufferSize(buffer), grpc.WriteBufferSize(buffer), grpc.SharedWriteBuffer(true))
+	srv := grpc.NewServer(grpc.ReadBufferSize(bufferSize), grpc.WriteBufferSize(bufferSize), grpc.SharedWriteBuffer(true))
 	wire.RegisterPeerServer(srv, wire.UnimplementedPeerServer{})
 	go func() { _ = srv.Serve(l) }()
 	t.Cleanup(srv.Stop)
 	return l.Addr().String()
 }
 
-func reach(t testing.TB, p *Pool, addr string) {
+func connect(t testing.TB, p *Pool, addr string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	assert.NilError(t, p.Reach(ctx, addr))
+	assert.NilError(t, p.Connect(ctx, addr))
 }
 
 // An entry talks to each of 2,700 targets a few times an hour. Connections that
 // stayed open would fill its memory until it is killed in mid-answer.
 func TestIdleConnectionsAreClosedAndForgotten(t *testing.T) {
-	p := &Pool{Credentials: insecure.NewCredentials(), Idle: 50 * time.Millisecond}
-	addr := server(t)
-	reach(t, p, addr)
+	p := &Pool{Credentials: insecure.NewCredentials(), IdleTimeout: 50 * time.Millisecond}
+	addr := startServer(t)
+	connect(t, p, addr)
 	conn := p.conns[addr].conn
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if s := conn.GetState(); s != connectivity.Idle {
@@ -46,33 +46,33 @@
 		}
 		return poll.Success()
 	}, poll.WithTimeout(10*time.Second))
-	p.sweep(p.conns[addr].used)
+	p.sweep(p.conns[addr].lastUsed)
 	assert.Equal(t, p.Len(), 1)
 	p.sweep(time.Now().Add(time.Minute))
 	assert.Equal(t, p.Len(), 0)
-	reach(t, p, addr)
+	connect(t, p, addr)
 }
 
 // A long answer is under way on a connection that was taken out of the pool a
 // while ago. Closing it would cut the answer.
 func TestConnectionInUseIsKept(t *testing.T) {
 	p := &Pool{Credentials: insecure.NewCredentials()}
-	addr := server(t)
-	reach(t, p, addr)
+	addr := startServer(t)
+	connect(t, p, addr)
 	p.sweep(time.Now().Add(time.Hour))
 	assert.Equal(t, p.Len(), 1)
 }
 
 // A host that is cut off does not refuse. Whoever waits for it longer than the
 // limit keeps a caller from the next target.
-func TestSilentHostIsGivenUp(t *testing.T) {
+func TestConnectToUnresponsiveHostTimesOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
 	p := &Pool{Credentials: insecure.NewCredentials()}
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	assert.ErrorIs(t, p.Reach(ctx, l.Addr().String()), context.DeadlineExceeded)
+	assert.ErrorIs(t, p.Connect(ctx, l.Addr().String()), context.DeadlineExceeded)
 }
 
 // BenchmarkIdle counts the memory of one open connection that carries nothing,
@@ -81,22 +81,22 @@
 	const conns = 200
 	addrs := make([]string, conns)
 	for i := range addrs {
-		addrs[i] = server(b)
+		addrs[i] = startServer(b)
 	}
 	for b.Loop() {
-		before := inUse()
+		before := memoryInUse()
 		p := &Pool{Credentials: insecure.NewCredentials()}
 		for _, addr := range addrs {
-			reach(b, p, addr)
+			connect(b, p, addr)
 		}
-		b.ReportMetric(float64(inUse()-before)/conns, "B/conn")
+		b.ReportMetric(float64(memoryInUse()-before)/conns, "B/conn")
 		for _, e := range p.conns {
 			e.conn.Close()
 		}
 	}
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/feed/ask.go
+++ b/feed/ask.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// pageMost bounds an answer in bytes: the largest configuration and the list of
+	// maxPageSize bounds an answer in bytes: the largest configuration and the list of
 	// thousands of targets, with room.
-	pageMost = 8 << 20
-	// idleLimit is the longest pause in the middle of a reader's answer.
-	idleLimit = time.Second
+	maxPageSize = 8 << 20
+	// idleTimeout is the longest pause in the middle of a reader's answer.
+	idleTimeout = time.Second
 )
 
 // Read is one call of a reader or of the source.
@@ -28,10 +28,10 @@
 	// Peer that was asked; not valid for the source itself.
 	Peer netip.AddrPort
 	// After is the revision that the changes were asked after; 0 asks for all facts.
-	After uint64
-	Batch chestnutstep.Batch
-	Took  time.Duration
-	Err   error
+	After    uint64
+	Batch    chestnutstep.Batch
+	Duration time.Duration
+	Err      error
 }
 
 // ErrStale is the error of facts that are too old to rely on.
@@ -56,31 +56,31 @@
 	direct bool
 }
 
-// ask reads from one reader. Facts that are too old are an error, and are returned.
-func (s *Source) ask(ctx context.Context, m Member, q query) (chestnutstep.Batch, error) {
-	pace := s.Pace()
-	asked := clock.Now()
-	b, err := s.get(ctx, m, q, pace)
-	if age := clock.Now().Sub(asked) + b.Age; err == nil && age > pace.Fresh && !(q.after == 0 && s.Empty()) {
+// readFromPeer reads from one reader. Facts that are too old are an error, and are returned.
+func (s *Source) readFromPeer(ctx context.Context, m Member, q query) (chestnutstep.Batch, error) {
+	timing := s.Timing()
+	requestedAt := clock.Now()
+	b, err := s.fetchPage(ctx, m, q, timing)
+	if age := clock.Now().Sub(requestedAt) + b.Age; err == nil && age > timing.MaxAge && !(q.after == 0 && s.Empty()) {
 		err = ErrStale{age}
 	}
-	s.onRead(Read{Peer: m.ID, After: q.after, Batch: b, Took: clock.Now().Sub(asked), Err: err})
+	s.reportRead(Read{Peer: m.ID, After: q.after, Batch: b, Duration: clock.Now().Sub(requestedAt), Err: err})
 	return b, err
 }
 
-func (s *Source) get(ctx context.Context, m Member, q query, pace Pace) (b chestnutstep.Batch, err error) {
+func (s *Source) fetchPage(ctx context.Context, m Member, q query, timing Timing) (b chestnutstep.Batch, err error) {
 	values := url.Values{
 		"topic": {s.Topic.String()},
 		"after": {strconv.FormatUint(q.after, 10)},
 		"wait":  {strconv.FormatInt(q.wait.Milliseconds(), 10)},
-		"fresh": {strconv.FormatInt(pace.Fresh.Milliseconds(), 10)},
+		"fresh": {strconv.FormatInt(timing.MaxAge.Milliseconds(), 10)},
 	}
 	if q.direct {
 		values.Set("direct", "1")
 	}
-	u := url.URL{Scheme: "http", Host: m.Feed.String(), Path: Path, RawQuery: values.Encode()}
-	a, err := fetch.Get(ctx, s.client, u.String(), fetch.Limits{First: q.wait + pace.Slack, Idle: idleLimit, Most: pageMost})
-	b.TimeToFirstByte, b.Bytes = a.First, len(a.Body)
+	u := url.URL{Scheme: "http", Host: m.FeedAddr.String(), Path: Path, RawQuery: values.Encode()}
+	a, err := fetch.Get(ctx, s.client, u.String(), fetch.Limits{FirstByteTimeout: q.wait + timing.Slack, IdleTimeout: idleTimeout, MaxBytes: maxPageSize})
+	b.TimeToFirstByte, b.Bytes = a.TimeToFirstByte, len(a.Body)
 	if err != nil {
 		return b, err
 	}
@@ -91,12 +91,12 @@
 	if err != nil {
 		return b, err
 	}
-	p.fill(&b, s.Decoder)
+	p.fillBatch(&b, s.Decoder)
 	return b, nil
 }
 
-// onRead reports a call, unless it found that nothing has changed.
-func (s *Source) onRead(r Read) {
+// reportRead reports a call, unless it found that nothing has changed.
+func (s *Source) reportRead(r Read) {
 	if s.OnRead != nil && (r.Err != nil || len(r.Batch.Facts) > 0) {
 		s.OnRead(r)
 	}
--- a/feed/choice.go
+++ b/feed/choice.go
@@ -13,16 +13,16 @@
 type Member struct {
 	// ID is the address of its datagrams, which all entries know it by.
 	ID netip.AddrPort
-	// Feed is the address at which it serves its facts.
-	Feed netip.AddrPort
+	// FeedAddr is the address at which it serves its facts.
+	FeedAddr netip.AddrPort
 	// Link is the rate of its host's link in Mbit/s; 0 for an unknown one.
 	Link int
 }
 
 // Choice says where an entry reads.
 type Choice struct {
-	// Reader says that the entry is one of those that read the source itself.
-	Reader bool
+	// IsReader says that the entry is one of those that read the source itself.
+	IsReader bool
 	// Parents are the other readers, in the order in which this entry asks them.
 	Parents []Member
 }
@@ -34,26 +34,26 @@
 // configuration on to some 25 others, and one on a slow link keeps them waiting for seconds.
 func Choose(self Member, members []Member) Choice {
 	n := Readers(len(members) + 1)
-	ranked := sorted(append([]Member{self}, members...), byLink)
-	before := slices.IndexFunc(ranked, func(m Member) bool { return m.ID == self.ID })
-	ranked = slices.Delete(ranked, before, before+1)
-	c := Choice{Reader: before < n}
-	if c.Reader {
+	ranked := sortedBy(append([]Member{self}, members...), byLink)
+	position := slices.IndexFunc(ranked, func(m Member) bool { return m.ID == self.ID })
+	ranked = slices.Delete(ranked, position, position+1)
+	c := Choice{IsReader: position < n}
+	if c.IsReader {
 		n--
 	}
-	near := func(m Member) (int, uint64) { return 0, distance(self.ID, m.ID) }
-	c.Parents = sorted(ranked[:min(n, len(ranked))], near)
+	byHash := func(m Member) (int, uint64) { return 0, hashAddrs(self.ID, m.ID) }
+	c.Parents = sortedBy(ranked[:min(n, len(ranked))], byHash)
 	return c
 }
 
 // byLink orders members by the class of their links, the fastest first, and by a hash in each.
-func byLink(m Member) (class int, hash uint64) { return -linkClass(m.Link), rank(m.ID) }
+func byLink(m Member) (class int, hash uint64) { return -linkClass(m.Link), hashAddr(m.ID) }
 
 // linkClass is the same for links whose rates differ by less than a factor of four or so.
 func linkClass(rate int) int { return bits.Len(uint(max(rate, 0))) / 2 }
 
-// sorted returns the members in the order of a class and a hash.
-func sorted(members []Member, order func(Member) (class int, hash uint64)) []Member {
+// sortedBy returns the members in the order of a class and a hash.
+func sortedBy(members []Member, order func(Member) (class int, hash uint64)) []Member {
 	type ordered struct {
 		Member
 		class int
@@ -74,9 +74,9 @@
 	return out
 }
 
-func rank(a netip.AddrPort) uint64 { return xxhash.Sum64(appendAddr(nil, a)) }
+func hashAddr(a netip.AddrPort) uint64 { return xxhash.Sum64(appendAddr(nil, a)) }
 
-func distance(from, to netip.AddrPort) uint64 {
+func hashAddrs(from, to netip.AddrPort) uint64 {
 	return xxhash.Sum64(appendAddr(appendAddr(nil, from), to))
 }
 
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -52,36 +52,36 @@
 	feed   *feed.Server
 	server *httptest.Server
 
-	mu     sync.Mutex
-	silent bool
-	lost   int
+	mu           sync.Mutex
+	unresponsive bool
+	lost         int
 }
 
 func (e *entry) member() feed.Member {
-	return feed.Member{ID: e.id, Feed: netip.MustParseAddrPort(strings.TrimPrefix(e.server.URL, "http://"))}
+	return feed.Member{ID: e.id, FeedAddr: netip.MustParseAddrPort(strings.TrimPrefix(e.server.URL, "http://"))}
 }
 
 // ServeHTTP serves the entry's facts, or nothing while it is silent.
 func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	silent := e.silent
+	unresponsive := e.unresponsive
 	e.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-r.Context().Done()
 		return
 	}
 	e.feed.ServeHTTP(w, r)
 }
 
-func (e *entry) Changed(roster.Change, clock.Stamp) {}
+func (e *entry) OnChange(roster.Change, clock.Stamp) {}
 
-func (e *entry) Lost(chestnutstep.Topic, error) {
+func (e *entry) OnSourceLost(chestnutstep.Topic, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lost++
 }
 
-func (e *entry) Regained(chestnutstep.Topic) {}
+func (e *entry) OnSourceRegained(chestnutstep.Topic) {}
 
 func (e *entry) losses() int {
 	e.mu.Lock()
@@ -93,12 +93,12 @@
 	t.Helper()
 	f := &fleet{store: stand.NewStore()}
 	f.publish(1)
-	f.begin(t, n)
+	f.startAll(t, n)
 	return f
 }
 
-// begin starts the entries.
-func (f *fleet) begin(t *testing.T, n int) {
+// startAll starts the entries.
+func (f *fleet) startAll(t *testing.T, n int) {
 	t.Helper()
 	for i := range n {
 		e := &entry{
@@ -115,7 +115,7 @@
 		f.start(t, e)
 	}
 	for _, e := range f.entries {
-		until(t, func() bool { return e.roster.Version() == 1 }, "each entry has read the facts")
+		waitUntil(t, func() bool { return e.roster.Version() == 1 }, "each entry has read the facts")
 	}
 }
 
@@ -128,23 +128,23 @@
 	store := platform.NewStore(e.door.Address(), dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	pace, gate, pauses := feed.NewPace(bound), &feed.Gate{}, &watch.Pauses{}
+	timing, breaker, backoff := feed.NewTiming(bound), &feed.Breaker{}, &watch.Backoff{}
 	for topic := range chestnutstep.TopicCount {
 		source := &feed.Source{
 			Topic: topic, Source: store.TopicSource(topic), Decoder: store, Dial: dial, Self: feed.Member{ID: e.id},
 			Members:  func() []feed.Member { return f.others(e) },
-			Pace:     func() feed.Pace { return pace },
+			Timing:   func() feed.Timing { return timing },
 			Empty:    func() bool { return !e.roster.Listed(topic) },
 			OnParent: func(netip.AddrPort, error) {},
-			Gate:     gate,
+			Breaker:  breaker,
 		}
 		if f.seeds > 0 {
-			source.Informed = func() (feed.Member, bool) { return f.informed(e) }
-			source.CopyWait = func() time.Duration { return f.copyWait(e) }
+			source.PeerWithFacts = func() (feed.Member, bool) { return f.entryWithFacts(e) }
+			source.CopyTimeout = func() time.Duration { return f.copyTimeout(e) }
 		}
 		w := &watch.Watcher{
-			Topic: topic, Source: source, Roster: e.roster, Notify: e, Pauses: pauses,
-			Wait: func() time.Duration { return pace.Wait }, Rest: func() time.Duration { return pace.Rest },
+			Topic: topic, Source: source, Roster: e.roster, Observer: e, Backoff: backoff,
+			Wait: func() time.Duration { return timing.SourceWait }, BatchDelay: func() time.Duration { return timing.BatchDelay },
 		}
 		go w.Run(ctx)
 	}
@@ -160,8 +160,8 @@
 	return list
 }
 
-// informed returns an entry that has facts.
-func (f *fleet) informed(e *entry) (feed.Member, bool) {
+// entryWithFacts returns an entry that has facts.
+func (f *fleet) entryWithFacts(e *entry) (feed.Member, bool) {
 	for _, i := range rand.Perm(len(f.entries)) {
 		if x := f.entries[i]; x != e && x.roster.View() != nil {
 			return x.member(), true
@@ -170,8 +170,8 @@
 	return feed.Member{}, false
 }
 
-// copyWait is none for seeds, and longer than any test for the others.
-func (f *fleet) copyWait(e *entry) time.Duration {
+// copyTimeout is none for seeds, and longer than any test for the others.
+func (f *fleet) copyTimeout(e *entry) time.Duration {
 	if slices.Index(f.entries, e) < f.seeds {
 		return 0
 	}
@@ -182,16 +182,16 @@
 	f.store.Put("op/config", map[string]any{"version": version, "services": []any{map[string]any{"name": "s"}}})
 }
 
-func (f *fleet) target(id, state string) {
+func (f *fleet) putTarget(id, state string) {
 	f.store.Put("servers/"+id, map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "z", "slots": 4, "state": state})
 }
 
-// ready lets a target join and waits until all entries know it.
-func (f *fleet) ready(t *testing.T, id string) {
+// addReadyTarget lets a target join and waits until all entries know it.
+func (f *fleet) addReadyTarget(t *testing.T, id string) {
 	t.Helper()
-	f.target(id, "ready")
+	f.putTarget(id, "ready")
 	for _, e := range f.entries {
-		until(t, func() bool { return e.roster.View().ByID[id] != nil }, "the target is known")
+		waitUntil(t, func() bool { return e.roster.View().ByID[id] != nil }, "the target is known")
 	}
 }
 
@@ -199,7 +199,7 @@
 func (f *fleet) readers() []*entry {
 	var list []*entry
 	for _, e := range f.entries {
-		if feed.Choose(feed.Member{ID: e.id}, f.others(e)).Reader {
+		if feed.Choose(feed.Member{ID: e.id}, f.others(e)).IsReader {
 			list = append(list, e)
 		}
 	}
@@ -214,7 +214,7 @@
 	return n
 }
 
-func until(t *testing.T, ok func() bool, what string) {
+func waitUntil(t *testing.T, ok func() bool, what string) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if ok() {
@@ -232,18 +232,18 @@
 	assert.Equal(t, len(f.readers()), 2)
 	before, began := f.calls(), time.Now()
 	for i := range changes {
-		f.target(fmt.Sprint("i-", i), "ready")
+		f.putTarget(fmt.Sprint("i-", i), "ready")
 		f.publish(2 + i)
 		for _, e := range f.entries {
-			until(t, func() bool { return e.roster.Version() == uint64(2+i) }, "the change is in force")
+			waitUntil(t, func() bool { return e.roster.Version() == uint64(2+i) }, "the change is in force")
 		}
 	}
 	for _, e := range f.entries {
-		until(t, func() bool { return len(e.roster.View().ByID) == changes }, "all targets are known")
+		waitUntil(t, func() bool { return len(e.roster.View().ByID) == changes }, "all targets are known")
 		assert.Equal(t, e.losses(), 0)
 	}
-	pace := feed.NewPace(bound)
-	perReader := 2*changes + int(time.Since(began)/pace.Wait) + 2
+	timing := feed.NewTiming(bound)
+	perReader := 2*changes + int(time.Since(began)/timing.SourceWait) + 2
 	calls := f.calls() - before
 	assert.Assert(t, calls <= 2*perReader, "%d calls in %s", calls, time.Since(began))
 }
@@ -255,11 +255,11 @@
 	f := &fleet{store: stand.NewStore(), seeds: 2}
 	f.publish(1)
 	for i := range targets {
-		f.target(fmt.Sprint("i-", i), "ready")
+		f.putTarget(fmt.Sprint("i-", i), "ready")
 	}
-	f.begin(t, entries)
+	f.startAll(t, entries)
 	for _, e := range f.entries {
-		until(t, func() bool { return len(e.roster.View().ByID) == targets }, "all targets are known")
+		waitUntil(t, func() bool { return len(e.roster.View().ByID) == targets }, "all targets are known")
 	}
 	listed := 0
 	for _, e := range f.entries {
@@ -275,15 +275,15 @@
 	f := newFleet(t, 1)
 	release := make(chan struct{})
 	var all sync.WaitGroup
-	held := make(chan struct{}, 2)
+	blocked := make(chan struct{}, 2)
 	for range 2 {
 		all.Go(func() {
-			w := &heldWriter{ResponseRecorder: httptest.NewRecorder(), held: held, release: release}
+			w := &blockedWriter{ResponseRecorder: httptest.NewRecorder(), blocked: blocked, release: release}
 			f.entries[0].feed.ServeHTTP(w, httptest.NewRequest(http.MethodGet, feed.Path+"?topic=targets&after=0", nil))
 		})
 	}
-	<-held
-	<-held
+	<-blocked
+	<-blocked
 	w := httptest.NewRecorder()
 	f.entries[0].feed.ServeHTTP(w, httptest.NewRequest(http.MethodGet, feed.Path+"?topic=targets&after=0", nil))
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
@@ -294,27 +294,27 @@
 	assert.Equal(t, w.Code, http.StatusOK)
 }
 
-// heldWriter is a peer that reads nothing until it is released.
-type heldWriter struct {
+// blockedWriter is a peer that reads nothing until it is released.
+type blockedWriter struct {
 	*httptest.ResponseRecorder
-	held, release chan struct{}
+	blocked, release chan struct{}
 }
 
-func (w *heldWriter) Write(b []byte) (int, error) {
-	w.held <- struct{}{}
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	w.blocked <- struct{}{}
 	<-w.release
 	return w.ResponseRecorder.Write(b)
 }
 
-// TestFollowersOutliveReaders guards against followers that rely on readers which are
+// TestFollowersSurviveReaderFailures guards against followers that rely on readers which are
 // silent, ended, or cut off from the store without noticing it: a target that leaves then
 // goes on getting requests.
-func TestFollowersOutliveReaders(t *testing.T) {
+func TestFollowersSurviveReaderFailures(t *testing.T) {
 	for name, fail := range map[string]func(e *entry){
 		"silent": func(e *entry) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.silent = true
+			e.unresponsive = true
 			e.server.CloseClientConnections()
 		},
 		"ended":   func(e *entry) { e.server.CloseClientConnections(); _ = e.server.Listener.Close() },
@@ -323,18 +323,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 12)
-			f.ready(t, "i-a")
+			f.addReadyTarget(t, "i-a")
 			readers := f.readers()
 			for _, e := range readers {
 				fail(e)
 			}
-			f.target("i-a", "draining")
+			f.putTarget("i-a", "draining")
 			began := time.Now()
 			for _, e := range f.entries {
 				if name == "cut off" && isOneOf(e, readers) {
 					continue
 				}
-				until(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target's leaving is known")
+				waitUntil(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target's leaving is known")
 			}
 			t.Logf("known after %s", time.Since(began))
 		})
@@ -372,7 +372,7 @@
 		e.door.Set(stand.None)
 	}
 	for _, e := range f.entries {
-		until(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
+		waitUntil(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
 	}
 }
 
@@ -381,10 +381,10 @@
 func TestStoreForgetsItsHistory(t *testing.T) {
 	f := newFleet(t, 8)
 	for _, id := range []string{"i-a", "i-b"} {
-		f.target(id, "ready")
+		f.putTarget(id, "ready")
 	}
 	for _, e := range f.entries {
-		until(t, func() bool { return len(e.roster.View().ByID) == 2 }, "the targets are known")
+		waitUntil(t, func() bool { return len(e.roster.View().ByID) == 2 }, "the targets are known")
 		e.door.Set(stand.Reset)
 	}
 	f.store.Remove("servers/i-a")
@@ -394,8 +394,8 @@
 		e.door.Set(stand.None)
 	}
 	for _, e := range f.entries {
-		until(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
-		until(t, func() bool {
+		waitUntil(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
+		waitUntil(t, func() bool {
 			e.roster.Tick(clock.Now())
 			return e.roster.View().ByID["i-a"] == nil
 		}, "the removed target is gone")
@@ -403,9 +403,9 @@
 	}
 }
 
-// TestSomeAreTurnedAway guards against entries that go without facts while the store turns
+// TestSomeEntriesAreRejectedByStore guards against entries that go without facts while the store turns
 // them away and serves others.
-func TestSomeAreTurnedAway(t *testing.T) {
+func TestSomeEntriesAreRejectedByStore(t *testing.T) {
 	f := newFleet(t, 12)
 	readers := f.readers()
 	readers[0].door.Set(stand.Many)
@@ -419,7 +419,7 @@
 	for i := range 4 {
 		f.publish(2 + i)
 		for _, e := range f.entries {
-			until(t, func() bool { return e.roster.Version() == uint64(2+i) }, "the change is in force")
+			waitUntil(t, func() bool { return e.roster.Version() == uint64(2+i) }, "the change is in force")
 		}
 		time.Sleep(bound / 4)
 	}
@@ -440,10 +440,10 @@
 		for i, m := range all {
 			others := append(append([]feed.Member(nil), all[:i]...), all[i+1:]...)
 			c := feed.Choose(m, others)
-			if c.Reader {
+			if c.IsReader {
 				readers++
 				few := feed.Choose(m, others[:len(others)/2])
-				assert.Assert(t, few.Reader || n > 25, "a reader that knows half of the others reads")
+				assert.Assert(t, few.IsReader || n > 25, "a reader that knows half of the others reads")
 				continue
 			}
 			followers[c.Parents[0].ID]++
@@ -455,8 +455,8 @@
 	})
 }
 
-// TestFastHostsRead guards against a reader whose link keeps all that follow it waiting.
-func TestFastHostsRead(t *testing.T) {
+// TestHostsWithFastLinksAreReaders guards against a reader whose link keeps all that follow it waiting.
+func TestHostsWithFastLinksAreReaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 180).Draw(t, "entries")
 		fast := rapid.IntRange(0, n).Draw(t, "fast")
@@ -471,7 +471,7 @@
 		fastReaders := 0
 		for i, m := range all {
 			c := feed.Choose(m, append(append([]feed.Member(nil), all[:i]...), all[i+1:]...))
-			if c.Reader && m.Link == 200 {
+			if c.IsReader && m.Link == 200 {
 				fastReaders++
 			}
 		}
@@ -479,28 +479,28 @@
 	})
 }
 
-// TestPace guards against times that leave no room for a reader's failure within the bound,
+// TestTiming guards against times that leave no room for a reader's failure within the bound,
 // and against calls that grow with the fleet.
-func TestPace(t *testing.T) {
+func TestTiming(t *testing.T) {
 	for _, within := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second, 15 * time.Second} {
-		p := feed.NewPace(within)
+		p := feed.NewTiming(within)
 		b := within
 		if b == 0 {
 			b = 2 * time.Second
 		}
-		for _, poll := range []time.Duration{p.Poll, p.PollRouting} {
-			usual := p.Rest + p.Wait + poll
-			assert.Assert(t, usual < p.Fresh || b < 2*time.Second, "facts are %s old without any failure, at a bound of %s", usual, b)
-			assert.Assert(t, p.Fresh+poll/2+p.Slack <= b, "a reader's failure is noticed after %s", p.Fresh+poll/2+p.Slack)
+		for _, poll := range []time.Duration{p.PeerWait, p.PeerWaitRouting} {
+			typicalAge := p.BatchDelay + p.SourceWait + poll
+			assert.Assert(t, typicalAge < p.MaxAge || b < 2*time.Second, "facts are %s old without any failure, at a bound of %s", typicalAge, b)
+			assert.Assert(t, p.MaxAge+poll/2+p.Slack <= b, "a reader's failure is noticed after %s", p.MaxAge+poll/2+p.Slack)
 		}
-		oldest := p.Rest + 2*p.Wait
-		assert.Assert(t, oldest < p.Fresh || b < 2*time.Second, "a sound reader's facts are %s old, at a bound of %s", oldest, b)
+		maxSoundAge := p.BatchDelay + 2*p.SourceWait
+		assert.Assert(t, maxSoundAge < p.MaxAge || b < 2*time.Second, "a sound reader's facts are %s old, at a bound of %s", maxSoundAge, b)
 	}
 	calls := func(entries int) float64 {
-		return float64(feed.Readers(entries)) / feed.NewPace(bound).Wait.Seconds()
+		return float64(feed.Readers(entries)) / feed.NewTiming(bound).SourceWait.Seconds()
 	}
 	assert.Assert(t, calls(24) < 5, "%f calls a second", calls(24))
 	assert.Assert(t, calls(350) < 40, "%f calls a second", calls(350))
-	rollout := float64(feed.Readers(350)) / feed.NewPace(bound).Rest.Seconds()
+	rollout := float64(feed.Readers(350)) / feed.NewTiming(bound).BatchDelay.Seconds()
 	assert.Assert(t, rollout < 100, "%f calls a second while targets are replaced", rollout)
 }
--- a/feed/gate.go
+++ b/feed/gate.go
@@ -7,16 +7,16 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// sourceAfter is how long an entry that its peers can keep up to date makes no call of the
+// sourceBackoff is how long an entry that its peers can keep up to date makes no call of the
 // source after a failure: all entries together would keep a source busy that is down.
-const sourceAfter = time.Second
+const sourceBackoff = time.Second
 
-// Gate holds back calls of a source that has failed. It is safe for concurrent use, and its
+// Breaker holds back calls of a source that has failed. It is safe for concurrent use, and its
 // zero value is open.
-type Gate struct{ at atomic.Int64 }
+type Breaker struct{ blockedUntil atomic.Int64 }
 
-// open says whether the source may be called.
-func (g *Gate) open(now clock.Stamp) bool { return int64(now) >= g.at.Load() }
+// allows says whether the source may be called.
+func (g *Breaker) allows(now clock.Stamp) bool { return int64(now) >= g.blockedUntil.Load() }
 
-// shut holds calls back for a while.
-func (g *Gate) shut(now clock.Stamp) { g.at.Store(int64(now.Add(sourceAfter))) }
+// trip holds calls back for a while.
+func (g *Breaker) trip(now clock.Stamp) { g.blockedUntil.Store(int64(now.Add(sourceBackoff))) }
--- a/feed/late_test.go
+++ b/feed/late_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	f := &fleet{store: stand.NewStore(), dial: dialSlow}
 	f.publish(1)
-	f.begin(t, n)
+	f.startAll(t, n)
 	return f
 }
 
@@ -61,33 +61,33 @@
 	f.store.Put("op/config", map[string]any{"version": version, "services": []any{map[string]any{"name": "s"}}, "routes": routes})
 }
 
-// TestLargeConfigurationHoldsUpNoTarget guards against a target's leaving that is read only after a large configuration
+// TestLargeConfigurationDoesNotDelayTargets guards against a target's leaving that is read only after a large configuration
 // which was published before it.
-func TestLargeConfigurationHoldsUpNoTarget(t *testing.T) {
+func TestLargeConfigurationDoesNotDelayTargets(t *testing.T) {
 	f := newSlowFleet(t, 12)
-	f.ready(t, "i-a")
+	f.addReadyTarget(t, "i-a")
 	f.publishLarge(2)
-	f.target("i-a", "draining")
+	f.putTarget("i-a", "draining")
 	for _, e := range f.entries {
-		until(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target's leaving is known")
+		waitUntil(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target's leaving is known")
 		assert.Equal(t, e.roster.Version(), uint64(1), "the configuration came first")
 	}
 }
 
-// TestLargeConfigurationArrives guards against a transfer that is given up while bytes arrive, and begun anew for ever.
-func TestLargeConfigurationArrives(t *testing.T) {
+// TestLargeConfigurationTransferCompletes guards against a transfer that is given up while bytes arrive, and begun anew for ever.
+func TestLargeConfigurationTransferCompletes(t *testing.T) {
 	f := newSlowFleet(t, 6)
 	f.publishLarge(2)
 	for _, e := range f.entries {
-		until(t, func() bool { return e.roster.Version() == 2 }, "the configuration is in force")
+		waitUntil(t, func() bool { return e.roster.Version() == 2 }, "the configuration is in force")
 	}
 }
 
-// TestRemovedTargetIsDroppedThoughReadersAreTurnedAway guards against entries that take the loss of their readers, or
+// TestRemovedTargetIsDroppedWhileReadersAreRejected guards against entries that take the loss of their readers, or
 // their own, for an outage in which entries of sound targets lapse: a target that is gone goes on getting requests.
-func TestRemovedTargetIsDroppedThoughReadersAreTurnedAway(t *testing.T) {
+func TestRemovedTargetIsDroppedWhileReadersAreRejected(t *testing.T) {
 	f := newFleet(t, 12)
-	f.ready(t, "i-a")
+	f.addReadyTarget(t, "i-a")
 	for _, e := range f.readers() {
 		e.door.Set(stand.Busy)
 	}
@@ -95,28 +95,28 @@
 		e.door.Set(stand.Busy)
 	}
 	f.store.Remove("servers/i-a")
-	f.target("i-later", "ready")
+	f.putTarget("i-later", "ready")
 	for _, e := range f.entries {
-		until(t, func() bool { return e.roster.View().ByID["i-later"] != nil }, "what changed later is known")
+		waitUntil(t, func() bool { return e.roster.View().ByID["i-later"] != nil }, "what changed later is known")
 		assert.Assert(t, e.roster.View().ByID["i-a"] == nil, "%s still uses the removed target", e.id)
 	}
 }
 
-// TestReportsOfTheVersionProveNoTargets guards against a reader that is cut off from the source, and whose targets pass
+// TestVersionReportsDoNotConfirmTargets guards against a reader that is cut off from the source, and whose targets pass
 // for known because other entries report its version of the configuration.
-func TestReportsOfTheVersionProveNoTargets(t *testing.T) {
+func TestVersionReportsDoNotConfirmTargets(t *testing.T) {
 	f := newFleet(t, 12)
-	f.ready(t, "i-a")
+	f.addReadyTarget(t, "i-a")
 	readers := f.readers()
 	for _, e := range readers {
 		e.door.Set(stand.Silent)
 	}
-	f.target("i-a", "draining")
+	f.putTarget("i-a", "draining")
 	for _, e := range f.entries {
 		if isOneOf(e, readers) {
 			continue
 		}
-		until(t, func() bool {
+		waitUntil(t, func() bool {
 			for _, x := range f.entries {
 				x.roster.Confirm(clock.Now())
 			}
--- a/feed/page.go
+++ b/feed/page.go
@@ -38,22 +38,22 @@
 	headerSettle = "Feed-Settle"
 	// headerRevision is that up to which the facts are.
 	headerRevision = "Feed-Revision"
-	// headerPacked is set where the body is compressed.
-	headerPacked = "Feed-Packed"
+	// headerCompressed is set where the body is compressed.
+	headerCompressed = "Feed-Packed"
 )
 
-// packLeast is the size in bytes from which on a body is compressed.
-const packLeast = 2 << 10
+// minCompressSize is the size in bytes from which on a body is compressed.
+const minCompressSize = 2 << 10
 
 // page is an answer.
 type page struct {
 	age, settle time.Duration
 	revision    uint64
-	facts       []published
+	facts       []publishedFact
 }
 
-// published is a fact as it was published.
-type published struct {
+// publishedFact is a fact as it was published.
+type publishedFact struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     uint8
 	Name     string
@@ -62,33 +62,33 @@
 	Raw      []byte
 }
 
-// copiesMost is how many peers get all facts at a time: a copy may take a good part of a
+// maxCopies is how many peers get all facts at a time: a copy may take a good part of a
 // second of a host's link, and whoever has one can give it to the others.
-const copiesMost = 2
+const maxCopies = 2
 
 // Server answers peers that follow this entry. Set the fields before use.
 type Server struct {
 	Roster *roster.Roster
 
-	copies atomic.Int32
-	mu     sync.Mutex
-	// last is the newest body of each topic, which most followers ask for.
-	last [chestnutstep.TopicCount]body
+	activeCopies atomic.Int32
+	mu           sync.Mutex
+	// latest is the newest body of each topic, which most followers ask for.
+	latest [chestnutstep.TopicCount]body
 }
 
 // body is an encoded list of facts.
 type body struct {
 	after, revision uint64
 	raw             []byte
-	packed          bool
+	compressed      bool
 }
 
 // request is what a peer asks for.
 type request struct {
-	topic       chestnutstep.Topic
-	after       uint64
-	wait, fresh time.Duration
-	direct      bool
+	topic        chestnutstep.Topic
+	after        uint64
+	wait, maxAge time.Duration
+	direct       bool
 }
 
 func parseRequest(q url.Values) (r request, err error) {
@@ -99,7 +99,7 @@
 	if r.after, err = strconv.ParseUint(q.Get("after"), 10, 64); err != nil {
 		return r, errors.Wrap(err, "after")
 	}
-	r.wait, r.fresh = milliseconds(q.Get("wait")), milliseconds(q.Get("fresh"))
+	r.wait, r.maxAge = parseMilliseconds(q.Get("wait")), parseMilliseconds(q.Get("fresh"))
 	r.direct = q.Get("direct") != ""
 	return r, nil
 }
@@ -118,23 +118,23 @@
 		return
 	}
 	if req.after == 0 {
-		if s.copies.Add(1) > copiesMost {
-			s.copies.Add(-1)
+		if s.activeCopies.Add(1) > maxCopies {
+			s.activeCopies.Add(-1)
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 			return
 		}
-		defer s.copies.Add(-1)
+		defer s.activeCopies.Add(-1)
 	}
-	asked := clock.Now()
-	s.await(req, asked, r.Context().Done())
-	s.answer(w, req, asked)
+	requestedAt := clock.Now()
+	s.waitForChanges(req, requestedAt, r.Context().Done())
+	s.respond(w, req, requestedAt)
 }
 
-// await waits for news as long as the peer does and the facts here stay fresh.
-func (s *Server) await(req request, asked clock.Stamp, done <-chan struct{}) {
-	for end := asked.Add(req.wait); !s.hasNews(req); {
+// waitForChanges waits for news as long as the peer does and the facts here stay fresh.
+func (s *Server) waitForChanges(req request, requestedAt clock.Stamp, done <-chan struct{}) {
+	for end := requestedAt.Add(req.wait); !s.hasChanges(req); {
 		now := clock.Now()
-		wait := min(end, s.Roster.Proof(req.topic).Add(req.fresh)).Sub(now)
+		wait := min(end, s.Roster.Proof(req.topic).Add(req.maxAge)).Sub(now)
 		if wait <= 0 {
 			return
 		}
@@ -147,14 +147,14 @@
 	}
 }
 
-// hasNews says whether the peer gets its answer at once.
-func (s *Server) hasNews(req request) bool {
+// hasChanges says whether the peer gets its answer at once.
+func (s *Server) hasChanges(req request) bool {
 	return s.Roster.Newer(req.topic, req.after) || !s.Roster.Follows(req.topic, req.direct)
 }
 
-// answer writes what is known.
-func (s *Server) answer(w http.ResponseWriter, req request, asked clock.Stamp) {
-	age := max(s.age(asked, req.topic), time.Millisecond)
+// respond writes what is known.
+func (s *Server) respond(w http.ResponseWriter, req request, requestedAt clock.Stamp) {
+	age := max(s.age(requestedAt, req.topic), time.Millisecond)
 	b, ok := s.Roster.Since(clock.Now(), req.topic, req.after)
 	if !ok {
 		http.Error(w, "history is gone", http.StatusGone)
@@ -174,8 +174,8 @@
 	h.Set(headerAge, strconv.FormatInt(age.Milliseconds()+1, 10))
 	h.Set(headerSettle, strconv.FormatInt(b.SettleTime.Milliseconds(), 10))
 	h.Set(headerRevision, strconv.FormatUint(b.Revision, 10))
-	if encoded.packed {
-		h.Set(headerPacked, "1")
+	if encoded.compressed {
+		h.Set(headerCompressed, "1")
 	}
 	// An error here is the reader's: it sees that the answer is cut.
 	_, _ = w.Write(encoded.raw)
@@ -188,27 +188,27 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := &s.last[req.topic]
+	last := &s.latest[req.topic]
 	if last.revision == b.Revision && last.after == req.after && last.raw != nil {
 		return *last, nil
 	}
-	list := make([]published, 0, len(b.Facts))
+	list := make([]publishedFact, 0, len(b.Facts))
 	for _, f := range b.Facts {
-		list = append(list, published{Kind: uint8(f.Kind), Name: f.Name, Revision: f.Revision, Gone: f.Deleted, Raw: f.Raw})
+		list = append(list, publishedFact{Kind: uint8(f.Kind), Name: f.Name, Revision: f.Revision, Gone: f.Deleted, Raw: f.Raw})
 	}
 	raw, err := cbor.Marshal(list)
 	if err != nil {
 		return body{}, errors.Wrap(err, "encode facts")
 	}
 	*last = body{after: req.after, revision: b.Revision, raw: raw}
-	if len(raw) >= packLeast {
-		last.raw, last.packed = pack(raw), true
+	if len(raw) >= minCompressSize {
+		last.raw, last.compressed = compress(raw), true
 	}
 	return *last, nil
 }
 
-// pack compresses.
-func pack(raw []byte) []byte {
+// compress compresses.
+func compress(raw []byte) []byte {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
@@ -221,7 +221,7 @@
 
 // decode reads an answer.
 func decode(h http.Header, raw []byte) (*page, error) {
-	p := &page{age: milliseconds(h.Get(headerAge)), settle: milliseconds(h.Get(headerSettle))}
+	p := &page{age: parseMilliseconds(h.Get(headerAge)), settle: parseMilliseconds(h.Get(headerSettle))}
 	var err error
 	if p.revision, err = strconv.ParseUint(h.Get(headerRevision), 10, 64); err != nil {
 		return nil, errors.Wrap(err, headerRevision)
@@ -229,8 +229,8 @@
 	if p.age <= 0 {
 		return nil, errors.Newf("%s: %q", headerAge, h.Get(headerAge))
 	}
-	if h.Get(headerPacked) != "" {
-		if raw, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), pageMost)); err != nil {
+	if h.Get(headerCompressed) != "" {
+		if raw, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), maxPageSize)); err != nil {
 			return nil, errors.Wrap(err, "unpack facts")
 		}
 	}
@@ -245,8 +245,8 @@
 	return at.Sub(s.Roster.Proof(t))
 }
 
-// milliseconds reads a number of a query; 0 for one that can't be read.
-func milliseconds(text string) time.Duration {
+// parseMilliseconds reads a number of a query; 0 for one that can't be read.
+func parseMilliseconds(text string) time.Duration {
 	n, err := strconv.ParseInt(text, 10, 32)
 	if err != nil {
 		return 0
@@ -254,8 +254,8 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// fill decodes the facts of a page into a batch.
-func (p *page) fill(b *chestnutstep.Batch, d chestnutstep.Decoder) {
+// fillBatch decodes the facts of a page into a batch.
+func (p *page) fillBatch(b *chestnutstep.Batch, d chestnutstep.Decoder) {
 	b.Revision, b.Age, b.SettleTime = p.revision, p.age, p.settle
 	for _, x := range p.facts {
 		kind := chestnutstep.FactKind(x.Kind)
--- a/feed/page_test.go
+++ b/feed/page_test.go
@@ -21,8 +21,8 @@
 	facts := []chestnutstep.Fact{{Kind: chestnutstep.FactRouting, Revision: 7, Raw: []byte(strings.Repeat("configuration ", 1000))}}
 	b, err := s.encode(request{topic: chestnutstep.TopicRouting, after: 3}, chestnutstep.Batch{Revision: 7, Facts: facts})
 	assert.NilError(t, err)
-	assert.Assert(t, b.packed && len(b.raw) < 1000, "%d bytes", len(b.raw))
-	good := http.Header{headerAge: {"12"}, headerSettle: {"0"}, headerRevision: {"7"}, headerPacked: {"1"}}
+	assert.Assert(t, b.compressed && len(b.raw) < 1000, "%d bytes", len(b.raw))
+	good := http.Header{headerAge: {"12"}, headerSettle: {"0"}, headerRevision: {"7"}, headerCompressed: {"1"}}
 	p, err := decode(good, b.raw)
 	assert.NilError(t, err)
 	assert.Equal(t, string(p.facts[0].Raw), string(facts[0].Raw))
@@ -32,35 +32,35 @@
 			assert.Equal(t, string(p.facts[0].Raw), string(facts[0].Raw))
 		}
 		header := http.Header{}
-		for _, name := range []string{headerAge, headerSettle, headerRevision, headerPacked} {
+		for _, name := range []string{headerAge, headerSettle, headerRevision, headerCompressed} {
 			header.Set(name, rapid.SampledFrom([]string{"", "1", "-1", "x", "99999999999999999999"}).Draw(t, name))
 		}
 		_, _ = decode(header, rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
 	})
 }
 
-// askTargets asks a server for targets and returns the status.
-func askTargets(s *Server, query string) int {
+// requestTargets asks a server for targets and returns the status.
+func requestTargets(s *Server, query string) int {
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(http.MethodGet, Path+"?topic=targets&"+query, nil))
 	return w.Code
 }
 
-// TestLostReaderKeepsNobodyWaiting guards against followers that wait for news from a reader that gets none itself.
-func TestLostReaderKeepsNobodyWaiting(t *testing.T) {
+// TestLostReaderRejectsFollowers guards against followers that wait for news from a reader that gets none itself.
+func TestLostReaderRejectsFollowers(t *testing.T) {
 	s := &Server{Roster: &roster.Roster{}}
 	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 3}, true)
 	s.Roster.Prove(chestnutstep.TopicTargets, clock.Now())
 	answered := make(chan int)
-	go func() { answered <- askTargets(s, "after=3&wait=3600000&fresh=7200000") }()
+	go func() { answered <- requestTargets(s, "after=3&wait=3600000&fresh=7200000") }()
 	time.Sleep(20 * time.Millisecond)
 	s.Roster.Lose(chestnutstep.TopicTargets)
 	assert.Equal(t, <-answered, http.StatusServiceUnavailable)
-	assert.Equal(t, askTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusServiceUnavailable)
-	news := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: "i-a", Revision: 4, Deleted: true}
-	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 4, Facts: []chestnutstep.Fact{news}}, false)
+	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusServiceUnavailable)
+	removed := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: "i-a", Revision: 4, Deleted: true}
+	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 4, Facts: []chestnutstep.Fact{removed}}, false)
 	s.Roster.Lose(chestnutstep.TopicTargets)
-	assert.Equal(t, askTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusOK, "news are given all the same")
+	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusOK, "news are given all the same")
 }
 
 // TestReadersDoNotFollowEachOther guards against readers that have lost the source and wait for each other's news.
@@ -69,6 +69,6 @@
 	follower := chestnutstep.Batch{Revision: 3, Age: time.Millisecond}
 	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, follower, true)
 	s.Roster.Prove(chestnutstep.TopicTargets, clock.Now())
-	assert.Equal(t, askTargets(s, "after=3&wait=3600000&fresh=7200000&direct=1"), http.StatusServiceUnavailable)
-	assert.Equal(t, askTargets(s, "after=3&wait=1&fresh=7200000"), http.StatusOK)
+	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000&direct=1"), http.StatusServiceUnavailable)
+	assert.Equal(t, requestTargets(s, "after=3&wait=1&fresh=7200000"), http.StatusOK)
 }
--- a/feed/source_test.go
+++ b/feed/source_test.go
@@ -18,30 +18,30 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// forgetful is a source that has dropped its history.
-type forgetful struct{}
+// gapSource is a source that has dropped its history.
+type gapSource struct{}
 
-func (forgetful) List(context.Context) (chestnutstep.Batch, error) {
+func (gapSource) List(context.Context) (chestnutstep.Batch, error) {
 	return chestnutstep.Batch{Revision: 9}, nil
 }
 
-func (forgetful) Watch(context.Context, uint64, time.Duration) (chestnutstep.Batch, error) {
+func (gapSource) Watch(context.Context, uint64, time.Duration) (chestnutstep.Batch, error) {
 	return chestnutstep.Batch{}, chestnutstep.ErrSource{Status: 410, Compacted: true}
 }
 
-// followerOf returns the ID of an entry that reads the source neither itself nor first.
-func followerOf(members []feed.Member) netip.AddrPort {
+// newFollowerID returns the ID of an entry that reads the source neither itself nor first.
+func newFollowerID(members []feed.Member) netip.AddrPort {
 	for port := uint16(7000); ; port++ {
 		id := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 9, 9}), port)
-		if !feed.Choose(feed.Member{ID: id}, members).Reader {
+		if !feed.Choose(feed.Member{ID: id}, members).IsReader {
 			return id
 		}
 	}
 }
 
-// TestOldCopyEndsNoGap guards against an entry that takes old facts from a peer again and again after the source has
+// TestStaleCopyDoesNotHideGap guards against an entry that takes old facts from a peer again and again after the source has
 // dropped its history, and never reads what it missed.
-func TestOldCopyEndsNoGap(t *testing.T) {
+func TestStaleCopyDoesNotHideGap(t *testing.T) {
 	var members []feed.Member
 	for i := range 2 {
 		r := &roster.Roster{}
@@ -51,17 +51,17 @@
 		server := httptest.NewServer(&feed.Server{Roster: r})
 		t.Cleanup(server.Close)
 		members = append(members, feed.Member{
-			ID:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(i)}), 7000),
-			Feed: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")),
+			ID:       netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, byte(i)}), 7000),
+			FeedAddr: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")),
 		})
 	}
 	s := &feed.Source{
-		Topic: chestnutstep.TopicRouting, Source: forgetful{}, Decoder: decoder{}, Dial: link.Dial, Self: feed.Member{ID: followerOf(members)},
+		Topic: chestnutstep.TopicRouting, Source: gapSource{}, Decoder: decoder{}, Dial: link.Dial, Self: feed.Member{ID: newFollowerID(members)},
 		Members:  func() []feed.Member { return members },
-		Pace:     func() feed.Pace { return feed.NewPace(bound) },
+		Timing:   func() feed.Timing { return feed.NewTiming(bound) },
 		Empty:    func() bool { return false },
 		OnParent: func(netip.AddrPort, error) {},
-		Gate:     &feed.Gate{},
+		Breaker:  &feed.Breaker{},
 	}
 	_, err := s.Watch(context.Background(), 3, time.Millisecond)
 	var gap chestnutstep.ErrSource
--- a/fetch/fetch.go
+++ b/fetch/fetch.go
@@ -16,80 +16,82 @@
 
 // Limits of one call.
 type Limits struct {
-	// First is the longest time to the beginning of the answer, Idle the longest pause
+	// FirstByteTimeout is the longest time to the beginning of the answer, Idle the longest pause
 	// after that.
-	First, Idle time.Duration
-	// Most is the largest body, in bytes.
-	Most int
+	FirstByteTimeout, IdleTimeout time.Duration
+	// MaxBytes is the largest body, in bytes.
+	MaxBytes int
 }
 
-// Answer is what came back.
-type Answer struct {
+// Response is what came back.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// First is the time to its beginning.
-	First time.Duration
+	// TimeToFirstByte is the time to its beginning.
+	TimeToFirstByte time.Duration
 }
 
-// ErrSilent is the cause of a call that was given up.
-type ErrSilent struct {
+// ErrUnresponsive is the cause of a call that was given up.
+type ErrUnresponsive struct {
 	// Bytes of the body that had come, and Pause after them.
 	Bytes int
-	Pause time.Duration
+	Idle  time.Duration
 }
 
 // Error says how long nothing came.
-func (err ErrSilent) Error() string {
-	return errors.Newf("silent for %s after %d bytes", err.Pause, err.Bytes).Error()
+func (err ErrUnresponsive) Error() string {
+	return errors.Newf("silent for %s after %d bytes", err.Idle, err.Bytes).Error()
 }
 
-// ErrSize is the error of a body that is larger than allowed.
-type ErrSize struct{ Most int }
+// ErrTooLarge is the error of a body that is larger than allowed.
+type ErrTooLarge struct{ MaxBytes int }
 
 // Error states the limit.
-func (err ErrSize) Error() string { return errors.Newf("body above %d bytes", err.Most).Error() }
+func (err ErrTooLarge) Error() string {
+	return errors.Newf("body above %d bytes", err.MaxBytes).Error()
+}
 
 // Get calls an URL. The end of ctx ends the call until the answer begins; from then on only
 // the limits do, as a transfer that is broken off has to begin anew.
-func Get(ctx context.Context, client *http.Client, url string, l Limits) (a Answer, err error) {
-	call, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+func Get(ctx context.Context, client *http.Client, url string, l Limits) (a Response, err error) {
+	callCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
 	release := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	defer release()
-	timer := time.AfterFunc(l.First, func() { cancel(ErrSilent{Pause: l.First}) })
+	timer := time.AfterFunc(l.FirstByteTimeout, func() { cancel(ErrUnresponsive{Idle: l.FirstByteTimeout}) })
 	defer timer.Stop()
-	req, err := http.NewRequestWithContext(call, http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(callCtx, http.MethodGet, url, nil)
 	if err != nil {
 		return a, err
 	}
 	req.Header.Set("User-Agent", "") // saves bytes: followers ask all the time
-	began := time.Now()
+	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		return a, cause(call, err)
+		return a, cause(callCtx, err)
 	}
 	defer resp.Body.Close()
 	release()
 	timer.Stop()
-	a = Answer{Status: resp.StatusCode, Header: resp.Header, First: time.Since(began)}
-	a.Body, err = read(cancel, resp.Body, l)
-	return a, cause(call, err)
+	a = Response{Status: resp.StatusCode, Header: resp.Header, TimeToFirstByte: time.Since(start)}
+	a.Body, err = readBody(cancel, resp.Body, l)
+	return a, cause(callCtx, err)
 }
 
-// read reads a body as long as bytes arrive.
-func read(cancel context.CancelCauseFunc, r io.Reader, l Limits) ([]byte, error) {
+// readBody reads a body as long as bytes arrive.
+func readBody(cancel context.CancelCauseFunc, r io.Reader, l Limits) ([]byte, error) {
 	var body []byte
 	buffer := make([]byte, bufferSize)
 	for {
-		silent := ErrSilent{Bytes: len(body), Pause: l.Idle}
-		timer := time.AfterFunc(l.Idle, func() { cancel(silent) })
+		unresponsive := ErrUnresponsive{Bytes: len(body), Idle: l.IdleTimeout}
+		timer := time.AfterFunc(l.IdleTimeout, func() { cancel(unresponsive) })
 		n, err := r.Read(buffer)
 		timer.Stop()
 		body = append(body, buffer[:n]...)
 		switch {
-		case len(body) > l.Most:
-			return body, ErrSize{l.Most}
+		case len(body) > l.MaxBytes:
+			return body, ErrTooLarge{l.MaxBytes}
 		case errors.Is(err, io.EOF):
 			return body, nil
 		case err != nil:
@@ -99,9 +101,9 @@
 }
 
 // cause returns why a call was ended, rather than that it was.
-func cause(call context.Context, err error) error {
-	if err != nil && call.Err() != nil {
-		return context.Cause(call)
+func cause(ctx context.Context, err error) error {
+	if err != nil && ctx.Err() != nil {
+		return context.Cause(ctx)
 	}
 	return err
 }
--- a/fetch/fetch_test.go
+++ b/fetch/fetch_test.go
@@ -15,15 +15,15 @@
 	"chestnutstep.example/chestnutstep/fetch"
 )
 
-// never is a limit that no test reaches.
-const never = time.Minute
+// noTimeout is a limit that no test reaches.
+const noTimeout = time.Minute
 
-// drip answers with bytes one by one, each when it is released; nothing more is sent once the
+// serveBytes answers with bytes one by one, each when it is released; nothing more is sent once the
 // channel is closed.
-func drip(t *testing.T, begin bool, bytes <-chan struct{}) string {
+func serveBytes(t *testing.T, sendHeader bool, bytes <-chan struct{}) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if begin {
+		if sendHeader {
 			w.WriteHeader(http.StatusOK)
 			_ = http.NewResponseController(w).Flush()
 		}
@@ -45,7 +45,7 @@
 func TestSlowBodyIsReadToItsEnd(t *testing.T) {
 	const idle, count = 2 * time.Second, 10
 	bytes := make(chan struct{})
-	url := drip(t, true, bytes)
+	url := serveBytes(t, true, bytes)
 	go func() {
 		defer close(bytes)
 		for range count {
@@ -53,27 +53,27 @@
 			bytes <- struct{}{}
 		}
 	}()
-	a, err := fetch.Get(context.Background(), http.DefaultClient, url+"/whole", fetch.Limits{First: idle, Idle: idle, Most: count})
+	a, err := fetch.Get(context.Background(), http.DefaultClient, url+"/whole", fetch.Limits{FirstByteTimeout: idle, IdleTimeout: idle, MaxBytes: count})
 	assert.NilError(t, err)
 	assert.Equal(t, len(a.Body), count)
 }
 
-// TestSilenceIsGivenUp guards against a peer that is waited for without end, before or in the middle of its answer.
-func TestSilenceIsGivenUp(t *testing.T) {
+// TestUnresponsivePeerTimesOut guards against a peer that is waited for without end, before or in the middle of its answer.
+func TestUnresponsivePeerTimesOut(t *testing.T) {
 	const limit = 50 * time.Millisecond
 	for name, begin := range map[string]bool{"no answer": false, "cut short": true} {
 		t.Run(name, func(t *testing.T) {
 			bytes := make(chan struct{}, 1)
-			l := fetch.Limits{First: limit, Idle: never, Most: 9}
+			l := fetch.Limits{FirstByteTimeout: limit, IdleTimeout: noTimeout, MaxBytes: 9}
 			if begin {
 				bytes <- struct{}{}
-				l = fetch.Limits{First: never, Idle: limit, Most: 9}
+				l = fetch.Limits{FirstByteTimeout: noTimeout, IdleTimeout: limit, MaxBytes: 9}
 			}
 			close(bytes)
-			a, err := fetch.Get(context.Background(), http.DefaultClient, drip(t, begin, bytes), l)
-			var silent fetch.ErrSilent
-			assert.Assert(t, errors.As(err, &silent), "%v", err)
-			assert.Equal(t, silent.Bytes, len(a.Body))
+			a, err := fetch.Get(context.Background(), http.DefaultClient, serveBytes(t, begin, bytes), l)
+			var unresponsive fetch.ErrUnresponsive
+			assert.Assert(t, errors.As(err, &unresponsive), "%v", err)
+			assert.Equal(t, unresponsive.Bytes, len(a.Body))
 			assert.Equal(t, len(a.Body) == 1, begin)
 		})
 	}
@@ -98,10 +98,10 @@
 	return r.ReadCloser.Read(b)
 }
 
-// TestEndOfContextEndsNoTransfer guards against a transfer that is broken off by news of what it brings.
-func TestEndOfContextEndsNoTransfer(t *testing.T) {
+// TestCancelDoesNotInterruptTransfer guards against a transfer that is broken off by news of what it brings.
+func TestCancelDoesNotInterruptTransfer(t *testing.T) {
 	bytes := make(chan struct{})
-	url := drip(t, true, bytes)
+	url := serveBytes(t, true, bytes)
 	ctx, cancel := context.WithCancel(context.Background())
 	begin := sync.OnceFunc(func() {
 		cancel()
@@ -112,18 +112,18 @@
 		}()
 	})
 	client := &http.Client{Transport: &onRead{call: begin}}
-	a, err := fetch.Get(ctx, client, url+"/whole", fetch.Limits{First: never, Idle: never, Most: 9})
+	a, err := fetch.Get(ctx, client, url+"/whole", fetch.Limits{FirstByteTimeout: noTimeout, IdleTimeout: noTimeout, MaxBytes: 9})
 	assert.NilError(t, err)
 	assert.Equal(t, len(a.Body), 2)
 }
 
-// TestEndOfContextEndsTheWait guards against a call that goes on after its owner has stopped.
-func TestEndOfContextEndsTheWait(t *testing.T) {
+// TestCancelEndsWaitForResponse guards against a call that goes on after its owner has stopped.
+func TestCancelEndsWaitForResponse(t *testing.T) {
 	bytes := make(chan struct{})
 	close(bytes)
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := fetch.Get(ctx, http.DefaultClient, drip(t, false, bytes), fetch.Limits{First: never, Idle: never, Most: 9})
+	_, err := fetch.Get(ctx, http.DefaultClient, serveBytes(t, false, bytes), fetch.Limits{FirstByteTimeout: noTimeout, IdleTimeout: noTimeout, MaxBytes: 9})
 	assert.Assert(t, errors.Is(err, context.Canceled), "%v", err)
 }
 
@@ -134,7 +134,7 @@
 		bytes <- struct{}{}
 	}
 	close(bytes)
-	_, err := fetch.Get(context.Background(), http.DefaultClient, drip(t, true, bytes)+"/whole", fetch.Limits{First: never, Idle: never, Most: 3})
-	var size fetch.ErrSize
-	assert.Assert(t, errors.As(err, &size), "%v", err)
+	_, err := fetch.Get(context.Background(), http.DefaultClient, serveBytes(t, true, bytes)+"/whole", fetch.Limits{FirstByteTimeout: noTimeout, IdleTimeout: noTimeout, MaxBytes: 3})
+	var tooLarge fetch.ErrTooLarge
+	assert.Assert(t, errors.As(err, &tooLarge), "%v", err)
 }
--- a/link/call.go
+++ b/link/call.go
@@ -25,34 +25,34 @@
 	// Body is whole: what is sent again must be the same bytes.
 	Body    []byte
 	HasBody bool
-	// Keep is how many idle connections to the target are kept, this one's included.
-	Keep int
-	// Fresh opens a connection for the request: that it opens proves that the host is there,
+	// MaxIdle is how many idle connections to the target are kept, this one's included.
+	MaxIdle int
+	// NewConn opens a connection for the request: that it opens proves that the host is there,
 	// which an idle connection does not.
-	Fresh bool
-	// Dial bounds the opening of a connection; 0 for the default.
-	Dial time.Duration
-	// OnSilent is called when the target's host does not acknowledge the request. True gives
+	NewConn bool
+	// DialTimeout bounds the opening of a connection; 0 for the default.
+	DialTimeout time.Duration
+	// OnUnresponsive is called when the target's host does not acknowledge the request. True gives
 	// the request up. Nil for never.
-	OnSilent func() bool
+	OnUnresponsive func() bool
 }
 
-// Answer is a target's answer whose body is still to be read. Close it.
-type Answer struct {
+// Response is a target's answer whose body is still to be read. Close it.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
 	// Length of the body, -1 where it is not said.
 	Length int64
 
-	pool    *Pool
-	address string
-	conn    *Conn
-	keep    int
-	stop    func() bool
-	resp    *http.Response
-	whole   bool
-	wrote   bool
+	pool           *Pool
+	address        string
+	conn           *Conn
+	maxIdle        int
+	stop           func() bool
+	resp           *http.Response
+	complete       bool
+	requestWritten bool
 }
 
 // ErrCall says that a target gave no usable answer.
@@ -63,12 +63,12 @@
 	Reason chestnutstep.Reason
 	// Reused says that the connection had carried a request before.
 	Reused bool
-	// Silent says that the target's host did not acknowledge the request.
-	Silent bool
-	// Broke says that the target's side ended the connection before the answer was whole,
+	// Unresponsive says that the target's host did not acknowledge the request.
+	Unresponsive bool
+	// PeerClosed says that the target's side ended the connection before the answer was whole,
 	// whatever of it had come.
-	Broke bool
-	Err   error
+	PeerClosed bool
+	Err        error
 }
 
 // Error says what happened.
@@ -81,20 +81,20 @@
 
 // Do sends a request and reads the head of the answer. The connection is closed
 // when ctx ends: the target stops work on the request. The error is ErrCall.
-func (p *Pool) Do(ctx context.Context, address string, call *Call) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, address string, call *Call) (*Response, error) {
 	c, err := p.get(ctx, address, call)
 	if err != nil {
 		return nil, ErrCall{Run: chestnutstep.RunNo, Reason: chestnutstep.ReasonDown, Err: err}
 	}
-	a := &Answer{pool: p, address: address, conn: c, keep: call.Keep}
-	a.stop = context.AfterFunc(ctx, c.abandon)
-	s := silence{conn: c, found: call.OnSilent}
-	if call.OnSilent != nil {
-		s.watch()
+	a := &Response{pool: p, address: address, conn: c, maxIdle: call.MaxIdle}
+	a.stop = context.AfterFunc(ctx, c.reset)
+	watcher := ackWatcher{conn: c, onUnresponsive: call.OnUnresponsive}
+	if call.OnUnresponsive != nil {
+		watcher.start()
 	}
 	sent := make(chan error, 1)
 	message := call.message()
-	if len(message) <= directWrite {
+	if len(message) <= maxInlineWrite {
 		_, err := c.Write(message)
 		sent <- err
 	} else {
@@ -104,26 +104,26 @@
 		}()
 	}
 	resp, err := readHead(c, call.Method)
-	silent := s.stop()
+	unresponsive := watcher.stop()
 	if err != nil {
 		a.abort()
 		<-sent
-		return nil, broken(ctx, c, silent, err)
+		return nil, callError(ctx, c, unresponsive, err)
 	}
 	a.resp = resp
 	a.Status, a.Header, a.Body, a.Length = resp.StatusCode, resp.Header, resp.Body, resp.ContentLength
 	select {
 	case err := <-sent:
-		a.wrote = err == nil
+		a.requestWritten = err == nil
 	default: // an answer before the body was taken: the connection is not used again
 	}
 	return a, nil
 }
 
-// directWrite is what a connection takes without waiting for its reader. A
+// maxInlineWrite is what a connection takes without waiting for its reader. A
 // longer message is written beside the reading of the answer: a target may
 // answer before it has read a long body.
-const directWrite = 12 << 10
+const maxInlineWrite = 12 << 10
 
 // message is the whole request as it goes over the wire.
 func (call *Call) message() []byte {
@@ -152,7 +152,7 @@
 	}
 }
 
-func broken(ctx context.Context, c *Conn, silent bool, err error) error {
+func callError(ctx context.Context, c *Conn, unresponsive bool, err error) error {
 	reason := chestnutstep.ReasonLink
 	if ctx.Err() != nil {
 		reason = chestnutstep.ReasonCanceled
@@ -161,16 +161,16 @@
 		}
 	}
 	return ErrCall{
-		Run: chestnutstep.RunMaybe, Reason: reason, Reused: c.Reused, Silent: silent,
-		Broke: reason == chestnutstep.ReasonLink && !silent, Err: err,
+		Run: chestnutstep.RunMaybe, Reason: reason, Reused: c.Reused, Unresponsive: unresponsive,
+		PeerClosed: reason == chestnutstep.ReasonLink && !unresponsive, Err: err,
 	}
 }
 
 // Read reads the body; io.EOF says that it is whole.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.Body.Read(b)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
@@ -178,30 +178,30 @@
 // Close gives the connection back where the answer was read to its end and
 // nothing is in doubt, and closes it otherwise. Sound says that the caller of
 // Close found the answer to be that of its request.
-func (a *Answer) Close(sound bool) {
+func (a *Response) Close(reusable bool) {
 	if a.stop != nil && !a.stop() {
-		sound = false // ctx ended, and the connection is closed or about to be
+		reusable = false // ctx ended, and the connection is closed or about to be
 	}
 	a.stop = nil
-	if !sound || !a.whole || !a.wrote || a.resp.Close || a.Unframed() || a.conn.br.Buffered() > 0 {
-		a.conn.abandon()
+	if !reusable || !a.complete || !a.requestWritten || a.resp.Close || a.IsCloseDelimited() || a.conn.br.Buffered() > 0 {
+		a.conn.reset()
 		return
 	}
-	a.pool.put(a.address, a.conn, idleTime(a.Header), a.keep)
+	a.pool.put(a.address, a.conn, keepAliveTimeout(a.Header), a.maxIdle)
 }
 
-// Unframed says that only the end of the connection ends the body.
-func (a *Answer) Unframed() bool { return a.Length < 0 && len(a.resp.TransferEncoding) == 0 }
+// IsCloseDelimited says that only the end of the connection ends the body.
+func (a *Response) IsCloseDelimited() bool { return a.Length < 0 && len(a.resp.TransferEncoding) == 0 }
 
 // abort closes the connection, which makes the target stop.
-func (a *Answer) abort() {
+func (a *Response) abort() {
 	a.stop()
-	a.conn.abandon()
+	a.conn.reset()
 }
 
-// idleTime is how long the target keeps an idle connection, less a margin; 0
+// keepAliveTimeout is how long the target keeps an idle connection, less a margin; 0
 // where it does not say.
-func idleTime(h http.Header) time.Duration {
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if n, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
--- a/link/keep.go
+++ b/link/keep.go
@@ -1,15 +1,15 @@
 package link
 
 const (
-	// keepShare is the part of a target's connections that idle ones may take, over
+	// idleRatio is the part of a target's connections that idle ones may take, over
 	// all entries: the rest is for requests in progress and for entries that have
 	// restarted and left connections behind.
-	keepShare = 0.5
-	// idleMost bounds the idle connections to one address.
-	idleMost = 32
+	idleRatio = 0.5
+	// maxIdleConns bounds the idle connections to one address.
+	maxIdleConns = 32
 )
 
-// Keep is how many idle connections an entry keeps to one target that accepts a
+// MaxIdle is how many idle connections an entry keeps to one target that accepts a
 // number of them from all entries together.
 //
 // The load it answers: 300 entries before a service of three targets, which take 200
@@ -17,9 +17,9 @@
 // number, and resets what comes beyond: callers' bookings fail while it is hardly at
 // work. With
 // nothing kept each request opens its own, which costs it a round trip.
-func Keep(connections, entries int) int {
+func MaxIdle(connections, entries int) int {
 	if connections <= 0 {
-		return idleMost
+		return maxIdleConns
 	}
-	return min(int(keepShare*float64(connections))/max(entries, 1), idleMost)
+	return min(int(idleRatio*float64(connections))/max(entries, 1), maxIdleConns)
 }
--- a/link/keep_test.go
+++ b/link/keep_test.go
@@ -14,17 +14,17 @@
 func TestIdleConnectionsOverAllEntries(t *testing.T) {
 	for _, connections := range []int{0, 96, 110, 200, 370} {
 		for _, entries := range []int{0, 1, 5, 24, 350} {
-			kept := Keep(connections, entries) * entries
+			kept := MaxIdle(connections, entries) * entries
 			assert.Assert(t, connections == 0 || kept <= connections/2, "%d kept of %d by %d entries", kept, connections, entries)
 		}
 	}
-	assert.Equal(t, Keep(110, 5), 11)
-	assert.Equal(t, Keep(200, 350), 0)
-	assert.Equal(t, Keep(0, 350), idleMost)
+	assert.Equal(t, MaxIdle(110, 5), 11)
+	assert.Equal(t, MaxIdle(200, 350), 0)
+	assert.Equal(t, MaxIdle(0, 350), maxIdleConns)
 }
 
 // A connection beyond what is kept is closed at once.
-func TestPoolKeepsNoMore(t *testing.T) {
+func TestPoolClosesExcessIdleConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -48,16 +48,16 @@
 	c, err := l.Accept()
 	assert.NilError(t, err)
 	defer c.Close()
-	assert.Assert(t, !Closed(c))
+	assert.Assert(t, !IsClosed(c))
 	_, err = peer.Write([]byte("x"))
 	assert.NilError(t, err)
-	poll.WaitOn(t, func(poll.LogT) poll.Result { return success(!Quiet(c)) })
-	assert.Assert(t, !Closed(c), "bytes wait")
+	poll.WaitOn(t, func(poll.LogT) poll.Result { return success(!IsIdle(c)) })
+	assert.Assert(t, !IsClosed(c), "bytes wait")
 	_, err = c.Read(make([]byte, 1))
 	assert.NilError(t, err)
-	assert.Assert(t, !Closed(c))
+	assert.Assert(t, !IsClosed(c))
 	assert.NilError(t, peer.Close())
-	poll.WaitOn(t, func(poll.LogT) poll.Result { return success(Closed(c)) })
+	poll.WaitOn(t, func(poll.LogT) poll.Result { return success(IsClosed(c)) })
 }
 
 func success(ok bool) poll.Result {
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -23,7 +23,7 @@
 	h := http.Header{}
 	h.Set("Attempt-Id", id)
 	h.Set("Expect-Instance", x.Name)
-	a, err := p.Do(ctx, x.Address(), &link.Call{Method: "POST", URI: "/x", Host: "h", Header: h, Body: []byte(body), HasBody: true, Keep: 8})
+	a, err := p.Do(ctx, x.Address(), &link.Call{Method: "POST", URI: "/x", Host: "h", Header: h, Body: []byte(body), HasBody: true, MaxIdle: 8})
 	if err != nil {
 		return "", err
 	}
@@ -61,7 +61,7 @@
 
 // What is known of a request after each failure. An entry that takes "maybe" for
 // "no" sends a booking twice.
-func TestWhatFailuresProve(t *testing.T) {
+func TestErrorsTellWhetherRequestMayHaveRun(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	for manner, want := range map[stand.Manner]string{stand.Resets: "link maybe", stand.Garbage: "link maybe"} {
 		x.Behave(stand.Fine, manner)
@@ -84,7 +84,7 @@
 
 // A target closed an idle connection, or sent a late second answer on it. The next
 // request must not be lost, nor be given that answer.
-func TestDoubtfulConnectionIsNotUsed(t *testing.T) {
+func TestUnsafeConnectionIsNotReused(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	x.Behave(stand.Fine, stand.Extra)
 	got, err := send(context.Background(), p, x, "one", "b")
@@ -97,7 +97,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, got, "answer to "+id)
 	}
-	p.Drop(x.Address())
+	p.CloseIdle(x.Address())
 	_, err = send(context.Background(), p, x, "after", "b")
 	assert.NilError(t, err)
 }
@@ -143,7 +143,7 @@
 // another target. When the cut heals, the first target must not get the request after
 // all: it may be leaving by then, and nobody waits for the answer. Only a reset tells
 // the network to drop what it still holds; a usual close lets it through.
-func TestRequestThatIsGivenUpIsReset(t *testing.T) {
+func TestCanceledRequestResetsConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
--- a/link/pool.go
+++ b/link/pool.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// dialLimit bounds the opening of a connection. A host that is gone doesn't
+	// dialTimeout bounds the opening of a connection. A host that is gone doesn't
 	// refuse, it stays silent; a live one answers within milliseconds.
-	dialLimit = 400 * time.Millisecond
-	// silentLimit is how long a peer may leave bytes unacknowledged. A host that
+	dialTimeout = 400 * time.Millisecond
+	// ackTimeout is how long a peer may leave bytes unacknowledged. A host that
 	// lost power, or a connection that went silent for good, shows by this alone:
 	// without it the request would wait until its deadline.
-	silentLimit = 1200 * time.Millisecond
+	ackTimeout = 1200 * time.Millisecond
 	// probeAfter, probeEvery and probeCount find a peer that went silent while
 	// only it had something to say.
-	probeAfter = 1 * time.Second
-	probeEvery = 500 * time.Millisecond
-	probeCount = 2
-	// idleDefault is how long a connection is kept where the target names no
+	keepAliveIdle     = 1 * time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
+	// defaultIdleTimeout is how long a connection is kept where the target names no
 	// time: shorter than what servers usually allow, so that a request rarely
 	// meets a connection that the target is closing.
-	idleDefault = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is how much sooner than the target we stop using a connection,
 	// for the same reason.
 	idleMargin = time.Second
-	// readBuffer holds a stream's events, and most answers of services.
-	readBuffer = 2 << 10
+	// readBufferSize holds a stream's events, and most answers of services.
+	readBufferSize = 2 << 10
 )
 
 // Conn is a connection to a target.
@@ -45,8 +45,8 @@
 	// Reused says that it carried a request before.
 	Reused bool
 
-	br    *bufio.Reader
-	until time.Time
+	br        *bufio.Reader
+	idleUntil time.Time
 }
 
 // Pool keeps idle connections by address.
@@ -59,33 +59,33 @@
 
 // Dial opens a TCP connection that notices a silent peer.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	return dial(ctx, network, address, dialLimit)
+	return dial(ctx, network, address, dialTimeout)
 }
 
-func dial(ctx context.Context, network, address string, limit time.Duration) (net.Conn, error) {
+func dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{
-		Timeout: limit,
+		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
-			var failed error
+			var sockErr error
 			err := c.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentLimit.Milliseconds()))
+				sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return sockErr
 		},
 	}
 	return d.DialContext(ctx, network, address)
 }
 
-// abandon resets a connection whose request is given up. Closed in the usual way, what
+// reset resets a connection whose request is given up. Closed in the usual way, what
 // a cut network holds back would still be delivered when it heals: seconds later, at a
 // target that is leaving by then, a request that another target has long answered.
-func (c *Conn) abandon() {
+func (c *Conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
 	}
@@ -94,41 +94,41 @@
 
 // get returns an idle connection that is still sound, or opens one.
 func (p *Pool) get(ctx context.Context, address string, call *Call) (*Conn, error) {
-	for c := p.idleFor(address, call); c != nil; c = p.idleFor(address, call) {
-		if time.Now().Before(c.until) && Quiet(c.Conn) {
+	for c := p.idleConnFor(address, call); c != nil; c = p.idleConnFor(address, call) {
+		if time.Now().Before(c.idleUntil) && IsIdle(c.Conn) {
 			c.Reused = true
 			return c, nil
 		}
 		_ = c.Close()
 	}
-	limit := dialLimit
-	if call.Dial > 0 {
-		limit = min(call.Dial, dialLimit)
+	timeout := dialTimeout
+	if call.DialTimeout > 0 {
+		timeout = min(call.DialTimeout, dialTimeout)
 	}
-	return p.open(ctx, address, limit)
+	return p.open(ctx, address, timeout)
 }
 
 // open opens a connection.
-func (p *Pool) open(ctx context.Context, address string, limit time.Duration) (*Conn, error) {
-	raw, err := dial(ctx, "tcp", address, limit)
+func (p *Pool) open(ctx context.Context, address string, timeout time.Duration) (*Conn, error) {
+	raw, err := dial(ctx, "tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &Conn{Conn: raw, br: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &Conn{Conn: raw, br: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// idleFor takes an idle connection that a request may use.
-func (p *Pool) idleFor(address string, call *Call) *Conn {
-	if call.Fresh {
+// idleConnFor takes an idle connection that a request may use.
+func (p *Pool) idleConnFor(address string, call *Call) *Conn {
+	if call.NewConn {
 		return nil
 	}
-	return p.take(address)
+	return p.popIdle(address)
 }
 
-func (p *Pool) take(address string) *Conn {
+func (p *Pool) popIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -141,25 +141,25 @@
 }
 
 // put keeps a connection for the next request, unless most are kept already.
-func (p *Pool) put(address string, c *Conn, idle time.Duration, most int) {
+func (p *Pool) put(address string, c *Conn, idle time.Duration, maxIdle int) {
 	if idle <= 0 {
-		idle = idleDefault
+		idle = defaultIdleTimeout
 	}
-	c.until = time.Now().Add(idle)
+	c.idleUntil = time.Now().Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
 		p.idle = make(map[string][]*Conn)
 	}
-	if len(p.idle[address]) >= most {
+	if len(p.idle[address]) >= maxIdle {
 		_ = c.Close()
 		return
 	}
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// Drop closes the idle connections to an address: its target is gone.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to an address: its target is gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -176,7 +176,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
@@ -197,17 +197,17 @@
 	return p.opened
 }
 
-// Quiet reports that nothing waits to be read and the peer has not closed. Bytes
+// IsIdle reports that nothing waits to be read and the peer has not closed. Bytes
 // that come while no request is open belong to none: a late second answer would
 // be taken for the next request's.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// Closed reports that the peer has closed the connection. Unlike a read it neither waits nor
+// IsClosed reports that the peer has closed the connection. Unlike a read it neither waits nor
 // takes bytes, and it is true as soon as the close has reached the host.
-func Closed(c net.Conn) bool {
+func IsClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n == 0 || errors.Is(err, unix.ECONNRESET)
 }
@@ -227,8 +227,8 @@
 	}
 	var one [1]byte
 	// Control, unlike Read, doesn't wait for whoever reads from the connection.
-	controlled := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
-	return n, errors.CombineErrors(controlled, err)
+	return n, errors.CombineErrors(controlErr, err)
 }
--- a/link/probe.go
+++ b/link/probe.go
@@ -7,28 +7,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Life is what a new connection says of a target.
-type Life uint8
+// ProbeResult is what a new connection says of a target.
+type ProbeResult uint8
 
 // The answers.
 const (
 	// Unknown says that no connection was opened, for whatever reason.
-	Unknown Life = iota
-	// Lives says that the target takes connections.
-	Lives
-	// Ended says that its host does, but that nothing listens there.
-	Ended
+	Unknown ProbeResult = iota
+	// Alive says that the target takes connections.
+	Alive
+	// Refused says that its host does, but that nothing listens there.
+	Refused
 )
 
 // Probe opens a connection to an address, and keeps it for the next request there.
-func (p *Pool) Probe(address string) Life {
-	c, err := p.open(context.Background(), address, dialLimit)
+func (p *Pool) Probe(address string) ProbeResult {
+	c, err := p.open(context.Background(), address, dialTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return Ended
+		return Refused
 	}
 	if err != nil {
 		return Unknown
 	}
 	p.put(address, c, 0, 1)
-	return Lives
+	return Alive
 }
--- a/link/silence_test.go
+++ b/link/silence_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStoppedWatchLeavesTheConnectionAlone guards against a look that was under way when the answer
+// TestStoppedWatcherDoesNotResetConnection guards against a look that was under way when the answer
 // came, and resets the connection under the next request.
-func TestStoppedWatchLeavesTheConnectionAlone(t *testing.T) {
+func TestStoppedWatcherDoesNotResetConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -19,15 +19,15 @@
 	assert.NilError(t, err)
 	defer raw.Close()
 	go func() { _, _ = raw.Write([]byte(strings.Repeat("x", 16<<20))) }()
-	found := make(chan struct{}, 1)
-	s := &silence{conn: &Conn{Conn: raw}, found: func() bool { found <- struct{}{}; return true }}
-	s.watch()
-	time.Sleep(silentLook + silentLook/2)
-	assert.Assert(t, !s.stop())
-	s.look() // one that the timer had begun
+	notified := make(chan struct{}, 1)
+	watcher := &ackWatcher{conn: &Conn{Conn: raw}, onUnresponsive: func() bool { notified <- struct{}{}; return true }}
+	watcher.start()
+	time.Sleep(ackCheckInterval + ackCheckInterval/2)
+	assert.Assert(t, !watcher.stop())
+	watcher.check() // one that the timer had begun
 	select {
-	case <-found:
+	case <-notified:
 		t.Fatal("the watch went on after its end")
-	case <-time.After(2 * silentLook):
+	case <-time.After(2 * ackCheckInterval):
 	}
 }
--- a/node/advice.go
+++ b/node/advice.go
@@ -15,30 +15,30 @@
 // FillReport fills a report to the peers.
 func (n *Direct) FillReport(now clock.Stamp, r *share.Report) {
 	r.Version = n.roster.Version()
-	r.HasIndex = n.knows.Load()
+	r.HasIndex = n.hasCacheIndex.Load()
 	r.Age = -1
 	if at := n.roster.Confirmed(); at != 0 {
 		r.Age = now.Sub(at).Milliseconds() + 1
 	}
 	r.Loads = n.board.Loads()
-	r.Kept = n.board.Kept(now)
+	r.Reservations = n.board.Kept(now)
 	r.Domain, r.Domains = board.DomainKey(n.Settings.Domain), n.board.Domains(now)
 }
 
-// News returns what has happened since the last call, for all peers.
-func (n *Direct) News() share.News {
-	return share.News{Holds: n.board.Holds(), Gone: n.board.Gone(), Suspected: n.board.Suspicions(), Crashes: n.crashes.TakeReports()}
+// TakeEvents returns what has happened since the last call, for all peers.
+func (n *Direct) TakeEvents() share.Events {
+	return share.Events{CachedParts: n.board.Holds(), Replaced: n.board.Gone(), Suspected: n.board.Suspicions(), Crashes: n.crashes.TakeReports()}
 }
 
-// Losses returns what an entry has to know of contents that end targets.
-func (n *Direct) Losses(now clock.Stamp) []share.Crash { return n.crashes.Losses(now) }
+// RecentCrashes returns what an entry has to know of contents that end targets.
+func (n *Direct) RecentCrashes(now clock.Stamp) []share.Crash { return n.crashes.Losses(now) }
 
-// spreadCrashes reports crashes without waiting for the next round.
-func (n *Direct) spreadCrashes(list []share.Crash) { n.peers.SpreadCrashes(clock.Now(), list) }
+// sendCrashes reports crashes without waiting for the next round.
+func (n *Direct) sendCrashes(list []share.Crash) { n.peers.SendCrashes(clock.Now(), list) }
 
 // MergeReport takes a peer's report. One that proves that the configuration in force
 // here is current saves this entry when it can't reach the source itself.
-func (n *Direct) MergeReport(now clock.Stamp, r *share.Report, asked clock.Stamp) {
+func (n *Direct) MergeReport(now clock.Stamp, r *share.Report, notBefore clock.Stamp) {
 	n.board.MergeReport(now, r)
 	n.peers.ForwardCrashes(now, n.crashes.Merge(now, r.Crashes))
 	if r.Partial {
@@ -46,37 +46,37 @@
 	}
 	own := n.roster.Version()
 	switch {
-	case r.Version == own && own != 0 && r.Age >= 0 && asked != 0:
-		n.roster.Confirm(asked.Add(-time.Duration(r.Age) * time.Millisecond))
-	case r.Version > own && r.Version == n.newest.Load():
-		n.newestAt.Store(int64(now))
-	case r.Version > own && (r.Version > n.newest.Load() || !n.behind()):
-		n.newest.Store(r.Version)
-		n.newestAt.Store(int64(now))
+	case r.Version == own && own != 0 && r.Age >= 0 && notBefore != 0:
+		n.roster.Confirm(notBefore.Add(-time.Duration(r.Age) * time.Millisecond))
+	case r.Version > own && r.Version == n.newestVersion.Load():
+		n.newestSeenAt.Store(int64(now))
+	case r.Version > own && (r.Version > n.newestVersion.Load() || !n.isBehind()):
+		n.newestVersion.Store(r.Version)
+		n.newestSeenAt.Store(int64(now))
 		n.log.Emit(event.PeerNewer, event.Uint("version", r.Version), event.Uint("own", own), event.Str("peer", r.From.String()))
 		n.wakeWatch()
 	}
 }
 
-// newestKeep is how long a peer's word on a newer version counts. A peer that really
+// newestTTL is how long a peer's word on a newer version counts. A peer that really
 // knows it repeats it several times a second; a datagram that was damaged on its way
 // must not make this entry doubt its configuration for ever.
-const newestKeep = 3 * time.Second
+const newestTTL = 3 * time.Second
 
-// behind says that a peer knows a newer configuration.
-func (n *Direct) behind() bool {
-	return n.newest.Load() > n.roster.Version() && clock.Now().Sub(clock.Stamp(n.newestAt.Load())) < newestKeep
+// isBehind says that a peer knows a newer configuration.
+func (n *Direct) isBehind() bool {
+	return n.newestVersion.Load() > n.roster.Version() && clock.Now().Sub(clock.Stamp(n.newestSeenAt.Load())) < newestTTL
 }
 
-func (n *Direct) datagramFailed(err error) { n.log.Emit(event.DatagramFailed, event.Err(err)) }
+func (n *Direct) logDatagramError(err error) { n.log.Emit(event.DatagramFailed, event.Err(err)) }
 
-// Changed logs what a read of the source changed.
-func (n *Direct) Changed(c roster.Change, asked clock.Stamp) {
+// OnChange logs what a read of the source changed.
+func (n *Direct) OnChange(c roster.Change, requestedAt clock.Stamp) {
 	if n.hasFacts.CompareAndSwap(false, true) {
-		n.peers.Announce()
+		n.peers.ReportNow()
 	}
 	if c.Version != 0 {
-		n.log.Emit(event.RoutingInForce, event.Uint("version", c.Version), event.Dur("asked", clock.Now().Sub(asked)))
+		n.log.Emit(event.RoutingInForce, event.Uint("version", c.Version), event.Dur("asked", clock.Now().Sub(requestedAt)))
 	}
 	if len(c.Out)+len(c.In) > 0 {
 		n.log.Emit(event.DomainsChanged, event.Str("out", strings.Join(c.Out, " ")), event.Str("back", strings.Join(c.In, " ")))
@@ -94,12 +94,12 @@
 	}
 }
 
-// Lost logs that a topic can't be read.
-func (n *Direct) Lost(t chestnutstep.Topic, err error) {
+// OnSourceLost logs that a topic can't be read.
+func (n *Direct) OnSourceLost(t chestnutstep.Topic, err error) {
 	n.log.Emit(event.SourceLost, event.Str("topic", t.String()), event.Err(err), event.Dur("proof", n.factsAge(t)))
 }
 
-// Regained logs that a topic can be read again.
-func (n *Direct) Regained(t chestnutstep.Topic) {
+// OnSourceRegained logs that a topic can be read again.
+func (n *Direct) OnSourceRegained(t chestnutstep.Topic) {
 	n.log.Emit(event.SourceRegained, event.Str("topic", t.String()))
 }
--- a/node/agent.go
+++ b/node/agent.go
@@ -52,10 +52,10 @@
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	served := make(chan error, 2)
-	start(work,
-		n.loop, n.pool.Run, n.gossip, n.await, n.measure,
+	startTasks(work,
+		n.detectPauses, n.pool.Run, n.runGossip, n.awaitPublication, n.updateMetrics,
 		func(ctx context.Context) { _ = n.agent.Run(ctx) },
-		func(ctx context.Context) { served <- n.admin(ctx, n.ready, n.status) },
+		func(ctx context.Context) { served <- n.serveAdmin(ctx, n.ready, n.status) },
 		func(context.Context) { served <- n.server.Serve(l) },
 	)
 	select {
@@ -104,14 +104,14 @@
 		Uptime:      uptime(),
 		Ranker:      newRanker,
 		Leaving:     func() bool { return n.members.IsLeaving(time.Now(), n.settings.Host) },
-		Notify:      n.notice,
+		Notify:      n.handleNotice,
 	}
-	n.server = n.base.server()
+	n.server = n.base.newServer()
 	wire.RegisterAgentServer(n.server, n.agent.Service())
-	n.peer = n.newGossip(name, n.settings.Listen)
-	n.peer.Sampler, n.peer.Detector, n.peer.Lock = n.sampler, n.detector, n.agent.Lock()
-	n.peer.Weight = func() float64 { return n.agent.Load().Weight }
-	n.register(n.server)
+	n.gossipNode = n.newGossip(name, n.settings.Listen)
+	n.gossipNode.Sampler, n.gossipNode.Detector, n.gossipNode.Lock = n.sampler, n.detector, n.agent.Lock()
+	n.gossipNode.Weight = func() float64 { return n.agent.Load().Weight }
+	n.registerPeerServer(n.server)
 	return nil
 }
 
@@ -145,7 +145,7 @@
 func (n *Agent) status() admin.Status {
 	ready := n.ready()
 	load := n.agent.Load()
-	s := n.base.status(ready, int64(load.Running+load.Waiting))
+	s := n.base.baseStatus(ready, int64(load.Running+load.Waiting))
 	v := n.store.View()
 	if v == nil {
 		return s
@@ -162,10 +162,10 @@
 	return s
 }
 
-func ownDomain(v *chestnutstep.View, t *chestnutstep.Target, show admin.Target) []admin.Domain {
+func ownDomain(v *chestnutstep.View, t *chestnutstep.Target, target admin.Target) []admin.Domain {
 	d := v.DomainByHost[t.Host]
 	if d == nil {
 		return nil
 	}
-	return []admin.Domain{{Name: d.Name, Region: d.Region, Out: d.Out, Targets: []admin.Target{show}}}
+	return []admin.Domain{{Name: d.Name, Region: d.Region, Out: d.Out, Targets: []admin.Target{target}}}
 }
--- a/node/base.go
+++ b/node/base.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// pauseCheck is how often a process looks whether it slept, and pauseMost
+	// pauseCheckInterval is how often a process looks whether it slept, and pauseMost
 	// the gap that counts as a pause: far above what a busy host's scheduler
 	// causes, and below what any lease or time limit here allows.
-	pauseCheck = 500 * time.Millisecond
-	pauseMost  = 2 * time.Second
-	// connectionBuffer of gRPC for each connection and direction; the default
+	pauseCheckInterval = 500 * time.Millisecond
+	pauseThreshold     = 2 * time.Second
+	// connectionBufferSize of gRPC for each connection and direction; the default
 	// of 32 KiB times hundreds of connections would take a quarter of the
 	// memory that a process may use.
-	connectionBuffer = 8 << 10
+	connectionBufferSize = 8 << 10
 )
 
 // base is what entries and agents have in common.
@@ -43,15 +43,15 @@
 	role     config.Role
 	started  time.Time
 
-	log     *event.Log
-	trail   *audit.Trail
-	meters  *meter.Set
-	store   *config.Store
-	members *member.Tracker
-	pool    *dial.Pool
-	files   *cert.Files
-	peer    *gossip.Node
-	source  source
+	log          *event.Log
+	trail        *audit.Trail
+	meters       *meter.Set
+	store        *config.Store
+	members      *member.Tracker
+	pool         *dial.Pool
+	certFiles    *cert.Files
+	gossipNode   *gossip.Node
+	sourceStatus sourceStatus
 }
 
 func newBase(s *config.Settings, role config.Role, out io.Writer) (*base, error) {
@@ -67,15 +67,15 @@
 		return nil, errors.Wrap(err, "metrics")
 	}
 	if s.Encrypted() {
-		b.files = &cert.Files{Cert: s.TLS.Cert, Key: s.TLS.Key, CA: s.TLS.CA, Log: b.log}
-		if err := b.files.Load(); err != nil {
+		b.certFiles = &cert.Files{Cert: s.TLS.Cert, Key: s.TLS.Key, CA: s.TLS.CA, Log: b.log}
+		if err := b.certFiles.Load(); err != nil {
 			return nil, errors.Wrap(err, "tls")
 		}
 	}
-	b.pool = &dial.Pool{Credentials: b.credentials(), Idle: s.IdleTimeout.Std()}
+	b.pool = &dial.Pool{Credentials: b.credentials(), IdleTimeout: s.IdleTimeout.Std()}
 	b.store = &config.Store{
-		OnChange: []func(config.Change){b.accepted},
-		OnRefuse: []func(config.Refusal){b.refused},
+		OnChange: []func(config.Change){b.onPublicationAccepted},
+		OnRefuse: []func(config.Refusal){b.onPublicationRefused},
 	}
 	return b, nil
 }
@@ -83,18 +83,18 @@
 // credentials of links between processes. The settings were checked: plain
 // ones stand only where they say so or on loopback.
 func (b *base) credentials() credentials.TransportCredentials {
-	if b.files == nil {
+	if b.certFiles == nil {
 		return insecure.NewCredentials()
 	}
-	return b.files.Credentials()
+	return b.certFiles.Credentials()
 }
 
-// server returns a gRPC server for the other processes of the system.
-func (b *base) server() *grpc.Server {
+// newServer returns a gRPC server for the other processes of the system.
+func (b *base) newServer() *grpc.Server {
 	return grpc.NewServer(
 		grpc.Creds(b.credentials()),
-		grpc.ReadBufferSize(connectionBuffer),
-		grpc.WriteBufferSize(connectionBuffer),
+		grpc.ReadBufferSize(connectionBufferSize),
+		grpc.WriteBufferSize(connectionBufferSize),
 		grpc.SharedWriteBuffer(true),
 		grpc.MaxConcurrentStreams(uint32(b.settings.MaxStreams)),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
@@ -102,22 +102,22 @@
 	)
 }
 
-// graceful ends a gRPC server once its streams are over. Stop alone closes the
+// gracefulStop ends a gRPC server once its streams are over. Stop alone closes the
 // connections under frames that are written and not sent: callers would get
 // their answers short of the last piece.
-type graceful struct {
+type gracefulStop struct {
 	server *grpc.Server
 	done   chan struct{}
 }
 
-func (g *graceful) run() {
+func (g *gracefulStop) run() {
 	g.server.GracefulStop()
 	close(g.done)
 }
 
 // stopServer waits for the server's streams until ctx ends.
 func stopServer(ctx context.Context, srv *grpc.Server) {
-	g := &graceful{server: srv, done: make(chan struct{})}
+	g := &gracefulStop{server: srv, done: make(chan struct{})}
 	go g.run()
 	select {
 	case <-g.done:
@@ -126,8 +126,8 @@
 	}
 }
 
-// admin serves health, status, metrics and audit until ctx ends.
-func (b *base) admin(ctx context.Context, ready func() error, status func() admin.Status) error {
+// serveAdmin serves health, status, metrics and audit until ctx ends.
+func (b *base) serveAdmin(ctx context.Context, ready func() error, status func() admin.Status) error {
 	srv := &admin.Server{
 		Addr:    b.settings.Admin,
 		Log:     b.log,
@@ -139,10 +139,10 @@
 	return srv.Run(ctx)
 }
 
-// loop looks for pauses of this process. Nothing depends on it: every decision
+// detectPauses looks for pauses of this process. Nothing depends on it: every decision
 // checks its own clock. It tells operators why requests were late.
-func (b *base) loop(ctx context.Context) {
-	tick := time.NewTicker(pauseCheck)
+func (b *base) detectPauses(ctx context.Context) {
+	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
 	last := time.Now()
 	for {
@@ -152,7 +152,7 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if gap := now.Sub(last); gap > pauseMost {
+		if gap := now.Sub(last); gap > pauseThreshold {
 			b.log.Emit(event.ProcessPaused, event.Dur("gap", gap))
 		}
 		last = now
--- a/node/count.go
+++ b/node/count.go
@@ -15,18 +15,18 @@
 	_ = srv.Run(ctx)
 }
 
-// counted is what was passed to the metrics already.
-type counted struct {
+// reportedCounts is what was passed to the metrics already.
+type reportedCounts struct {
 	dropped, opened, out, in int64
 	peers                    int
-	crowded                  bool
+	manyCallers              bool
 }
 
-// count passes on what is counted elsewhere.
-func (n *Direct) count() {
-	m, c := &n.meters.Relay, &n.counted
+// updateMetrics passes on what is counted elsewhere.
+func (n *Direct) updateMetrics() {
+	m, c := &n.meters.Relay, &n.reported
 	dropped, opened := n.async.Dropped(), n.pool.Opened()
-	out, in := n.peers.Bytes()
+	out, in := n.peers.TrafficBytes()
 	m.LogLinesDropped.Add(dropped - c.dropped)
 	m.ConnectionsOpened.Add(opened - c.opened)
 	m.DatagramBytes.Add(out-c.out, "out")
@@ -38,11 +38,11 @@
 	if live != c.peers {
 		n.log.Emit(event.PeersCounted, event.Int("peers", int64(live)), event.Int("before", int64(c.peers)))
 	}
-	open, crowded := n.callers.Open()
-	if crowded != c.crowded {
-		n.crowd(open, crowded)
+	open, manyCallers := n.callers.Open()
+	if manyCallers != c.manyCallers {
+		n.setGCPercent(open, manyCallers)
 	}
-	n.counted = counted{dropped, opened, out, in, live, crowded}
+	n.reported = reportedCounts{dropped, opened, out, in, live, manyCallers}
 	m.CallerConnections.Set(float64(open))
 	for _, p := range n.board.Places(clock.Now()) {
 		m.PlacesTaken.Set(p.Taken, p.Service)
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -26,7 +26,7 @@
 	return store, targets
 }
 
-func countDead(targets []*stand.Target) int {
+func countEndedTargets(targets []*stand.Target) int {
 	n := 0
 	for _, x := range targets {
 		if x.Dead() {
@@ -38,15 +38,15 @@
 
 // repeat sends the same content again, and returns the status.
 func (d *direct) repeat(id string) int {
-	resp, err := d.ask("/talk/stream/x", "k", id)
+	resp, err := d.post("/talk/stream/x", "k", id)
 	if err == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
 	return status(resp, err)
 }
 
-// read sends a request with a prompt of its own, which is news for the peers.
-func (d *direct) read(t *testing.T, n int) {
+// sendNewPrompt sends a request with a prompt of its own, which is news for the peers.
+func (d *direct) sendNewPrompt(t *testing.T, n int) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+"/look/x", strings.NewReader("harmless"))
 	assert.NilError(t, err)
@@ -69,11 +69,11 @@
 	for n := range 6 {
 		got += fmt.Sprint([]*direct{one, two}[n%2].repeat(fmt.Sprint("r-", n)), " ")
 		for _, d := range []*direct{one, two} {
-			waitFor(t, func() bool { return strings.Count(d.out.text(), "crash_noted") >= countDead(targets) }, "the entry knows of all losses")
+			waitFor(t, func() bool { return strings.Count(d.out.text(), "crash_noted") >= countEndedTargets(targets) }, "the entry knows of all losses")
 		}
 	}
 	assert.Equal(t, got, "502 502 503 503 503 503 ", one.out.text()+two.out.text())
-	assert.Equal(t, countDead(targets), 2)
+	assert.Equal(t, countEndedTargets(targets), 2)
 }
 
 // TestEntryThatStartsRefusesDeadlyContent guards against an entry that was replaced and ends a target of its own.
@@ -83,12 +83,12 @@
 	for n := range 3 {
 		one.repeat(fmt.Sprint("r-", n))
 	}
-	assert.Equal(t, countDead(targets), 2)
+	assert.Equal(t, countEndedTargets(targets), 2)
 	for n := range 100 {
-		one.read(t, n)
+		one.sendNewPrompt(t, n)
 	}
 	late := startDirect(t, store, one.settings.PeerAddr)
 	waitFor(t, func() bool { return strings.Contains(late.out.text(), "crash_noted") }, "the new entry knows")
 	assert.Equal(t, late.repeat("late"), http.StatusServiceUnavailable)
-	assert.Equal(t, countDead(targets), 2)
+	assert.Equal(t, countEndedTargets(targets), 2)
 }
--- a/node/direct.go
+++ b/node/direct.go
@@ -32,26 +32,26 @@
 )
 
 const (
-	// directHeader bounds the reading of a caller's headers.
-	directHeader = 5 * time.Second
-	// directHeaderBytes bounds the headers of a request.
-	directHeaderBytes = 64 << 10
-	// directTick is how often the roster and the pool are looked at.
-	directTick = 250 * time.Millisecond
-	// balancerTime is how long a stopping entry still takes connections: the
+	// directHeaderTimeout bounds the reading of a caller's headers.
+	directHeaderTimeout = 5 * time.Second
+	// directMaxHeaderBytes bounds the headers of a request.
+	directMaxHeaderBytes = 64 << 10
+	// directTickInterval is how often the roster and the pool are looked at.
+	directTickInterval = 250 * time.Millisecond
+	// balancerDelay is how long a stopping entry still takes connections: the
 	// balancer asks once a second and believes the second answer.
-	balancerTime = 2500 * time.Millisecond
-	// graceShare is the part of the grace in which requests may come to their
+	balancerDelay = 2500 * time.Millisecond
+	// graceRatio is the part of the grace in which requests may come to their
 	// end; the rest is for the process to end by itself.
-	graceShare = 0.94
+	graceRatio = 0.94
 	// gcPercent collects garbage when the heap has grown by this much of what is in
 	// use. An entry lives on little, and less garbage beside it costs hardly any
 	// processor while callers are few.
 	gcPercent = 20
-	// unprovedReady is the part of the bound on keys after which an entry that
+	// readyProofRatio is the part of the bound on keys after which an entry that
 	// can't prove its configuration says that it is not ready: callers are then
 	// better served by another.
-	unprovedReady = 0.6
+	readyProofRatio = 0.6
 )
 
 // Direct is an entry that brings requests to targets without agents. Set the
@@ -61,8 +61,8 @@
 	// Source of each topic.
 	Source func(chestnutstep.Topic) chestnutstep.Source
 	Wire   chestnutstep.HeaderCodec
-	// Facts reads what a peer's copy holds; nil takes no copies.
-	Facts chestnutstep.Decoder
+	// Decoder reads what a peer's copy holds; nil takes no copies.
+	Decoder chestnutstep.Decoder
 	// Caches asks targets what they hold; nil for never.
 	Caches chestnutstep.CacheLister
 	// Out receives the log; standard output if unset.
@@ -80,25 +80,25 @@
 	relay    *relay.Relay
 	callers  *relay.Listener
 	shed     *relay.Shedder
-	delays   *delays
+	delays   *delayMonitor
 	pool     *link.Pool
 	peers    *share.Peers
 	// wake ends the present watch of the configuration.
 	wake chan struct{}
-	// gate and pauses hold back calls of a source that fails.
-	gate   feed.Gate
-	pauses watch.Pauses
-	// newest is the newest version that a peer named, and newestAt when.
-	newest   atomic.Uint64
-	newestAt atomic.Int64
-	leaving  atomic.Bool
+	// breaker and pauses hold back calls of a source that fails.
+	breaker feed.Breaker
+	backoff watch.Backoff
+	// newestVersion is the newest version that a peer named, and newestAt when.
+	newestVersion atomic.Uint64
+	newestSeenAt  atomic.Int64
+	leaving       atomic.Bool
 	// hasFacts says that the first facts are there.
 	hasFacts atomic.Bool
-	// knows says that this entry has learned what targets hold.
-	knows atomic.Bool
-	// settled is closed once it does, or is late with it.
-	settled chan struct{}
-	counted counted
+	// hasCacheIndex says that this entry has learned what targets hold.
+	hasCacheIndex atomic.Bool
+	// cacheIndexSettled is closed once it does, or is late with it.
+	cacheIndexSettled chan struct{}
+	reported          reportedCounts
 }
 
 // Run serves until ctx ends, then lets requests in progress come to their end.
@@ -106,7 +106,7 @@
 	if err := n.build(); err != nil {
 		return err
 	}
-	callers, err := callersListen.Listen(ctx, "tcp", n.Settings.CallerAddr)
+	callers, err := callerListenConfig.Listen(ctx, "tcp", n.Settings.CallerAddr)
 	if err != nil {
 		return errors.Wrap(err, "callers")
 	}
@@ -117,21 +117,21 @@
 	if err != nil {
 		return errors.Wrap(err, "ready")
 	}
-	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, MaxConns: n.Settings.MaxCallers(filesMost()), Shedder: n.shed}
+	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, MaxConns: n.Settings.MaxCallers(maxFiles()), Shedder: n.shed}
 	n.logStart()
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	n.begin(work)
+	n.startBackground(work)
 	srv := &http.Server{
 		Handler:           n.relay,
 		ConnContext:       relay.ConnContext,
-		ReadHeaderTimeout: directHeader,
+		ReadHeaderTimeout: directHeaderTimeout,
 		IdleTimeout:       relay.IdleTimeout,
-		MaxHeaderBytes:    directHeaderBytes,
+		MaxHeaderBytes:    directMaxHeaderBytes,
 	}
-	probes := &http.Server{Handler: http.HandlerFunc(n.probe), ReadHeaderTimeout: directHeader}
+	probes := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: directHeaderTimeout}
 	served := make(chan error, 2)
-	start(work,
+	startTasks(work,
 		func(context.Context) { served <- srv.Serve(n.callers) },
 		func(context.Context) { served <- probes.Serve(ready) },
 	)
@@ -149,19 +149,19 @@
 		event.Int("callers", int64(n.callers.MaxConns)), event.Str("unknown", strings.Join(n.Settings.UnknownFields, " ")))
 }
 
-// begin starts what runs beside the servers.
-func (n *Direct) begin(work context.Context) {
-	start(work, n.loop, n.learn, n.peers.Loop, n.delays.loop,
+// startBackground starts what runs beside the servers.
+func (n *Direct) startBackground(work context.Context) {
+	startTasks(work, n.tickLoop, n.loadCacheIndex, n.peers.Loop, n.delays.loop,
 		n.watcher(chestnutstep.TopicTargets).Run, n.watcher(chestnutstep.TopicRouting).Run)
 	if n.Reloader != nil {
-		n.Reloader.OnChange, n.Reloader.OnError = n.reload, n.refuse
-		start(work, n.Reloader.Run)
+		n.Reloader.OnChange, n.Reloader.OnError = n.reload, n.logRefusedSettings
+		startTasks(work, n.Reloader.Run)
 	}
-	if n.Settings.ControlAddr != "" && n.Facts != nil {
-		start(work, n.serveControl)
+	if n.Settings.ControlAddr != "" && n.Decoder != nil {
+		startTasks(work, n.serveControl)
 	}
 	if n.Settings.MetricsAddr != "" {
-		start(work, n.serveMetrics)
+		startTasks(work, n.serveMetrics)
 	}
 }
 
@@ -178,16 +178,16 @@
 	n.async = event.NewAsyncWriter(n.Out)
 	n.log = &event.Log{Out: n.async, Process: n.Settings.Name}
 	n.wake = make(chan struct{}, 1)
-	n.settled = make(chan struct{})
+	n.cacheIndexSettled = make(chan struct{})
 	n.roster = &roster.Roster{}
 	n.pool = &link.Pool{}
-	n.crashes = &relay.CrashTracker{Log: n.log, Meters: &n.meters.Relay, OnLoss: n.spreadCrashes}
+	n.crashes = &relay.CrashTracker{Log: n.log, Meters: &n.meters.Relay, OnLoss: n.sendCrashes}
 	self, err := netip.ParseAddrPort(n.Settings.PeerAddr)
 	if err != nil {
 		return errors.Wrap(err, "peer address")
 	}
-	n.delays = &delays{node: n}
-	n.board = &board.Board{Self: self, Domain: n.Settings.Domain, Cold: n.coldBounds, Overloaded: n.delays.overloaded}
+	n.delays = &delayMonitor{node: n}
+	n.board = &board.Board{Self: self, Domain: n.Settings.Domain, Cold: n.coldBounds, Overloaded: n.delays.isOverloaded}
 	n.relay = &relay.Relay{
 		Domain:      n.Settings.Domain,
 		Regions:     n.Settings.Regions,
@@ -199,8 +199,8 @@
 		Crashes:     n.crashes,
 		Log:         n.log,
 		Meters:      &n.meters.Relay,
-		IsBehind:    n.behind,
-		CachesKnown: n.settled,
+		IsBehind:    n.isBehind,
+		CachesKnown: n.cacheIndexSettled,
 		Budgets:     &retry.Budgets{Bounds: n.retryBounds, Entries: n.board.Entries},
 	}
 	n.shed = &relay.Shedder{Relay: n.relay}
@@ -208,9 +208,9 @@
 	if err != nil {
 		return errors.Wrap(err, "peer")
 	}
-	n.peers = &share.Peers{Self: self, Run: drawRun(), Knowledge: n, Conn: conn, OnError: n.datagramFailed, Link: uint32(n.Settings.LinkMbps)}
-	if a, err := netip.ParseAddrPort(n.Settings.ControlAddr); err == nil && n.Facts != nil {
-		n.peers.Control = a.Port()
+	n.peers = &share.Peers{Self: self, Incarnation: randomIncarnation(), Delegate: n, Conn: conn, OnError: n.logDatagramError, Link: uint32(n.Settings.LinkMbps)}
+	if a, err := netip.ParseAddrPort(n.Settings.ControlAddr); err == nil && n.Decoder != nil {
+		n.peers.ControlPort = a.Port()
 	}
 	n.peers.Seeds = seedAddrs(n.Settings.Seeds)
 	return nil
@@ -244,22 +244,22 @@
 // at the next start.
 func (n *Direct) reload(s *config.DirectSettings) {
 	n.settings.Store(s)
-	n.peers.Seed(seedAddrs(s.Seeds))
+	n.peers.SetSeeds(seedAddrs(s.Seeds))
 	n.log.Emit(event.SettingsInForce, event.Dur("grace", s.Bounds.GracePeriod), event.Dur("revoke", s.Bounds.MaxRevokeTime))
 }
 
-func (n *Direct) refuse(err error) { n.log.Emit(event.SettingsRefused, event.Err(err)) }
+func (n *Direct) logRefusedSettings(err error) { n.log.Emit(event.SettingsRefused, event.Err(err)) }
 
-// drawRun draws the number of this life of the process.
-func drawRun() uint32 {
+// randomIncarnation draws the number of this life of the process.
+func randomIncarnation() uint32 {
 	var b [4]byte
 	_, _ = rand.Read(b[:]) // never fails, says its documentation
 	return binary.LittleEndian.Uint32(b[:])
 }
 
-// loop looks after what needs no hurry.
-func (n *Direct) loop(ctx context.Context) {
-	tick := time.NewTicker(directTick)
+// tickLoop looks after what needs no hurry.
+func (n *Direct) tickLoop(ctx context.Context) {
+	tick := time.NewTicker(directTickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -268,9 +268,9 @@
 		case <-tick.C:
 		}
 		n.pool.Sweep(time.Now())
-		if c := n.roster.Tick(clock.Now()); !c.Empty() {
-			n.Changed(c, clock.Now())
+		if change := n.roster.Tick(clock.Now()); !change.Empty() {
+			n.OnChange(change, clock.Now())
 		}
-		n.count()
+		n.updateMetrics()
 	}
 }
--- a/node/direct_test.go
+++ b/node/direct_test.go
@@ -29,27 +29,27 @@
 type direct struct {
 	settings *config.DirectSettings
 	door     *stand.Door
-	out      *pausable
+	out      *blockableLog
 	stop     context.CancelFunc
 	done     chan error
 }
 
-// pausable is a log whose reader can stop.
-type pausable struct {
-	mu  sync.Mutex
-	got bytes.Buffer
+// blockableLog is a log whose reader can stop.
+type blockableLog struct {
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (p *pausable) Write(b []byte) (int, error) {
+func (p *blockableLog) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.got.Write(b)
+	return p.written.Write(b)
 }
 
-func (p *pausable) text() string {
+func (p *blockableLog) text() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.got.String()
+	return p.written.String()
 }
 
 func directSettings(t *testing.T, store string, seeds ...string) *config.DirectSettings {
@@ -66,7 +66,7 @@
 
 func startDirect(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
-	d := &direct{door: store.Open(), out: &pausable{}, done: make(chan error, 1)}
+	d := &direct{door: store.Open(), out: &blockableLog{}, done: make(chan error, 1)}
 	t.Cleanup(d.door.Close)
 	d.settings = directSettings(t, d.door.Address(), seeds...)
 	d.run(t, nil)
@@ -80,7 +80,7 @@
 	t.Cleanup(d.stop)
 	source := platform.NewStore(d.door.Address(), link.Dial)
 	n := &node.Direct{
-		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Reloader: reloader, Facts: source,
+		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Reloader: reloader, Decoder: source,
 	}
 	go func() { d.done <- n.Run(ctx) }()
 	waitFor(t, func() bool { return d.ready() == http.StatusOK }, "the entry is ready")
@@ -107,8 +107,8 @@
 	return resp.StatusCode
 }
 
-// ask sends one request on a new connection.
-func (d *direct) ask(path, key, id string) (*http.Response, error) {
+// post sends one request on a new connection.
+func (d *direct) post(path, key, id string) (*http.Response, error) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+path, strings.NewReader("body"))
 	if err != nil {
 		return nil, err
@@ -156,21 +156,21 @@
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
 	d := startDirect(t, store)
-	assert.Equal(t, status(d.ask("/book/1", "k", "a")), http.StatusOK)
+	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
 	d.door.Set(stand.Silent)
 	publish(store, 2, []string{"other"})
 	revoked := time.Now()
 	for time.Since(revoked) < 3*time.Second {
 		sent := time.Now()
-		got := status(d.ask("/book/1", "k", fmt.Sprint("r", sent.UnixNano())))
+		got := status(d.post("/book/1", "k", fmt.Sprint("r", sent.UnixNano())))
 		late := sent.Sub(revoked) > d.settings.Bounds.MaxRevokeTime
 		assert.Assert(t, !late || got == http.StatusServiceUnavailable, "%d after %s", got, sent.Sub(revoked))
 		time.Sleep(20 * time.Millisecond)
 	}
 	assert.Equal(t, d.ready(), http.StatusServiceUnavailable)
 	d.door.Set(stand.None)
-	waitFor(t, func() bool { return status(d.ask("/book/1", "k", "b")) == http.StatusUnauthorized }, "the key is dead")
-	assert.Equal(t, status(d.ask("/book/1", "other", "c")), http.StatusOK)
+	waitFor(t, func() bool { return status(d.post("/book/1", "k", "b")) == http.StatusUnauthorized }, "the key is dead")
+	assert.Equal(t, status(d.post("/book/1", "other", "c")), http.StatusOK)
 	assert.Assert(t, strings.Contains(d.out.text(), `"source_lost"`))
 	assert.Assert(t, strings.Contains(d.out.text(), `"source_regained"`))
 }
@@ -178,7 +178,7 @@
 // The store turns one entry away and serves another. The one that is turned away
 // takes its peer's word that the configuration is current, and a newer one from the
 // peer itself: its callers notice nothing.
-func TestDirectLivesByItsPeers(t *testing.T) {
+func TestDirectFollowsPeersWithoutStore(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
 	first := startDirect(t, store)
@@ -186,14 +186,14 @@
 	waitFor(t, func() bool { return strings.Contains(second.out.text(), `"peers":1`) }, "they hear each other")
 	second.door.Set(stand.Busy)
 	for range 30 {
-		assert.Equal(t, status(second.ask("/book/1", "k", fmt.Sprint("p", time.Now().UnixNano()))), http.StatusOK)
+		assert.Equal(t, status(second.post("/book/1", "k", fmt.Sprint("p", time.Now().UnixNano()))), http.StatusOK)
 		time.Sleep(100 * time.Millisecond)
 	}
 	publish(store, 2, []string{"new"})
 	waitFor(t, func() bool {
-		return status(second.ask("/book/1", "new", fmt.Sprint("n", time.Now().UnixNano()))) == http.StatusOK
+		return status(second.post("/book/1", "new", fmt.Sprint("n", time.Now().UnixNano()))) == http.StatusOK
 	}, "the new version comes by the peer")
-	assert.Equal(t, status(second.ask("/book/1", "k", "old")), http.StatusUnauthorized)
+	assert.Equal(t, status(second.post("/book/1", "k", "old")), http.StatusUnauthorized)
 }
 
 // A planned stop comes while answers are under way. Callers notice one that is cut.
@@ -202,7 +202,7 @@
 	x.Events, x.Pause = 100, 15*time.Millisecond
 	publish(store, 1, []string{"k"}, x)
 	d := startDirect(t, store)
-	resp, err := d.ask("/talk/stream/x", "k", "s")
+	resp, err := d.post("/talk/stream/x", "k", "s")
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	d.stop()
@@ -229,14 +229,14 @@
 	publish(store, 1, []string{"k"}, x)
 	d := startDirect(t, store)
 	d.out.mu.Lock()
-	worst := time.Duration(0)
+	maxLatency := time.Duration(0)
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); {
 		began := time.Now()
-		assert.Equal(t, status(d.ask("/look/1", "k", fmt.Sprint("l", began.UnixNano()))), http.StatusOK)
-		worst = max(worst, time.Since(began))
+		assert.Equal(t, status(d.post("/look/1", "k", fmt.Sprint("l", began.UnixNano()))), http.StatusOK)
+		maxLatency = max(maxLatency, time.Since(began))
 	}
 	d.out.mu.Unlock()
-	assert.Assert(t, worst < 3*time.Second, "%s", worst)
+	assert.Assert(t, maxLatency < 3*time.Second, "%s", maxLatency)
 }
 
 // The settings file changes without a signal, first to something broken. The broken
@@ -244,7 +244,7 @@
 func TestDirectReloads(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
-	d := &direct{door: store.Open(), out: &pausable{}, done: make(chan error, 1)}
+	d := &direct{door: store.Open(), out: &blockableLog{}, done: make(chan error, 1)}
 	t.Cleanup(d.door.Close)
 	d.settings = directSettings(t, d.door.Address())
 	file := filepath.Join(t.TempDir(), "settings")
@@ -265,13 +265,13 @@
 	waitFor(t, func() bool { return strings.Contains(d.out.text(), "field x: broken") }, "the mistake is logged")
 	assert.NilError(t, os.WriteFile(file, []byte("second"), 0o600))
 	waitFor(t, func() bool { return strings.Contains(d.out.text(), `"revoke":"1h0m0s"`) }, "the bounds are in force")
-	assert.Equal(t, status(d.ask("/book/1", "k", "a")), http.StatusOK)
+	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
 }
 
 // slowList is a source whose list of targets comes late.
 type slowList struct {
 	chestnutstep.Source
-	asked   chan struct{}
+	called  chan struct{}
 	release chan struct{}
 }
 
@@ -285,7 +285,7 @@
 }
 
 func (s *slowList) List(ctx context.Context) (chestnutstep.Batch, error) {
-	close(s.asked)
+	close(s.called)
 	<-s.release
 	return s.Source.List(ctx)
 }
@@ -298,20 +298,20 @@
 	door := store.Open()
 	t.Cleanup(door.Close)
 	source := platform.NewStore(door.Address(), link.Dial)
-	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), asked: make(chan struct{}), release: make(chan struct{})}
-	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &pausable{}}
+	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), called: make(chan struct{}), release: make(chan struct{})}
+	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &blockableLog{}}
 	n := &node.Direct{Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() { _ = n.Run(ctx) }()
-	<-slow.asked
+	<-slow.called
 	for range 10 {
 		assert.Equal(t, d.ready(), http.StatusServiceUnavailable)
 		time.Sleep(10 * time.Millisecond)
 	}
 	close(slow.release)
 	waitFor(t, func() bool { return d.ready() == http.StatusOK }, "the entry is ready")
-	assert.Equal(t, status(d.ask("/book/1", "k", "a")), http.StatusOK)
+	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
 }
 
 // Operators read the metrics of an entry.
@@ -319,7 +319,7 @@
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
 	d := startDirect(t, store)
-	assert.Equal(t, status(d.ask("/book/1", "k", "a")), http.StatusOK)
+	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
 	waitFor(t, func() bool {
 		resp, err := http.Get("http://" + d.settings.MetricsAddr + "/metrics")
 		if err != nil {
--- a/node/entry.go
+++ b/node/entry.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	// leaveGrace is how long a stopping entry still takes new requests after it
+	// leaveDelay is how long a stopping entry still takes new requests after it
 	// said that it is not ready: the balancer needs a check or two to notice.
-	leaveGrace = time.Second
-	// headerLimit bounds the reading of a caller's headers.
-	headerLimit = 10 * time.Second
-	// callerIdle closes callers' connections that carry nothing.
-	callerIdle = 2 * time.Minute
-	// tableEvery is how often the ranking takes in what changed about hosts.
-	tableEvery = time.Second
+	leaveDelay = time.Second
+	// headerTimeout bounds the reading of a caller's headers.
+	headerTimeout = 10 * time.Second
+	// callerIdleTimeout closes callers' connections that carry nothing.
+	callerIdleTimeout = 2 * time.Minute
+	// rankingInterval is how often the ranking takes in what changed about hosts.
+	rankingInterval = time.Second
 )
 
 // Entry is the process that callers talk to. Set the exported fields before
@@ -66,9 +66,9 @@
 	defer stop()
 	srv := n.httpServer()
 	served := make(chan error, 3)
-	start(work,
-		n.loop, n.pool.Run, n.gossip, n.await, n.refresh, n.probe,
-		func(ctx context.Context) { served <- n.admin(ctx, n.ready, n.status) },
+	startTasks(work,
+		n.detectPauses, n.pool.Run, n.runGossip, n.awaitPublication, n.refreshLoop, n.probeLoop,
+		func(ctx context.Context) { served <- n.serveAdmin(ctx, n.ready, n.status) },
 		func(context.Context) { served <- n.server.Serve(peers) },
 		func(context.Context) { served <- n.serve(srv, callers) },
 	)
@@ -95,24 +95,24 @@
 		Repeats:  &retry.TokenBucket{},
 		Steps:    retry.NewStepBudget(),
 		Detector: &crash.Detector{},
-		Entries:  n.entries,
+		Entries:  n.countEntries,
 		Most:     int64(n.settings.MaxStreams),
 		Clock:    time.Now,
-		Notify:   n.notice,
+		Notify:   n.handleNotice,
 		OnOffer:  n.onOffer,
 	}
-	n.server = n.base.server()
-	n.peer = n.newGossip(n.settings.Name, n.settings.Peer)
-	n.peer.Detector, n.peer.Lock = n.entry.Detector, n.entry.Lock()
-	n.register(n.server)
+	n.server = n.base.newServer()
+	n.gossipNode = n.newGossip(n.settings.Name, n.settings.Peer)
+	n.gossipNode.Detector, n.gossipNode.Lock = n.entry.Detector, n.entry.Lock()
+	n.registerPeerServer(n.server)
 	return nil
 }
 
 func (n *Entry) httpServer() *http.Server {
 	srv := &http.Server{
 		Handler:           n.entry,
-		ReadHeaderTimeout: headerLimit,
-		IdleTimeout:       callerIdle,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       callerIdleTimeout,
 	}
 	if n.settings.EncryptedCallers() {
 		files := &cert.Files{Cert: n.settings.Callers.Cert, Key: n.settings.Callers.Key, Log: n.log}
@@ -134,7 +134,7 @@
 	n.entry.Leave()
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
 	n.log.Emit(event.ProcessDrain, event.Int("open", n.entry.Open()))
-	time.Sleep(leaveGrace)
+	time.Sleep(leaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout.Std())
 	defer cancel()
 	err := srv.Shutdown(ctx)
@@ -145,8 +145,8 @@
 
 // ranking is a table and the hosts that it leaves out.
 type ranking struct {
-	table *route.Table
-	away  []string
+	table         *route.Table
+	excludedHosts []string
 }
 
 // ranker returns the table of a publication, building it when it is new.
@@ -154,41 +154,41 @@
 	if r := n.ranking.Load(); r != nil && r.table.View == v {
 		return r.table
 	}
-	return n.rebuild(v, n.members.Unavailable(time.Now()))
+	return n.rebuildRanking(v, n.members.Unavailable(time.Now()))
 }
 
-// rebuild makes a table without the hosts that are leaving or silent. Where
+// rebuildRanking makes a table without the hosts that are leaving or silent. Where
 // that leaves a model with nothing, the evidence is more likely wrong (this
 // process may be the one that is cut off), and all its targets are kept.
-func (n *Entry) rebuild(v *chestnutstep.View, away []string) *route.Table {
+func (n *Entry) rebuildRanking(v *chestnutstep.View, excludedHosts []string) *route.Table {
 	skip := func(t *chestnutstep.Target) bool {
-		_, found := slices.BinarySearch(away, t.Host)
+		_, found := slices.BinarySearch(excludedHosts, t.Host)
 		return found
 	}
-	left := make(map[string]int)
+	usable := make(map[string]int)
 	for i := range v.Publication.Targets {
 		if t := &v.Publication.Targets[i]; !v.IsOut(t) && !skip(t) {
-			left[t.Model]++
+			usable[t.Model]++
 		}
 	}
-	t := &route.Table{View: v, Skip: func(t *chestnutstep.Target) bool { return left[t.Model] > 0 && skip(t) }}
+	t := &route.Table{View: v, Skip: func(t *chestnutstep.Target) bool { return usable[t.Model] > 0 && skip(t) }}
 	t.Build()
-	n.ranking.Store(&ranking{table: t, away: away})
+	n.ranking.Store(&ranking{table: t, excludedHosts: excludedHosts})
 	return t
 }
 
-// update rebuilds the table if what is believed of hosts has changed.
-func (n *Entry) update(v *chestnutstep.View) {
-	away := n.members.Unavailable(time.Now())
-	if r := n.ranking.Load(); r != nil && r.table.View == v && slices.Equal(r.away, away) {
+// updateRanking rebuilds the table if what is believed of hosts has changed.
+func (n *Entry) updateRanking(v *chestnutstep.View) {
+	excludedHosts := n.members.Unavailable(time.Now())
+	if r := n.ranking.Load(); r != nil && r.table.View == v && slices.Equal(r.excludedHosts, excludedHosts) {
 		return
 	}
-	n.rebuild(v, away)
+	n.rebuildRanking(v, excludedHosts)
 }
 
-// refresh rebuilds the table while what is believed of hosts changes.
-func (n *Entry) refresh(ctx context.Context) {
-	tick := time.NewTicker(tableEvery)
+// refreshLoop rebuilds the table while what is believed of hosts changes.
+func (n *Entry) refreshLoop(ctx context.Context) {
+	tick := time.NewTicker(rankingInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -197,7 +197,7 @@
 		case <-tick.C:
 		}
 		if v := n.store.View(); v != nil {
-			n.update(v)
+			n.updateRanking(v)
 		}
 		n.meters.Entry.OpenRequests.Set(float64(n.entry.Open()))
 		n.meters.Entry.AgentLinks.Set(float64(n.pool.Len()))
@@ -216,7 +216,7 @@
 
 // status lists all targets as this entry sees them.
 func (n *Entry) status() admin.Status {
-	s := n.base.status(n.ready(), n.entry.Open())
+	s := n.base.baseStatus(n.ready(), n.entry.Open())
 	v := n.store.View()
 	if v == nil {
 		return s
@@ -229,8 +229,8 @@
 	return s
 }
 
-// entries counts the entries that share the callers.
-func (n *Entry) entries() int {
+// countEntries counts the entries that share the callers.
+func (n *Entry) countEntries() int {
 	v := n.store.View()
 	if v == nil {
 		return 1
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -3,6 +3,6 @@
 // FreeAddr and OwnHost give the tests outside the package addresses that no other
 // process takes.
 var (
-	FreeAddr = free
+	FreeAddr = freeAddr
 	OwnHost  = ownHost
 )
--- a/node/feed.go
+++ b/node/feed.go
@@ -19,13 +19,13 @@
 // watcher follows a topic of the source, through peers where there are any.
 func (n *Direct) watcher(t chestnutstep.Topic) *watch.Watcher {
 	w := &watch.Watcher{
-		Topic:  t,
-		Source: n.source(t),
-		Roster: n.roster,
-		Notify: n,
-		Wait:   func() time.Duration { return n.pace().Wait },
-		Rest:   func() time.Duration { return n.pace().Rest },
-		Pauses: &n.pauses,
+		Topic:      t,
+		Source:     n.source(t),
+		Roster:     n.roster,
+		Observer:   n,
+		Wait:       func() time.Duration { return n.timing().SourceWait },
+		BatchDelay: func() time.Duration { return n.timing().BatchDelay },
+		Backoff:    &n.backoff,
 	}
 	if t == chestnutstep.TopicRouting {
 		w.Wake = n.wake
@@ -34,64 +34,64 @@
 }
 
 func (n *Direct) source(t chestnutstep.Topic) chestnutstep.Source {
-	if n.Facts == nil {
+	if n.Decoder == nil {
 		return n.Source(t)
 	}
 	return &feed.Source{
-		Topic:    t,
-		Source:   n.Source(t),
-		Decoder:  n.Facts,
-		Dial:     link.Dial,
-		Self:     feed.Member{ID: n.peers.Self, Link: n.Settings.LinkMbps},
-		Members:  n.members,
-		Pace:     n.pace,
-		Empty:    func() bool { return !n.roster.Listed(t) },
-		Informed: n.informed,
-		CopyWait: n.copyWait,
-		OnParent: func(parent netip.AddrPort, err error) { n.logParent(t, parent, err) },
-		OnRead:   func(r feed.Read) { n.logRead(t, r) },
-		Gate:     &n.gate,
+		Topic:         t,
+		Source:        n.Source(t),
+		Decoder:       n.Decoder,
+		Dial:          link.Dial,
+		Self:          feed.Member{ID: n.peers.Self, Link: n.Settings.LinkMbps},
+		Members:       n.members,
+		Timing:        n.timing,
+		Empty:         func() bool { return !n.roster.Listed(t) },
+		PeerWithFacts: n.peerWithFacts,
+		CopyTimeout:   n.copyTimeout,
+		OnParent:      func(parent netip.AddrPort, err error) { n.logParent(t, parent, err) },
+		OnRead:        func(r feed.Read) { n.logRead(t, r) },
+		Breaker:       &n.breaker,
 	}
 }
 
-// informed returns a peer that holds facts, if one is known.
-func (n *Direct) informed() (feed.Member, bool) {
+// peerWithFacts returns a peer that holds facts, if one is known.
+func (n *Direct) peerWithFacts() (feed.Member, bool) {
 	m, ok := n.peers.PeerWithFacts()
 	return feedMember(m), ok
 }
 
 const (
-	// copyWaitLeast is how long an entry that has just started waits for a peer: hosts that
+	// minCopyTimeout is how long an entry that has just started waits for a peer: hosts that
 	// come back together start within a tenth of a second.
-	copyWaitLeast = 150 * time.Millisecond
-	// copyWaitMost is how long a seed may take to list thousands of targets.
-	copyWaitMost = 1500 * time.Millisecond
+	minCopyTimeout = 150 * time.Millisecond
+	// maxCopyTimeout is how long a seed may take to list thousands of targets.
+	maxCopyTimeout = 1500 * time.Millisecond
 )
 
-// copyWait is how long an entry that has just started waits for a peer with facts. The seeds
+// copyTimeout is how long an entry that has just started waits for a peer with facts. The seeds
 // list the source at once; while one of them is there, the others leave it to them.
-func (n *Direct) copyWait() time.Duration {
+func (n *Direct) copyTimeout() time.Duration {
 	switch {
 	case n.isSeed() || len(n.settings.Load().Seeds) == 0:
 		return 0
 	case len(n.peers.LiveSeeds(clock.Now())) > 0:
-		return copyWaitMost
+		return maxCopyTimeout
 	}
-	return copyWaitLeast
+	return minCopyTimeout
 }
 
-// pace derives the times of reading from the bounds on changes and on keys.
-func (n *Direct) pace() feed.Pace {
+// timing derives the times of reading from the bounds on changes and on keys.
+func (n *Direct) timing() feed.Timing {
 	b := n.bounds()
 	bound := b.MaxApplyTime
 	if bound <= 0 || b.MaxRevokeTime > 0 && b.MaxRevokeTime < bound {
 		bound = b.MaxRevokeTime
 	}
-	return feed.NewPace(bound)
+	return feed.NewTiming(bound)
 }
 
 func feedMember(m share.Member) feed.Member {
-	return feed.Member{ID: m.Addr, Feed: m.Control, Link: m.Link}
+	return feed.Member{ID: m.Addr, FeedAddr: m.ControlAddr, Link: m.Link}
 }
 
 // members are the other entries that serve their facts.
@@ -122,7 +122,7 @@
 	n.log.Emit(event.FactsRead,
 		event.Str("topic", t.String()), event.Str("peer", peer), event.Uint("after", r.After), event.Uint("revision", r.Batch.Revision),
 		event.Int("facts", int64(len(r.Batch.Facts))), event.Int("bytes", int64(r.Batch.Bytes)),
-		event.Dur("first", r.Batch.TimeToFirstByte), event.Dur("took", r.Took), event.Dur("age", r.Batch.Age),
+		event.Dur("first", r.Batch.TimeToFirstByte), event.Dur("took", r.Duration), event.Dur("age", r.Batch.Age),
 		event.Dur("settle", r.Batch.SettleTime), event.Dur("gap", n.factsAge(t)), event.Err(r.Err))
 	n.countRead(t, r)
 }
@@ -168,8 +168,8 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(feed.Path, &feed.Server{Roster: n.roster})
-	mux.Handle(share.CachesPath, &share.Caches{Lists: func() []share.List { return n.board.Lists(clock.Now()) }})
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: directHeader, IdleTimeout: directHeader}
+	mux.Handle(share.CacheListsPath, &share.CacheServer{Lists: func() []share.CacheList { return n.board.Lists(clock.Now()) }})
+	srv := &http.Server{Handler: mux, ReadHeaderTimeout: directHeaderTimeout, IdleTimeout: directHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
 	if err := srv.Serve(l); ctx.Err() == nil {
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -22,16 +22,16 @@
 		Platform: b.settings.Platform,
 		Dial:     b.pool.Conn,
 		Members:  b.members,
-		Notify:   b.gossipNotice,
-		Count:    b.gossipCount,
+		Notify:   b.onGossipNotice,
+		Count:    b.countGossip,
 	}
 }
 
-// gossip keeps the publication and what is known of hosts up to date.
-func (b *base) gossip(ctx context.Context) { _ = b.peer.Run(ctx) }
+// runGossip keeps the publication and what is known of hosts up to date.
+func (b *base) runGossip(ctx context.Context) { _ = b.gossipNode.Run(ctx) }
 
-// register lets other processes ask this one.
-func (b *base) register(srv *grpc.Server) { wire.RegisterPeerServer(srv, b.peer) }
+// registerPeerServer lets other processes ask this one.
+func (b *base) registerPeerServer(srv *grpc.Server) { wire.RegisterPeerServer(srv, b.gossipNode) }
 
 // gossipEvents are the log events of gossip's notices.
 var gossipEvents = map[gossip.NoticeKind]event.ID{
@@ -46,8 +46,8 @@
 	gossip.NoticePart:        event.PublicationPart,
 }
 
-func (b *base) gossipNotice(m gossip.Notice) {
-	b.source.hear(m.Kind)
+func (b *base) onGossipNotice(m gossip.Notice) {
+	b.sourceStatus.handleNotice(m.Kind)
 	id, ok := gossipEvents[m.Kind]
 	if !ok {
 		return
@@ -55,7 +55,7 @@
 	b.log.Emit(id, event.Str("subject", m.Subject), event.Err(m.Err))
 }
 
-func (b *base) gossipCount(t gossip.Traffic) {
+func (b *base) countGossip(t gossip.Traffic) {
 	b.meters.Publication.GossipBytes.Add(int64(t.In), "in")
 	b.meters.Publication.GossipBytes.Add(int64(t.Out), "out")
 	result := "ok"
@@ -65,12 +65,12 @@
 	b.meters.Publication.GossipRounds.Add(1, result)
 }
 
-// publicationWait bounds how long a starting process looks for a publication
+// publicationTimeout bounds how long a starting process looks for a publication
 // before it says so in its log.
-const publicationWait = 5 * time.Second
+const publicationTimeout = 5 * time.Second
 
-// await tells operators when a process has no publication to work by.
-func (b *base) await(ctx context.Context) {
+// awaitPublication tells operators when a process has no publication to work by.
+func (b *base) awaitPublication(ctx context.Context) {
 	// Asked for before the look: a change in between would not be seen.
 	changed := b.store.Changed()
 	if b.store.View() == nil {
@@ -78,7 +78,7 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-time.After(publicationWait):
+		case <-time.After(publicationTimeout):
 			b.log.Emit(event.PublicationNone)
 			return
 		}
--- a/node/learn.go
+++ b/node/learn.go
@@ -17,208 +17,208 @@
 )
 
 const (
-	// learnTick is how often an entry that just started looks whether a peer knows
+	// cachePollInterval is how often an entry that just started looks whether a peer knows
 	// what targets hold, or a target has joined.
-	learnTick = 10 * time.Millisecond
-	// learnWait is how long it waits for such a peer before it asks the targets:
+	cachePollInterval = 10 * time.Millisecond
+	// peerCacheTimeout is how long it waits for such a peer before it asks the targets:
 	// peers report to it within a few milliseconds, in another failure domain too.
-	learnWait = 40 * time.Millisecond
-	// seedWait is how long an entry that is no seed waits for one that knows: the seeds ask
+	peerCacheTimeout = 40 * time.Millisecond
+	// seedCacheTimeout is how long an entry that is no seed waits for one that knows: the seeds ask
 	// the targets for all, and hosts don't all start at the same moment. Requests wait no
 	// longer than settleMost.
-	seedWait = 500 * time.Millisecond
-	// busyRest is the pause after a peer that could not give a copy now.
-	busyRest = 50 * time.Millisecond
-	// askers is how many entries ask one target, and report to the others: two, as the
+	seedCacheTimeout = 500 * time.Millisecond
+	// busyPeerDelay is the pause after a peer that could not give a copy now.
+	busyPeerDelay = 50 * time.Millisecond
+	// listersPerTarget is how many entries ask one target, and report to the others: two, as the
 	// datagrams of one may be lost. Each listing costs its target some work.
-	askers = 2
-	// learnFor is how long after the first view targets are asked that join: twice
+	listersPerTarget = 2
+	// cacheLoadWindow is how long after the first view targets are asked that join: twice
 	// what it takes them to come back to the list after the source was away.
-	learnFor = 4 * time.Second
-	// settleMost is how long after the first view requests may still wait for what
+	cacheLoadWindow = 4 * time.Second
+	// maxSettleTime is how long after the first view requests may still wait for what
 	// targets hold: a target that does not answer must not hold up all callers.
-	settleMost = 250 * time.Millisecond
-	// othersWait is how long an entry that has asked its part of the targets waits for what the
+	maxSettleTime = 250 * time.Millisecond
+	// otherListersTimeout is how long an entry that has asked its part of the targets waits for what the
 	// others report of theirs.
-	othersWait = 100 * time.Millisecond
-	// copyEvery is how often a peer is asked for a copy while more than copyPart of the targets
+	otherListersTimeout = 100 * time.Millisecond
+	// copyInterval is how often a peer is asked for a copy while more than copyPart of the targets
 	// are unknown: a copy is of all.
-	copyEvery = 700 * time.Millisecond
-	copyPart  = 0.1
-	// lookRest is the pause after a look at all targets, in times of what the look took: an entry
+	copyInterval  = 700 * time.Millisecond
+	copyThreshold = 0.1
+	// scanPauseFactor is the pause after a look at all targets, in times of what the look took: an entry
 	// that has just started needs its processor for callers.
-	lookRest = 20
-	// learners is how many targets are asked at a time.
-	learners = 4
+	scanPauseFactor = 20
+	// listWorkers is how many targets are asked at a time.
+	listWorkers = 4
 )
 
-// learn finds out what targets hold, once after a start: from a peer that knows, or
+// loadCacheIndex finds out what targets hold, once after a start: from a peer that knows, or
 // else from the targets. An entry that knows nothing sends each prefix to a target
 // that has to read it again, which delays everybody's tokens there.
-func (n *Direct) learn(ctx context.Context) {
-	began := time.Now()
-	settle := sync.OnceFunc(func() { close(n.settled) })
+func (n *Direct) loadCacheIndex(ctx context.Context) {
+	start := time.Now()
+	settle := sync.OnceFunc(func() { close(n.cacheIndexSettled) })
 	defer settle()
 	if n.Caches == nil || n.Settings.Bootstrap {
-		n.known(began)
+		n.markCacheIndexLoaded(start)
 		return
 	}
 	for v := n.roster.View(); v == nil || !v.Listed; v = n.roster.View() {
-		if !clock.Sleep(ctx, learnTick) {
+		if !clock.Sleep(ctx, cachePollInterval) {
 			return
 		}
 	}
-	late := time.AfterFunc(settleMost, settle)
-	defer late.Stop()
-	l := &learning{node: n, began: began, settle: settle, asked: make(map[string]bool)}
-	if n.learnFromPeer(ctx, began) {
-		l.know()
+	settleTimer := time.AfterFunc(maxSettleTime, settle)
+	defer settleTimer.Stop()
+	loader := &cacheLoader{node: n, startedAt: start, settle: settle, requested: make(map[string]bool)}
+	if n.loadFromPeer(ctx, start) {
+		loader.markLoaded()
 	} else {
-		l.startAsking(ctx)
-		defer close(l.queue)
+		loader.startWorkers(ctx)
+		defer close(loader.queue)
 	}
-	l.run(ctx)
-	n.known(began)
+	loader.run(ctx)
+	n.markCacheIndexLoaded(start)
 }
 
-// known notes that this entry knows what targets hold.
-func (n *Direct) known(began time.Time) {
-	if !n.knows.Swap(true) {
-		n.peers.Announce()
-		n.log.Emit(event.CachesKnown, event.Dur("took", time.Since(began)))
+// markCacheIndexLoaded notes that this entry knows what targets hold.
+func (n *Direct) markCacheIndexLoaded(start time.Time) {
+	if !n.hasCacheIndex.Swap(true) {
+		n.peers.ReportNow()
+		n.log.Emit(event.CachesKnown, event.Dur("took", time.Since(start)))
 	}
 }
 
-// learnFromPeer asks a peer that knows, if there is one.
-func (n *Direct) learnFromPeer(ctx context.Context, began time.Time) bool {
+// loadFromPeer asks a peer that knows, if there is one.
+func (n *Direct) loadFromPeer(ctx context.Context, start time.Time) bool {
 	for {
-		pause := learnTick
+		pause := cachePollInterval
 		if peer, ok := n.peers.PeerWithCacheIndex(); ok {
-			lists, size, err := share.FetchCaches(ctx, peer.String(), link.Dial)
+			lists, size, err := share.FetchCacheLists(ctx, peer.String(), link.Dial)
 			n.log.Emit(event.CachesTaken, event.Str("peer", peer.String()), event.Int("lists", int64(len(lists))),
 				event.Int("bytes", int64(size)), event.Err(err))
 			if err == nil {
 				n.board.MergeLists(clock.Now(), lists)
 				return true
 			}
-			pause = busyRest
+			pause = busyPeerDelay
 		}
-		if time.Since(began) >= n.peerWait() || !clock.Sleep(ctx, pause) {
+		if time.Since(start) >= n.peerTimeout() || !clock.Sleep(ctx, pause) {
 			return false
 		}
 	}
 }
 
-// peerWait is how long to wait for a peer that knows. After a loss of all entries none knows who
+// peerTimeout is how long to wait for a peer that knows. After a loss of all entries none knows who
 // the others are: did each ask, every target would be asked by all.
-func (n *Direct) peerWait() time.Duration {
+func (n *Direct) peerTimeout() time.Duration {
 	if len(n.settings.Load().Seeds) == 0 || n.isSeed() {
-		return learnWait
+		return peerCacheTimeout
 	}
-	return seedWait
+	return seedCacheTimeout
 }
 
 // isSeed reports whether this entry is one of the seeds.
 func (n *Direct) isSeed() bool { return slices.Contains(n.settings.Load().Seeds, n.Settings.PeerAddr) }
 
-// asks reports whether this entry asks a target: a seed shares them with the other seeds.
-func (n *Direct) asks(t *roster.Target) bool {
+// isAssigned reports whether this entry asks a target: a seed shares them with the other seeds.
+func (n *Direct) isAssigned(t *roster.Target) bool {
 	if !n.isSeed() {
-		return n.board.IsAssigned(&t.Instance, askers)
+		return n.board.IsAssigned(&t.Instance, listersPerTarget)
 	}
 	return n.board.IsFirstOf(&t.Instance, n.peers.LiveSeeds(clock.Now()))
 }
 
-// learning is what an entry does in its first seconds to learn what targets hold. Where the
+// cacheLoader is what an entry does in its first seconds to learn what targets hold. Where the
 // source was away as well, targets come back to its list one by one.
-type learning struct {
-	node   *Direct
-	began  time.Time
-	settle func()
-	// knownAt is when enough was known, and copied when a peer was last asked for a copy.
-	knownAt, copied time.Time
+type cacheLoader struct {
+	node      *Direct
+	startedAt time.Time
+	settle    func()
+	// loadedAt is when enough was known, and copied when a peer was last asked for a copy.
+	loadedAt, copiedAt time.Time
 
 	// queue is of the targets to ask; nil where a peer's copy made that needless.
-	queue chan *roster.Target
-	asked map[string]bool
-	// open counts the targets that were asked and have not answered.
-	open atomic.Int64
-	// idle is when the last of them did.
-	idle time.Time
+	queue     chan *roster.Target
+	requested map[string]bool
+	// pending counts the targets that were asked and have not answered.
+	pending atomic.Int64
+	// idleSince is when the last of them did.
+	idleSince time.Time
 }
 
-func (l *learning) startAsking(ctx context.Context) {
+func (l *cacheLoader) startWorkers(ctx context.Context) {
 	l.queue = make(chan *roster.Target)
-	for range learners {
-		go (&learner{learning: l}).run(ctx)
+	for range listWorkers {
+		go (&listWorker{cacheLoader: l}).run(ctx)
 	}
 }
 
-// know notes that enough is known to serve by.
-func (l *learning) know() {
-	if l.knownAt.IsZero() {
-		l.knownAt, l.copied = time.Now(), time.Now()
+// markLoaded notes that enough is known to serve by.
+func (l *cacheLoader) markLoaded() {
+	if l.loadedAt.IsZero() {
+		l.loadedAt, l.copiedAt = time.Now(), time.Now()
 	}
-	l.node.known(l.began)
+	l.node.markCacheIndexLoaded(l.startedAt)
 	l.settle()
 }
 
 // run asks the targets that are this entry's to ask, and peers for a copy of what is still
 // unknown once they had the time to learn it.
-func (l *learning) run(ctx context.Context) {
-	for end := time.Now().Add(learnFor); time.Now().Before(end); {
-		looked := time.Now()
-		list := l.node.unlisted()
-		pause := max(learnTick, lookRest*time.Since(looked))
-		if l.queue != nil && l.ask(list) {
-			l.know()
+func (l *cacheLoader) run(ctx context.Context) {
+	for end := time.Now().Add(cacheLoadWindow); time.Now().Before(end); {
+		scanStart := time.Now()
+		list := l.node.unlistedTargets()
+		pause := max(cachePollInterval, scanPauseFactor*time.Since(scanStart))
+		if l.queue != nil && l.enqueue(list) {
+			l.markLoaded()
 		}
-		l.copyRest(ctx, len(list))
+		l.copyMissing(ctx, len(list))
 		if !clock.Sleep(ctx, pause) {
 			return
 		}
 	}
 }
 
-// copyRest asks a peer for a copy where many targets are unknown still.
-func (l *learning) copyRest(ctx context.Context, unknown int) {
-	if l.knownAt.IsZero() || time.Since(l.copied) < copyEvery {
+// copyMissing asks a peer for a copy where many targets are unknown still.
+func (l *cacheLoader) copyMissing(ctx context.Context, unknown int) {
+	if l.loadedAt.IsZero() || time.Since(l.copiedAt) < copyInterval {
 		return
 	}
-	l.copied = time.Now()
-	if v := l.node.roster.View(); float64(unknown) > copyPart*float64(len(v.ByID)) {
-		l.node.learnFromPeer(ctx, time.Now())
+	l.copiedAt = time.Now()
+	if v := l.node.roster.View(); float64(unknown) > copyThreshold*float64(len(v.ByID)) {
+		l.node.loadFromPeer(ctx, time.Now())
 	}
 }
 
-// ask asks those of the targets that are this entry's to ask, and reports whether no more is to
+// enqueue asks those of the targets that are this entry's to ask, and reports whether no more is to
 // be expected: one that is gone, or whose entry is, must not hold up what is known of the others.
-func (l *learning) ask(list []*roster.Target) bool {
-	others := false
+func (l *cacheLoader) enqueue(list []*roster.Target) bool {
+	unassigned := false
 	for _, t := range list {
-		if l.asked[t.ID] {
+		if l.requested[t.ID] {
 			continue
 		}
-		if !l.node.asks(t) {
-			others = true
+		if !l.node.isAssigned(t) {
+			unassigned = true
 			continue
 		}
-		l.asked[t.ID] = true
-		l.open.Add(1)
+		l.requested[t.ID] = true
+		l.pending.Add(1)
 		l.queue <- t
 	}
-	if l.open.Load() > 0 {
-		l.idle = time.Time{}
+	if l.pending.Load() > 0 {
+		l.idleSince = time.Time{}
 		return false
 	}
-	if l.idle.IsZero() {
-		l.idle = time.Now()
+	if l.idleSince.IsZero() {
+		l.idleSince = time.Now()
 	}
-	return !others || time.Since(l.idle) >= othersWait
+	return !unassigned || time.Since(l.idleSince) >= otherListersTimeout
 }
 
-// unlisted are the engines whose caches neither they nor a peer have listed.
-func (n *Direct) unlisted() []*roster.Target {
+// unlistedTargets are the engines whose caches neither they nor a peer have listed.
+func (n *Direct) unlistedTargets() []*roster.Target {
 	v := n.roster.View()
 	var list []*roster.Target
 	for _, t := range v.ByID {
@@ -229,20 +229,20 @@
 	return list
 }
 
-// learner asks targets, one after the other.
-type learner struct {
-	*learning
+// listWorker asks targets, one after the other.
+type listWorker struct {
+	*cacheLoader
 }
 
-func (l *learner) run(ctx context.Context) {
+func (l *listWorker) run(ctx context.Context) {
 	for t := range l.queue {
-		l.list(ctx, t)
-		l.open.Add(-1)
+		l.listTarget(ctx, t)
+		l.pending.Add(-1)
 	}
 }
 
-// list asks one target, and reports to the peers.
-func (l *learner) list(ctx context.Context, t *roster.Target) {
+// listTarget asks one target, and reports to the peers.
+func (l *listWorker) listTarget(ctx context.Context, t *roster.Target) {
 	n := l.node
 	parts, err := n.Caches.ListParts(ctx, t.Address)
 	n.log.Emit(event.CacheListed, event.Str("target", t.ID), event.Int("parts", int64(len(parts))), event.Err(err))
@@ -250,7 +250,7 @@
 		return
 	}
 	n.board.Hold(clock.Now(), &t.Instance, parts)
-	n.peers.Spread(share.NewList(board.Key(&t.Instance), partIDs(parts)))
+	n.peers.SendLists(share.NewCacheList(board.Key(&t.Instance), partIDs(parts)))
 }
 
 func partIDs(parts []chestnutstep.PromptPart) []uint64 {
--- a/node/learn_test.go
+++ b/node/learn_test.go
@@ -16,27 +16,27 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// shared is a prompt of a prefix that others share and a part of its own.
-const shared = "aa11:9000,bb22:10"
+// sharedPrompt is a prompt of a prefix that others share and a part of its own.
+const sharedPrompt = "aa11:9000,bb22:10"
 
-// startLate starts an entry of a fleet that has served before, and waits until it
+// startJoining starts an entry of a fleet that has served before, and waits until it
 // knows what targets hold.
-func startLate(t *testing.T, store *stand.Store, seeds ...string) *direct {
+func startJoining(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
-	d := launchLate(t, store, seeds...)
-	d.waitLearned(t)
+	d := launchJoining(t, store, seeds...)
+	d.waitCacheIndex(t)
 	return d
 }
 
-func (d *direct) waitLearned(t *testing.T) {
+func (d *direct) waitCacheIndex(t *testing.T) {
 	t.Helper()
 	waitFor(t, func() bool { return strings.Contains(d.out.text(), "caches_known") }, "the entry knows what targets hold")
 }
 
-// launchLate starts an entry of a fleet that has served before. The seed "self" is its own address.
-func launchLate(t *testing.T, store *stand.Store, seeds ...string) *direct {
+// launchJoining starts an entry of a fleet that has served before. The seed "self" is its own address.
+func launchJoining(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
-	d := &direct{door: store.Open(), out: &pausable{}, done: make(chan error, 1)}
+	d := &direct{door: store.Open(), out: &blockableLog{}, done: make(chan error, 1)}
 	t.Cleanup(d.door.Close)
 	d.settings = directSettings(t, d.door.Address(), seeds...)
 	d.settings.Bootstrap = false
@@ -47,7 +47,7 @@
 	}
 	source := platform.NewStore(d.door.Address(), link.Dial)
 	n := &node.Direct{
-		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Facts: source, Caches: platform.NewTargetClient(),
+		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Decoder: source, Caches: platform.NewTargetClient(),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -70,8 +70,8 @@
 	})
 }
 
-// newHolder is a store that lists one engine, which has the shared prefix.
-func newHolder(t *testing.T) (*stand.Store, *stand.Target) {
+// newCachedPrefixStore is a store that lists one engine, which has the shared prefix.
+func newCachedPrefixStore(t *testing.T) (*stand.Store, *stand.Target) {
 	t.Helper()
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publishEngine(store, x)
@@ -79,99 +79,99 @@
 	return store, x
 }
 
-// talk sends a request whose prompt has a shared prefix.
-func (d *direct) talk(t *testing.T, id string) {
+// sendPrompt sends a request whose prompt has a shared prefix.
+func (d *direct) sendPrompt(t *testing.T, id string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+"/talk/stream/x", strings.NewReader("body"))
 	assert.NilError(t, err)
 	r.Host = "shop.example"
 	r.Header.Set("Attempt-Id", id)
 	r.Header.Set("Credential", "k")
-	r.Header.Set("Prefix-Hash", shared)
+	r.Header.Set("Prefix-Hash", sharedPrompt)
 	resp, err := http.DefaultClient.Do(r)
 	assert.Equal(t, status(resp, err), http.StatusOK)
 }
 
-// held says whether an entry believed that the target had the prefix when it sent.
-func (d *direct) held() bool { return strings.Contains(d.out.text(), `"own":9000`) }
+// sentByCachedPrefix says whether an entry believed that the target had the prefix when it sent.
+func (d *direct) sentByCachedPrefix() bool { return strings.Contains(d.out.text(), `"own":9000`) }
 
 // One entry is replaced while others serve. It knows nothing of what targets hold:
 // each prefix that its callers bring would be read again, which those callers and
 // all beside them wait for. A peer tells it all at once, and no target is troubled.
-func TestDirectLearnsFromItsPeer(t *testing.T) {
+func TestDirectLoadsCacheIndexFromPeer(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publishEngine(store, x)
 	old := startDirect(t, store)
-	old.talk(t, "a")
-	late := startLate(t, store, old.settings.PeerAddr)
-	late.talk(t, "b")
-	assert.Assert(t, late.held(), late.out.text())
+	old.sendPrompt(t, "a")
+	late := startJoining(t, store, old.settings.PeerAddr)
+	late.sendPrompt(t, "b")
+	assert.Assert(t, late.sentByCachedPrefix(), late.out.text())
 	assert.Equal(t, x.Listed(), 0)
 }
 
 // All entries lose power at once, and nobody knows what targets hold. The targets
 // do: they are asked, by few entries, and all know.
-func TestDirectLearnsFromTargets(t *testing.T) {
-	store, x := newHolder(t)
-	first := startLate(t, store)
+func TestDirectLoadsCacheIndexFromTargets(t *testing.T) {
+	store, x := newCachedPrefixStore(t)
+	first := startJoining(t, store)
 	assert.Equal(t, x.Listed(), 1)
-	second := startLate(t, store, first.settings.PeerAddr)
-	first.talk(t, "a")
-	second.talk(t, "b")
-	assert.Assert(t, first.held(), first.out.text())
-	assert.Assert(t, second.held(), second.out.text())
+	second := startJoining(t, store, first.settings.PeerAddr)
+	first.sendPrompt(t, "a")
+	second.sendPrompt(t, "b")
+	assert.Assert(t, first.sentByCachedPrefix(), first.out.text())
+	assert.Assert(t, second.sentByCachedPrefix(), second.out.text())
 	assert.Equal(t, x.Listed(), 1, "the first one told the second")
 }
 
-// TestSeedsAskTargetsForAll guards against every entry of a fleet that lost power asking every
+// TestOnlySeedsListTargetCaches guards against every entry of a fleet that lost power asking every
 // target what it holds, as none knows yet who the others are.
-func TestSeedsAskTargetsForAll(t *testing.T) {
+func TestOnlySeedsListTargetCaches(t *testing.T) {
 	const others = 5
-	store, x := newHolder(t)
-	seed := launchLate(t, store, "self")
+	store, x := newCachedPrefixStore(t)
+	seed := launchJoining(t, store, "self")
 	fleet := []*direct{seed}
 	for range others {
-		fleet = append(fleet, launchLate(t, store, seed.settings.PeerAddr))
+		fleet = append(fleet, launchJoining(t, store, seed.settings.PeerAddr))
 	}
 	for i, d := range fleet {
-		d.waitLearned(t)
-		d.talk(t, string(rune('a'+i)))
-		assert.Assert(t, d.held(), d.out.text())
+		d.waitCacheIndex(t)
+		d.sendPrompt(t, string(rune('a'+i)))
+		assert.Assert(t, d.sentByCachedPrefix(), d.out.text())
 	}
 	assert.Equal(t, x.Listed(), 1)
 }
 
-// TestTargetsAreAskedWithoutSeeds guards against entries that wait for a seed which is gone.
-func TestTargetsAreAskedWithoutSeeds(t *testing.T) {
-	store, x := newHolder(t)
-	d := startLate(t, store, node.FreeAddr(t))
-	d.talk(t, "a")
-	assert.Assert(t, d.held(), d.out.text())
+// TestTargetCachesAreListedWithoutSeeds guards against entries that wait for a seed which is gone.
+func TestTargetCachesAreListedWithoutSeeds(t *testing.T) {
+	store, x := newCachedPrefixStore(t)
+	d := startJoining(t, store, node.FreeAddr(t))
+	d.sendPrompt(t, "a")
+	assert.Assert(t, d.sentByCachedPrefix(), d.out.text())
 	assert.Equal(t, x.Listed(), 1)
 }
 
-// TestDeadTargetHoldsUpNoIndex guards against entries that know nothing for seconds, as one of the
+// TestDeadTargetDoesNotDelayCacheIndex guards against entries that know nothing for seconds, as one of the
 // targets that they ask is gone.
-func TestDeadTargetHoldsUpNoIndex(t *testing.T) {
-	store, _ := newHolder(t)
+func TestDeadTargetDoesNotDelayCacheIndex(t *testing.T) {
+	store, _ := newCachedPrefixStore(t)
 	store.Put("servers/i-gone", map[string]any{
 		"service": "s", "address": node.FreeAddr(t), "zone": "d", "slots": 4, "state": "ready",
 	})
 	began := time.Now()
-	d := startLate(t, store)
+	d := startJoining(t, store)
 	assert.Assert(t, time.Since(began) < 2*time.Second, "%s", time.Since(began))
-	d.talk(t, "a")
-	assert.Assert(t, d.held(), d.out.text())
+	d.sendPrompt(t, "a")
+	assert.Assert(t, d.sentByCachedPrefix(), d.out.text())
 }
 
-// TestLearningWaitsForTheList guards against an entry that counts as knowing what targets hold before it knows any target.
-func TestLearningWaitsForTheList(t *testing.T) {
-	store, x := newHolder(t)
+// TestCacheIndexWaitsForTargetList guards against an entry that counts as knowing what targets hold before it knows any target.
+func TestCacheIndexWaitsForTargetList(t *testing.T) {
+	store, x := newCachedPrefixStore(t)
 	door := store.Open()
 	t.Cleanup(door.Close)
 	source := platform.NewStore(door.Address(), link.Dial)
-	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), asked: make(chan struct{}), release: make(chan struct{})}
-	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &pausable{}}
+	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), called: make(chan struct{}), release: make(chan struct{})}
+	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &blockableLog{}}
 	d.settings.Bootstrap = false
 	n := &node.Direct{
 		Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out, Caches: platform.NewTargetClient(),
@@ -180,7 +180,7 @@
 	t.Cleanup(stop)
 	go func() { _ = n.Run(ctx) }()
 	known := func() bool { return strings.Contains(d.out.text(), "caches_known") }
-	<-slow.asked
+	<-slow.called
 	waitFor(t, func() bool { return strings.Contains(d.out.text(), "routing_in_force") }, "the configuration is in force")
 	time.Sleep(time.Second)
 	assert.Assert(t, !known())
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -16,23 +16,23 @@
 	"chestnutstep.example/chestnutstep/config"
 )
 
-// lines is a log that tests read.
-type lines struct {
-	mu  sync.Mutex
-	all []byte
+// logBuffer is a log that tests read.
+type logBuffer struct {
+	mu      sync.Mutex
+	written []byte
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, p...)
+	l.written = append(l.written, p...)
 	return len(p), nil
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return string(l.all)
+	return string(l.written)
 }
 
 // firstPort lies below the ports that systems hand out by themselves: one of
@@ -45,15 +45,15 @@
 	ownHost = fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(63), rand.IntN(256), 1+rand.IntN(254))
 )
 
-// free returns an address that nothing listens at.
-func free(*testing.T) string {
+// freeAddr returns an address that nothing listens at.
+func freeAddr(*testing.T) string {
 	return fmt.Sprintf("%s:%d", ownHost, firstPort+ports.Add(1))
 }
 
 func agentSettings(t *testing.T, listen string) *config.Settings {
 	raw := fmt.Sprintf(`{"name": "t1", "host": "h1", "domain": "a", "region": "r", "listen": %q, "admin": %q,
 		"platform": "http://127.0.0.1:1", "target": {"name": "t1", "url": "http://127.0.0.1:2", "kind": "engine"}}`,
-		listen, free(t))
+		listen, freeAddr(t))
 	s, err := config.ParseSettings("t1.json", []byte(raw), config.RoleAgent)
 	assert.NilError(t, err)
 	return s
@@ -63,8 +63,8 @@
 // would each admit up to the target's cap and hand out tickets that the other
 // does not know. The second one must say so and stop.
 func TestSecondAgentStops(t *testing.T) {
-	listen := free(t)
-	out := &lines{}
+	listen := freeAddr(t)
+	out := &logBuffer{}
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan error, 1)
 	a := &Agent{Settings: agentSettings(t, listen), Out: out}
@@ -87,10 +87,10 @@
 // process says that it is not ready, so that the balancer sends no callers, and
 // why; it does not stop.
 func TestStartWithoutPlatform(t *testing.T) {
-	out := &lines{}
+	out := &logBuffer{}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	a := &Agent{Settings: agentSettings(t, free(t)), Out: out}
+	a := &Agent{Settings: agentSettings(t, freeAddr(t)), Out: out}
 	assert.NilError(t, a.build())
 	assert.ErrorContains(t, a.ready(), "no publication yet")
 	b := &Agent{Settings: a.Settings, Out: out}
--- a/node/notice.go
+++ b/node/notice.go
@@ -39,15 +39,15 @@
 	agent.NoticeEnded:     event.RunEnded,
 }
 
-// notice puts what an agent says into log, metrics and audit trail.
-func (n *Agent) notice(m agent.Notice) {
+// handleNotice puts what an agent says into log, metrics and audit trail.
+func (n *Agent) handleNotice(m agent.Notice) {
 	if id, ok := targetEvents[m.Kind]; ok {
 		n.log.Emit(id, event.Target(m.Subject))
-		n.record(audit.KindTarget, m)
+		n.auditNotice(audit.KindTarget, m)
 	}
 	if id, ok := contentEvents[m.Kind]; ok {
 		n.log.Emit(id, event.Str("content", m.Subject))
-		n.record(audit.KindCondemned, m)
+		n.auditNotice(audit.KindCondemned, m)
 	}
 	if id, ok := offerEvents[m.Kind]; ok {
 		n.log.Emit(id, event.Request(m.Subject), event.Int("offer", int64(m.Offer)), event.Reason(m.Reason), event.Dur("after", m.Age))
@@ -56,9 +56,9 @@
 	case agent.NoticeCrash:
 		n.meters.Agent.Crashes.Add(1)
 	case agent.NoticeRefused:
-		n.refusedOffer(m, event.OfferRefused)
+		n.countRefusedOffer(m, event.OfferRefused)
 	case agent.NoticeWithdrawn:
-		n.refusedOffer(m, 0)
+		n.countRefusedOffer(m, 0)
 	case agent.NoticeMoved:
 		n.log.Emit(event.RunNoted, event.Request(m.Subject), event.Target(m.After))
 	case agent.NoticeAbandoned:
@@ -71,7 +71,7 @@
 	case agent.NoticeQueued:
 		n.meters.Agent.Offers.Add(1, m.Profile, "wait")
 	case agent.NoticeOrder:
-		n.order(m)
+		n.recordOrder(m)
 	case agent.NoticeHanded:
 		n.meters.Agent.Moves.Add(1, "export", "ok")
 		n.meters.Agent.MovedBytes.Add(m.Bytes, "export")
@@ -79,13 +79,13 @@
 		n.meters.Agent.Moves.Add(1, "import", "ok")
 		n.meters.Agent.MovedBytes.Add(m.Bytes, "import")
 	case agent.NoticeEnded:
-		n.ended(m)
+		n.countRun(m)
 	}
 }
 
-// refusedOffer notes an offer that did not run, for a ticket with what became of
+// countRefusedOffer notes an offer that did not run, for a ticket with what became of
 // it; 0 writes no line for others.
-func (n *Agent) refusedOffer(m agent.Notice, id event.ID) {
+func (n *Agent) countRefusedOffer(m agent.Notice, id event.ID) {
 	switch {
 	case m.Ticket && slices.Contains(ticketReasons, m.Reason):
 		id = event.TicketRefused
@@ -107,8 +107,8 @@
 	chestnutstep.ReasonForged, chestnutstep.ReasonDropped, chestnutstep.ReasonGone,
 }
 
-// order notes an order to the engine.
-func (n *Agent) order(m agent.Notice) {
+// recordOrder notes an order to the engine.
+func (n *Agent) recordOrder(m agent.Notice) {
 	id := event.OrderDone
 	switch order.Event(m.After) {
 	case order.Refuse:
@@ -119,16 +119,16 @@
 	n.log.Emit(id, event.Str("order", m.Subject), event.Str("fence", m.Before), event.Str("end", m.After))
 	kind, _, _ := strings.Cut(m.Subject, " ")
 	n.meters.Agent.Orders.Add(1, kind, m.After)
-	n.record(audit.KindOrder, m)
+	n.auditNotice(audit.KindOrder, m)
 }
 
-// ended counts a run.
-func (n *Agent) ended(m agent.Notice) {
+// countRun counts a run.
+func (n *Agent) countRun(m agent.Notice) {
 	result := string(m.Reason)
 	if result == "" {
 		result = "served"
 	}
-	n.endedBadly(m)
+	n.logFailedRun(m)
 	n.meters.Agent.Runs.Add(1, m.Profile, result)
 	n.meters.Agent.Wait.Observe(m.Wait, m.Profile)
 	n.meters.Agent.CachedTokens.Add(m.Cached, m.Profile)
@@ -140,8 +140,8 @@
 	}
 }
 
-// endedBadly logs runs that an operator should know of, and counts tickets.
-func (n *Agent) endedBadly(m agent.Notice) {
+// logFailedRun logs runs that an operator should know of, and counts tickets.
+func (n *Agent) logFailedRun(m agent.Notice) {
 	request, target := event.Request(m.Subject), event.Target(n.agent.Name)
 	switch m.Reason {
 	case chestnutstep.ReasonCrossed:
@@ -158,15 +158,15 @@
 	}
 }
 
-func (n *Agent) record(kind audit.Kind, m agent.Notice) {
-	n.note(audit.Record{
+func (n *Agent) auditNotice(kind audit.Kind, m agent.Notice) {
+	n.addAuditRecord(audit.Record{
 		Kind: kind, Subject: m.Subject, Cause: string(m.Kind) + " " + string(m.Reason),
 		Before: m.Before, After: m.After, Version: n.version(),
 	})
 }
 
-// notice puts how a caller's request ended into log and metrics.
-func (n *Entry) notice(m entry.Notice) {
+// handleNotice puts how a caller's request ended into log and metrics.
+func (n *Entry) handleNotice(m entry.Notice) {
 	result := "ok"
 	if m.Reason != "" {
 		result = string(m.Reason)
@@ -184,7 +184,7 @@
 		event.Int("offers", int64(m.Offers)),
 		event.Dur("total", m.Total),
 	)
-	n.onTheWay(m)
+	n.countProgress(m)
 	n.meters.Entry.Requests.Add(1, m.Profile, result)
 	if m.First > 0 {
 		n.meters.Entry.FirstByte.Observe(m.First, m.Profile)
@@ -194,8 +194,8 @@
 	}
 }
 
-// onTheWay notes what a request met before it ended.
-func (n *Entry) onTheWay(m entry.Notice) {
+// countProgress notes what a request met before it ended.
+func (n *Entry) countProgress(m entry.Notice) {
 	if m.Attached > 0 {
 		n.log.Emit(event.AnswerAttached, event.Request(m.Request), event.Target(m.Target))
 		n.meters.Entry.Attached.Add(int64(m.Attached), m.Profile, "ok")
--- a/node/path_test.go
+++ b/node/path_test.go
@@ -25,59 +25,59 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// small is a fleet of one engine, its agent and an entry in this process, under
+// testFleet is a fleet of one engine, its agent and an entry in this process, under
 // TLS on all links, with the platform's stand-in.
-type small struct {
-	t        *testing.T
-	dir      string
-	platform *fake.Platform
-	ca       *fake.Authority
-	service  string
-	agent    string
-	callers  string
-	admins   []string
-	roots    *x509.CertPool
+type testFleet struct {
+	t           *testing.T
+	dir         string
+	platform    *fake.Platform
+	ca          *fake.Authority
+	platformURL string
+	agentAddr   string
+	callersAddr string
+	adminAddrs  []string
+	roots       *x509.CertPool
 }
 
-func newSmall(t *testing.T) *small {
-	f := &small{t: t, dir: t.TempDir(), platform: &fake.Platform{}, agent: free(t), callers: free(t), admins: []string{free(t), free(t)}}
+func newTestFleet(t *testing.T) *testFleet {
+	f := &testFleet{t: t, dir: t.TempDir(), platform: &fake.Platform{}, agentAddr: freeAddr(t), callersAddr: freeAddr(t), adminAddrs: []string{freeAddr(t), freeAddr(t)}}
 	var err error
 	f.ca, err = fake.NewAuthority()
 	assert.NilError(t, err)
 	srv := httptest.NewServer(f.platform)
 	t.Cleanup(srv.Close)
-	f.service = srv.URL
+	f.platformURL = srv.URL
 	f.publish()
 	engine := httptest.NewServer(&fake.Engine{})
 	t.Cleanup(engine.Close)
 	f.start(&Agent{Settings: f.settings(config.RoleAgent, fmt.Sprintf(
-		`"name": "label-1", "listen": %q, "admin": %q, "target": {"name": "label-1", "url": %q}`, f.agent, f.admins[0], engine.URL,
+		`"name": "label-1", "listen": %q, "admin": %q, "target": {"name": "label-1", "url": %q}`, f.agentAddr, f.adminAddrs[0], engine.URL,
 	)), Out: io.Discard})
 	door := f.issue("door")
 	f.start(&Entry{Settings: f.settings(config.RoleEntry, fmt.Sprintf(
 		`"name": "e1", "listen": %q, "peer": %q, "admin": %q, "callers": {"cert": %q, "key": %q}`,
-		f.callers, free(t), f.admins[1], door.Cert, door.Key,
+		f.callersAddr, freeAddr(t), f.adminAddrs[1], door.Cert, door.Key,
 	)), Out: io.Discard})
 	raw, err := os.ReadFile(door.CA)
 	assert.NilError(t, err)
 	f.roots = x509.NewCertPool()
 	assert.Assert(t, f.roots.AppendCertsFromPEM(raw))
-	for _, admin := range f.admins {
-		f.ready(admin)
+	for _, admin := range f.adminAddrs {
+		f.waitReady(admin)
 	}
 	return f
 }
 
-func (f *small) issue(name string) fake.Files {
+func (f *testFleet) issue(name string) fake.Files {
 	files, err := f.ca.Issue(f.dir, name, ownHost)
 	assert.NilError(f.t, err)
 	return files
 }
 
-func (f *small) settings(role config.Role, rest string) *config.Settings {
+func (f *testFleet) settings(role config.Role, rest string) *config.Settings {
 	files := f.issue(string(role))
 	raw := fmt.Sprintf(`{"host": "h", "domain": "a", "region": "r", "platform": %q, "drain": "5s",
-		"tls": {"cert": %q, "key": %q, "ca": %q}, %s}`, f.service, files.Cert, files.Key, files.CA, rest)
+		"tls": {"cert": %q, "key": %q, "ca": %q}, %s}`, f.platformURL, files.Cert, files.Key, files.CA, rest)
 	s, err := config.ParseSettings(string(role), []byte(raw), role)
 	assert.NilError(f.t, err)
 	return s
@@ -88,7 +88,7 @@
 	Run(ctx context.Context) error
 }
 
-func (f *small) start(r runner) {
+func (f *testFleet) start(r runner) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
@@ -98,7 +98,7 @@
 	})
 }
 
-func (f *small) publish() {
+func (f *testFleet) publish() {
 	sum := sha256.Sum256([]byte("key"))
 	p := &chestnutstep.Publication{
 		Version: 1,
@@ -107,7 +107,7 @@
 		Models: []chestnutstep.Model{
 			{Name: "label", Kind: chestnutstep.KindEngine, Floor: 4, Slots: 8, QueueLimit: 8, ColdCap: 4, DoneMarker: "event: done"},
 		},
-		Targets: []chestnutstep.Target{{Name: "label-1", Host: "h", Model: "label", Agent: f.agent}},
+		Targets: []chestnutstep.Target{{Name: "label-1", Host: "h", Model: "label", Agent: f.agentAddr}},
 		Profiles: []chestnutstep.Profile{{
 			Name: "quick", Model: "label", Class: "urgent", Timeout: chestnutstep.Duration(20 * time.Second), MaxAttempts: 1, ExpectedTokens: 5, MaxBodyBytes: 1 << 16,
 		}},
@@ -122,7 +122,7 @@
 	f.platform.Put("chestnut/root", root)
 }
 
-func (f *small) ready(admin string) {
+func (f *testFleet) waitReady(admin string) {
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		rs, err := http.Get("http://" + admin + "/ready")
 		if err != nil {
@@ -139,18 +139,18 @@
 // The whole path as operators would run it: a caller over HTTPS, mutual TLS
 // between entry and agent, the publication from the platform.
 func TestWholePathUnderTLS(t *testing.T) {
-	f := newSmall(t)
-	f.ask()
+	f := newTestFleet(t)
+	f.request()
 }
 
-// ask sends a request on a connection of its own and returns the serial number
+// request sends a request on a connection of its own and returns the serial number
 // of the certificate that the entry showed.
-func (f *small) ask() string {
+func (f *testFleet) request() string {
 	t := f.t
 	client := &http.Client{Transport: &http.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: f.roots}, DisableKeepAlives: true,
 	}}
-	rq, err := http.NewRequest(http.MethodPost, "https://"+f.callers+"/v1/chat", strings.NewReader(`{"prompt":8,"output":4}`))
+	rq, err := http.NewRequest(http.MethodPost, "https://"+f.callersAddr+"/v1/chat", strings.NewReader(`{"prompt":8,"output":4}`))
 	assert.NilError(t, err)
 	rq.Header.Set("Authorization", "Bearer key")
 	rq.Header.Set(chestnutstep.HeaderProfile, "quick")
@@ -167,13 +167,13 @@
 // Certificates end, and operators write new ones over them. A process that kept
 // the old ones until its next start would refuse callers one night.
 func TestRotatedCertificatesAreUsedWithoutRestart(t *testing.T) {
-	f := newSmall(t)
-	old := f.ask()
+	f := newTestFleet(t)
+	old := f.request()
 	f.issue("door")
 	f.issue(string(config.RoleEntry))
 	f.issue(string(config.RoleAgent))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if f.ask() == old {
+		if f.request() == old {
 			return poll.Continue("the old certificate is still shown")
 		}
 		return poll.Success()
@@ -183,25 +183,25 @@
 // Somebody on the operators' network starts a process of their own and talks to
 // agents. Without certificates of the fleet's authority it could run actions in
 // the name of any workspace.
-func TestStrangerCantReachAgent(t *testing.T) {
-	f := newSmall(t)
+func TestUntrustedClientCantReachAgent(t *testing.T) {
+	f := newTestFleet(t)
 	other, err := fake.NewAuthority()
 	assert.NilError(t, err)
-	stranger, err := other.Issue(t.TempDir(), "stranger", ownHost)
+	untrusted, err := other.Issue(t.TempDir(), "stranger", ownHost)
 	assert.NilError(t, err)
 	// The stranger trusts the fleet's authority, so that only the agent's check
 	// of the stranger's own certificate is between them.
-	files := &cert.Files{Cert: stranger.Cert, Key: stranger.Key, CA: f.issue("trusted").CA}
+	files := &cert.Files{Cert: untrusted.Cert, Key: untrusted.Key, CA: f.issue("trusted").CA}
 	assert.NilError(t, files.Load())
 	pool := &dial.Pool{Credentials: files.Credentials()}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	assert.Assert(t, pool.Reach(ctx, f.agent) != nil)
+	assert.Assert(t, pool.Connect(ctx, f.agentAddr) != nil)
 	own := f.issue("own")
-	friend := &cert.Files{Cert: own.Cert, Key: own.Key, CA: own.CA}
-	assert.NilError(t, friend.Load())
-	pool = &dial.Pool{Credentials: friend.Credentials()}
+	trusted := &cert.Files{Cert: own.Cert, Key: own.Key, CA: own.CA}
+	assert.NilError(t, trusted.Load())
+	pool = &dial.Pool{Credentials: trusted.Credentials()}
 	ctx, cancel = context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	assert.NilError(t, pool.Reach(ctx, f.agent))
+	assert.NilError(t, pool.Connect(ctx, f.agentAddr))
 }
--- a/node/probe.go
+++ b/node/probe.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// probeEvery and probeMost bound the connections that an entry tries to
+	// probeInterval and probeMost bound the connections that an entry tries to
 	// suspect hosts: a failure domain of 190 targets must not cost it a core.
-	probeEvery = time.Second
-	probeMost  = 8
-	// probeLimit is how long one try may take.
-	probeLimit = 400 * time.Millisecond
+	probeInterval = time.Second
+	maxProbes     = 8
+	// probeTimeout is how long one try may take.
+	probeTimeout = 400 * time.Millisecond
 )
 
-// probe tries suspect hosts again, apart from callers' requests: a request that
+// probeLoop tries suspect hosts again, apart from callers' requests: a request that
 // tries a host which is still silent pays for it with half a second.
-func (n *Entry) probe(ctx context.Context) {
-	tick := time.NewTicker(probeEvery)
+func (n *Entry) probeLoop(ctx context.Context) {
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -34,7 +34,7 @@
 }
 
 func (n *Entry) probeSuspects(ctx context.Context, v *chestnutstep.View) {
-	left := probeMost
+	remaining := maxProbes
 	for i := range v.Publication.Targets {
 		t := &v.Publication.Targets[i]
 		now := time.Now()
@@ -42,16 +42,16 @@
 			continue
 		}
 		n.probeHost(ctx, t)
-		if left--; left == 0 {
+		if remaining--; remaining == 0 {
 			return
 		}
 	}
 }
 
 func (n *Entry) probeHost(ctx context.Context, t *chestnutstep.Target) {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if err := n.pool.Reach(ctx, t.Agent); err != nil {
+	if err := n.pool.Connect(ctx, t.Agent); err != nil {
 		n.members.RecordFailure(time.Now(), t.Host)
 		return
 	}
--- a/node/publication.go
+++ b/node/publication.go
@@ -13,47 +13,47 @@
 	"chestnutstep.example/chestnutstep/gossip"
 )
 
-// source remembers what the status page says about the publication.
-type source struct {
-	mu      sync.Mutex
-	since   time.Time
-	refused uint64
-	why     string
-	// silent and alone are what gossip said last of the service and of peers.
-	silent bool
-	alone  bool
+// sourceStatus remembers what the status page says about the publication.
+type sourceStatus struct {
+	mu             sync.Mutex
+	acceptedAt     time.Time
+	refusedVersion uint64
+	refusedReason  string
+	// serviceDown and alone are what gossip said last of the service and of peers.
+	serviceDown bool
+	isolated    bool
 }
 
-// hear takes what gossip notices of the service and of peers.
-func (s *source) hear(kind gossip.NoticeKind) {
+// handleNotice takes what gossip notices of the service and of peers.
+func (s *sourceStatus) handleNotice(kind gossip.NoticeKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch kind {
 	case gossip.NoticeDown, gossip.NoticeUp:
-		s.silent = kind == gossip.NoticeDown
+		s.serviceDown = kind == gossip.NoticeDown
 	case gossip.NoticeLost, gossip.NoticeFound:
-		s.alone = kind == gossip.NoticeLost
+		s.isolated = kind == gossip.NoticeLost
 	}
 }
 
-func (b *base) isAlone() bool {
-	b.source.mu.Lock()
-	defer b.source.mu.Unlock()
-	return b.source.alone
+func (b *base) isIsolated() bool {
+	b.sourceStatus.mu.Lock()
+	defer b.sourceStatus.mu.Unlock()
+	return b.sourceStatus.isolated
 }
 
-// note adds a record to the audit trail and counts it.
-func (b *base) note(r audit.Record) {
+// addAuditRecord adds a record to the audit trail and counts it.
+func (b *base) addAuditRecord(r audit.Record) {
 	b.trail.Add(r)
 	b.meters.Process.Audit.Add(1, string(r.Kind))
 }
 
-// accepted notes a publication that came into force.
-func (b *base) accepted(c config.Change) {
+// onPublicationAccepted notes a publication that came into force.
+func (b *base) onPublicationAccepted(c config.Change) {
 	p := c.To.Publication
-	b.source.mu.Lock()
-	b.source.since = c.Now
-	b.source.mu.Unlock()
+	b.sourceStatus.mu.Lock()
+	b.sourceStatus.acceptedAt = c.Now
+	b.sourceStatus.mu.Unlock()
 	var old *chestnutstep.Publication
 	before := ""
 	if c.From != nil {
@@ -66,21 +66,21 @@
 	if c.Conflict {
 		b.log.Emit(event.PublicationConflict, event.Version(p.Version))
 	}
-	b.note(audit.Record{
+	b.addAuditRecord(audit.Record{
 		Kind: audit.KindAccepted, Subject: "publication", Cause: "published",
 		Before: before, After: c.Stamp.String(), Version: p.Version,
 	})
 	for _, r := range audit.Changes(old, p) {
-		b.note(r)
+		b.addAuditRecord(r)
 	}
 }
 
-// refused notes a publication that was not put in force.
-func (b *base) refused(r config.Refusal) {
-	b.source.mu.Lock()
-	b.source.refused = r.Stamp.Version
-	b.source.why = r.Err.Error()
-	b.source.mu.Unlock()
+// onPublicationRefused notes a publication that was not put in force.
+func (b *base) onPublicationRefused(r config.Refusal) {
+	b.sourceStatus.mu.Lock()
+	b.sourceStatus.refusedVersion = r.Stamp.Version
+	b.sourceStatus.refusedReason = r.Err.Error()
+	b.sourceStatus.mu.Unlock()
 	id := event.PublicationRefused
 	if config.IsErrStale(r.Err) {
 		id = event.PublicationOld
@@ -90,7 +90,7 @@
 	}
 	b.log.Emit(id, event.Version(r.Stamp.Version), event.Err(r.Err))
 	b.meters.Publication.Changes.Add(1, "refused")
-	b.note(audit.Record{
+	b.addAuditRecord(audit.Record{
 		Kind: audit.KindRefused, Subject: "publication", Cause: r.Err.Error(),
 		After: r.Stamp.String(), Version: b.version(),
 	})
@@ -104,21 +104,21 @@
 }
 
 func (b *base) publicationStatus() admin.Publication {
-	b.source.mu.Lock()
-	defer b.source.mu.Unlock()
+	b.sourceStatus.mu.Lock()
+	defer b.sourceStatus.mu.Unlock()
 	return admin.Publication{
 		Version:              b.version(),
-		Since:                b.source.since,
-		RefusedVersion:       b.source.refused,
-		RefusalReason:        b.source.why,
-		PlatformUnresponsive: b.source.silent,
+		Since:                b.sourceStatus.acceptedAt,
+		RefusedVersion:       b.sourceStatus.refusedVersion,
+		RefusalReason:        b.sourceStatus.refusedReason,
+		PlatformUnresponsive: b.sourceStatus.serviceDown,
 	}
 }
 
-// status fills in what entries and agents show alike.
-func (b *base) status(ready error, streams int64) admin.Status {
+// baseStatus fills in what entries and agents show alike.
+func (b *base) baseStatus(ready error, streams int64) admin.Status {
 	s := admin.Status{
-		NoPeers:      b.isAlone(),
+		NoPeers:      b.isIsolated(),
 		Process:      b.settings.Name,
 		Role:         string(b.role),
 		Host:         b.settings.Host,
@@ -128,7 +128,7 @@
 		Ready:        ready == nil,
 		OpenRequests: int(streams),
 		Publication:  b.publicationStatus(),
-		Changes:      b.trail.Last(statusChanges),
+		Changes:      b.trail.Last(maxStatusChanges),
 	}
 	if ready != nil {
 		s.NotReadyReason = ready.Error()
@@ -136,5 +136,5 @@
 	return s
 }
 
-// statusChanges is how many audit records a status page shows.
-const statusChanges = 20
+// maxStatusChanges is how many audit records a status page shows.
+const maxStatusChanges = 20
--- a/node/ready.go
+++ b/node/ready.go
@@ -23,13 +23,13 @@
 		return &ErrNotReady{Cause: "no list of targets yet"}
 	}
 	age := n.proofAge()
-	if limit := n.bounds().MaxRevokeTime; limit > 0 && age > time.Duration(unprovedReady*float64(limit)) {
+	if limit := n.bounds().MaxRevokeTime; limit > 0 && age > time.Duration(readyProofRatio*float64(limit)) {
 		return &ErrNotReady{Cause: "configuration not proved current"}
 	}
 	return nil
 }
 
-func (n *Direct) probe(w http.ResponseWriter, _ *http.Request) {
+func (n *Direct) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if err := n.ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -40,15 +40,15 @@
 // stop says "not ready" first, takes connections until the balancer has noticed,
 // and waits for requests in progress: a planned stop cuts nothing.
 func (n *Direct) stop(srv *http.Server) error {
-	began := time.Now()
+	start := time.Now()
 	n.leaving.Store(true)
 	n.relay.Drain()
 	n.peers.Leave()
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
 	n.log.Emit(event.ProcessDrain, event.Int("open", n.relay.InFlight()))
-	time.Sleep(balancerTime)
-	limit := time.Duration(graceShare * float64(n.bounds().GracePeriod))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limit))
+	time.Sleep(balancerDelay)
+	limit := time.Duration(graceRatio * float64(n.bounds().GracePeriod))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(limit))
 	defer cancel()
 	err := srv.Shutdown(ctx)
 	n.log.Emit(event.ProcessStop, event.Int("open", n.relay.InFlight()), event.Err(err))
--- a/node/size_test.go
+++ b/node/size_test.go
@@ -14,7 +14,7 @@
 	"chestnutstep.example/chestnutstep/route"
 )
 
-func heap() float64 {
+func heapMB() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -25,13 +25,13 @@
 // BenchmarkStore puts publications of the planned size in force, one target
 // changed each time: what each of 11,000 changes a day costs a process.
 func BenchmarkStore(b *testing.B) {
-	before := heap()
+	before := heapMB()
 	s := &config.Store{}
 	p := fake.Planned.Publication(1)
 	root, parts := config.Pack(p)
 	assert.NilError(b, s.Apply(time.Now(), root, parts))
 	p, root, parts = nil, nil, nil
-	size := heap() - before
+	size := heapMB() - before
 	q := fake.Planned.Publication(1)
 	for b.Loop() {
 		b.StopTimer()
@@ -53,7 +53,7 @@
 	n := &Entry{}
 	var t *route.Table
 	for b.Loop() {
-		t = n.rebuild(v, nil)
+		t = n.rebuildRanking(v, nil)
 	}
 	runtime.KeepAlive(t)
 }
--- a/node/watch.go
+++ b/node/watch.go
@@ -9,10 +9,10 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// measure sets the gauges and notes changes of the target's state, once a
+// updateMetrics sets the gauges and notes changes of the target's state, once a
 // second: soon enough for who reads them, and a change that is undone within a
 // second is none that an operator could act on.
-func (n *Agent) measure(ctx context.Context) {
+func (n *Agent) updateMetrics(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	before := n.agent.Load()
@@ -23,8 +23,8 @@
 		case <-tick.C:
 		}
 		l := n.agent.Load()
-		n.gauge(l, n.mean())
-		n.changed(before, l)
+		n.setGauges(l, n.mean())
+		n.recordChanges(before, l)
 		before = l
 	}
 }
@@ -37,7 +37,7 @@
 	return n.sampler.Mean(time.Now())
 }
 
-func (n *Agent) gauge(l chestnutstep.Load, m chestnutstep.Mean) {
+func (n *Agent) setGauges(l chestnutstep.Load, m chestnutstep.Mean) {
 	g := &n.meters.Agent
 	g.Running.Set(float64(l.Running))
 	g.Waiting.Set(float64(l.Waiting))
@@ -52,24 +52,24 @@
 	g.Cold.Set(cold)
 }
 
-// changed notes what no notice of the agent tells: that the target has proven
+// recordChanges notes what no notice of the agent tells: that the target has proven
 // warm, and that it leaves or is back by a publication.
-func (n *Agent) changed(before, l chestnutstep.Load) {
+func (n *Agent) recordChanges(before, l chestnutstep.Load) {
 	if before.Cold && !l.Cold {
-		n.turned(event.TargetWarm, "cold", "warm", "whole answers")
+		n.recordTransition(event.TargetWarm, "cold", "warm", "whole answers")
 	}
 	if !before.Leaving && l.Leaving {
-		n.turned(event.TargetLeaving, "in", "leaving", "publication, host list or stop")
+		n.recordTransition(event.TargetLeaving, "in", "leaving", "publication, host list or stop")
 	}
 	if before.Leaving && !l.Leaving {
-		n.turned(event.TargetBack, "leaving", "in", "publication or host list")
+		n.recordTransition(event.TargetBack, "leaving", "in", "publication or host list")
 	}
 }
 
-func (n *Agent) turned(id event.ID, before, after, cause string) {
+func (n *Agent) recordTransition(id event.ID, before, after, cause string) {
 	name := n.agent.Name
 	n.log.Emit(id, event.Target(name), event.Version(n.version()))
-	n.note(audit.Record{
+	n.addAuditRecord(audit.Record{
 		Kind: audit.KindTarget, Subject: name, Cause: cause,
 		Before: before, After: after, Version: n.version(),
 	})
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -27,7 +27,7 @@
 // collect reads an answer to its end before the caller sees any of it. A broken
 // one can then still be replaced by another target's, or by a plain failure;
 // once its head is out, only a cut connection would be left.
-func (q *request) collect(run *board.Run, a *link.Answer) error {
+func (q *request) collect(run *board.Run, a *link.Response) error {
 	run.First(clock.Now())
 	var b bytes.Buffer
 	if a.Length > 0 {
@@ -55,7 +55,7 @@
 	if q.ctx.Err() != nil {
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonTimeout, Err: err}
 	}
-	return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, Broke: true, Err: err}
+	return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, PeerClosed: true, Err: err}
 }
 
 // write gives the answer to the caller as it came.
--- a/relay/caller.go
+++ b/relay/caller.go
@@ -22,5 +22,5 @@
 // close once it gets the processor, which on a busy host is after the request was sent on.
 func (q *request) isCallerConnClosed() bool {
 	c, ok := q.r.Context().Value(connKey{}).(*callerConn)
-	return ok && link.Closed(c.Conn)
+	return ok && link.IsClosed(c.Conn)
 }
--- a/relay/ended.go
+++ b/relay/ended.go
@@ -219,15 +219,15 @@
 
 // applyResult takes the answer. The breaks of a target that lives wait on: it may have started again
 // within moments, which the list of targets shows.
-func (p *probe) applyResult(state link.Life) []share.Crash {
+func (p *probe) applyResult(state link.ProbeResult) []share.Crash {
 	c := p.crashes
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.target.probeDone = nil
 	switch state {
-	case link.Ended:
+	case link.Refused:
 		return c.confirmEnd(clock.Now(), p.target, "refused")
-	case link.Lives:
+	case link.Alive:
 		c.Log.Emit(event.TargetLives, event.Str("target", p.target.id), event.Int("contents", int64(len(p.target.breaks))))
 	}
 	return nil
--- a/relay/listen.go
+++ b/relay/listen.go
@@ -150,7 +150,7 @@
 			return nil
 		}
 		c := e.Value.(*callerConn)
-		if !c.evicted && link.Quiet(c.Conn) {
+		if !c.evicted && link.IsIdle(c.Conn) {
 			c.evicted = true
 			return c
 		}
--- a/relay/listen_test.go
+++ b/relay/listen_test.go
@@ -131,7 +131,7 @@
 		if i == 2 { // two are idle now, and a request comes on the one that was idle for longest
 			fmt.Fprint(callers[0], "POST")
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if link.Quiet(conns[0]) {
+				if link.IsIdle(conns[0]) {
 					return poll.Continue("not there yet")
 				}
 				return poll.Success()
--- a/relay/run.go
+++ b/relay/run.go
@@ -162,16 +162,16 @@
 	}
 	q.Wire.SetForwardHeaders(h, s)
 	return &link.Call{
-		Method:   q.r.Method,
-		URI:      q.r.RequestURI,
-		Host:     q.r.Host,
-		Header:   h,
-		Body:     q.body,
-		HasBody:  q.r.ContentLength != 0,
-		Keep:     link.Keep(q.service.MaxConnections, q.Board.Entries()),
-		Fresh:    c.Fresh,
-		Dial:     q.dialTimeout(c),
-		OnSilent: q.onUnresponsive(c.Target),
+		Method:         q.r.Method,
+		URI:            q.r.RequestURI,
+		Host:           q.r.Host,
+		Header:         h,
+		Body:           q.body,
+		HasBody:        q.r.ContentLength != 0,
+		MaxIdle:        link.MaxIdle(q.service.MaxConnections, q.Board.Entries()),
+		NewConn:        c.Fresh,
+		DialTimeout:    q.dialTimeout(c),
+		OnUnresponsive: q.onUnresponsive(c.Target),
 	}
 }
 
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -29,7 +29,7 @@
 
 // forwardEvents passes events on as they come, each whole. A target may break off in
 // the middle of one: had the first half gone out, nothing could follow it.
-func (q *request) forwardEvents(run *board.Run, a *link.Answer) error {
+func (q *request) forwardEvents(run *board.Run, a *link.Response) error {
 	flush := http.NewResponseController(q.w)
 	br := bufio.NewReaderSize(a, 1<<10)
 	for {
@@ -75,7 +75,7 @@
 
 // writeHead sends the head of the answer before the first event. It is that of the
 // first target also when others go on.
-func (q *request) writeHead(a *link.Answer) {
+func (q *request) writeHead(a *link.Response) {
 	if q.stream.started {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // finishStream ends a stream; one without events has a head all the same.
-func (q *request) finishStream(a *link.Answer) { q.writeHead(a) }
+func (q *request) finishStream(a *link.Response) { q.writeHead(a) }
 
 // readEvent reads up to the blank line that ends an event. At the end of the
 // body it returns io.EOF, with what was left over.
