--- a/relay/validate.go
+++ b/relay/validate.go
@@ -19,7 +19,7 @@
 
 // validate says whether an answer's head can be that of the request, and whether
 // it says that the request ran.
-func (q *request) validate(a *link.Answer, headers chestnutstep.TargetHeaders) error {
+func (q *request) validate(a *link.Response, headers chestnutstep.TargetHeaders) error {
 	switch {
 	case headers.NotRun && (headers.ID == "" || headers.ID == q.ask.ID):
 		reason := chestnutstep.ReasonFull
@@ -50,7 +50,7 @@
 		q.attempts.Record(e.Run)
 	}
 	if e.Reason == chestnutstep.ReasonDown || e.Reason == chestnutstep.ReasonDead {
-		q.Pool.Drop(t.Address)
+		q.Pool.CloseIdle(t.Address)
 	}
 	q.Meters.Tries.Add(1, q.service.Name, string(e.Reason))
 	q.log(event.RelayFailed,
@@ -70,9 +70,9 @@
 		if errors.Is(e.Err, syscall.ECONNREFUSED) {
 			q.Crashes.RecordConnRefused(clock.Now(), t)
 		}
-	case callerLeft || e.Silent || e.Reason == chestnutstep.ReasonTimeout:
+	case callerLeft || e.Unresponsive || e.Reason == chestnutstep.ReasonTimeout:
 		q.Crashes.RecordAbandoned(clock.Now(), u)
-	case e.Broke:
+	case e.PeerClosed:
 		q.awaitProof(u)
 	}
 }
@@ -97,7 +97,7 @@
 		return board.Canceled
 	case e.Reason == chestnutstep.ReasonFull:
 		return board.Refused
-	case e.Silent, e.Reason == chestnutstep.ReasonDown && isTimeout(e.Err):
+	case e.Unresponsive, e.Reason == chestnutstep.ReasonDown && isTimeout(e.Err):
 		return board.Unreached
 	case e.Reason == chestnutstep.ReasonDown:
 		return board.Closed
--- a/share/copy.go
+++ b/share/copy.go
@@ -13,32 +13,32 @@
 	"chestnutstep.example/chestnutstep/fetch"
 )
 
-// copiesMost is how many peers are answered at a time: a copy may take seconds of a host's
+// maxCopies is how many peers are answered at a time: a copy may take seconds of a host's
 // link, and whoever has one can give it to the others.
-const copiesMost = 2
+const maxCopies = 2
 
-// cachesLimits bound the fetching of a peer's lists.
-var cachesLimits = fetch.Limits{First: time.Second, Idle: time.Second, Most: 8 << 20}
+// cacheListsLimits bound the fetching of a peer's lists.
+var cacheListsLimits = fetch.Limits{FirstByteTimeout: time.Second, IdleTimeout: time.Second, MaxBytes: 8 << 20}
 
-// CachesPath is the path at which an entry serves what it knows of targets' caches.
-const CachesPath = "/caches"
+// CacheListsPath is the path at which an entry serves what it knows of targets' caches.
+const CacheListsPath = "/caches"
 
-// Caches answers peers that have just started. Set the fields before use.
-type Caches struct {
+// CacheServer answers peers that have just started. Set the fields before use.
+type CacheServer struct {
 	// Lists returns what is known of targets' caches.
-	Lists func() []List
+	Lists func() []CacheList
 
-	open atomic.Int32
+	active atomic.Int32
 }
 
 // ServeHTTP writes the lists.
-func (s *Caches) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	if s.open.Add(1) > copiesMost {
-		s.open.Add(-1)
+func (s *CacheServer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	if s.active.Add(1) > maxCopies {
+		s.active.Add(-1)
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.open.Add(-1)
+	defer s.active.Add(-1)
 	raw, err := cbor.Marshal(s.Lists())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -48,13 +48,13 @@
 	_, _ = w.Write(raw)
 }
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// FetchCaches asks a peer what targets hold, and returns the size of the answer in bytes.
-func FetchCaches(ctx context.Context, address string, dial Dial) (lists []List, n int, err error) {
+// FetchCacheLists asks a peer what targets hold, and returns the size of the answer in bytes.
+func FetchCacheLists(ctx context.Context, address string, dial DialFunc) (lists []CacheList, n int, err error) {
 	client := &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}
-	a, err := fetch.Get(ctx, client, "http://"+address+CachesPath, cachesLimits)
+	a, err := fetch.Get(ctx, client, "http://"+address+CacheListsPath, cacheListsLimits)
 	if err != nil {
 		return nil, len(a.Body), errors.Wrap(err, "caches")
 	}
--- a/share/crashes_test.go
+++ b/share/crashes_test.go
@@ -17,50 +17,50 @@
 	)
 	m := newMesh(entries, 0.02)
 	m.rounds(5)
-	m.held, m.bytes = true, 0
-	first := m.knowers[0]
+	m.paused, m.bytes = true, 0
+	first := m.collectors[0]
 	crash := Crash{Target: 1, Fingerprint: 2}
 	first.crashes[crash] = true
-	first.peers.SpreadCrashes(m.now, []Crash{crash})
+	first.peers.SendCrashes(m.now, []Crash{crash})
 	for range hops {
 		m.deliver()
 	}
-	know := 0
-	for _, k := range m.knowers {
+	informed := 0
+	for _, k := range m.collectors {
 		if k.crashes[crash] {
-			know++
+			informed++
 		}
 	}
-	assert.Assert(t, know >= entries*99/100, "%d of %d entries know", know, entries)
-	assert.Assert(t, m.bytes <= entries*fanout*150, "%d bytes an entry", m.bytes/entries)
+	assert.Assert(t, informed >= entries*99/100, "%d of %d entries know", informed, entries)
+	assert.Assert(t, m.bytes <= entries*maxFanout*150, "%d bytes an entry", m.bytes/entries)
 }
 
-// TestEntryAsksForWhatItMissed guards against an entry that has just started, or was cut off, and sends a request to targets which
+// TestEntryRequestsMissedCrashes guards against an entry that has just started, or was cut off, and sends a request to targets which
 // all others refuse.
-func TestEntryAsksForWhatItMissed(t *testing.T) {
+func TestEntryRequestsMissedCrashes(t *testing.T) {
 	m := newMesh(4, 0)
-	m.sweep()
+	m.reachAllPeers()
 	crash := Crash{Target: 1, Fingerprint: 2}
-	for _, k := range m.knowers[1:] {
+	for _, k := range m.collectors[1:] {
 		k.losses = []Crash{crash}
 	}
 	m.now = m.now.Add(time.Second)
-	m.sweep()
-	assert.Assert(t, !m.knowers[0].crashes[crash], "it missed nothing, and asks")
-	m.now = m.now.Add(2 * liveFor)
-	m.sweep()
-	m.sweep()
-	assert.Assert(t, m.knowers[0].crashes[crash])
+	m.reachAllPeers()
+	assert.Assert(t, !m.collectors[0].crashes[crash], "it missed nothing, and asks")
+	m.now = m.now.Add(2 * livenessTimeout)
+	m.reachAllPeers()
+	m.reachAllPeers()
+	assert.Assert(t, m.collectors[0].crashes[crash])
 }
 
 // TestManyCrashesKeepTheControlRate guards against entries that pass on what they know of hundreds of targets that ended at once,
 // each to eight others.
 func TestManyCrashesKeepTheControlRate(t *testing.T) {
 	const seconds = 10
-	m := newMesh(fanout+2, 0)
-	m.sweep()
+	m := newMesh(maxFanout+2, 0)
+	m.reachAllPeers()
 	m.bytes = 0
-	sender := m.knowers[0].peers
+	sender := m.collectors[0].peers
 	began := m.now
 	for n := range uint32(seconds * 100) {
 		m.now = began.Add(time.Duration(n) * 10 * time.Millisecond)
@@ -68,13 +68,13 @@
 		for i := range uint64(40) {
 			list = append(list, Crash{Target: n, Fingerprint: 1<<60 + uint64(n)<<8 + i})
 		}
-		for _, k := range m.knowers[1:] {
+		for _, k := range m.collectors[1:] {
 			for _, x := range list {
 				k.crashes[x] = true // known there: nobody passes it on
 			}
 		}
-		sender.SpreadCrashes(m.now, list)
+		sender.SendCrashes(m.now, list)
 	}
-	assert.Assert(t, m.bytes <= crashBurst+seconds*crashRate+datagramMost, "%d bytes in %d s", m.bytes, seconds)
+	assert.Assert(t, m.bytes <= crashBurst+seconds*crashRate+maxDatagramSize, "%d bytes in %d s", m.bytes, seconds)
 	assert.Assert(t, m.bytes >= crashBurst/2, "%d bytes in %d s: hardly any were sent", m.bytes, seconds)
 }
--- a/share/report.go
+++ b/share/report.go
@@ -16,19 +16,19 @@
 	_ struct{} `cbor:",toarray"`
 	// From is the sender's address, Run its incarnation: a restarted sender's
 	// numbers begin anew.
-	From netip.AddrPort
-	Run  uint32
-	// Number orders the reports of one run.
-	Number uint32
+	From        netip.AddrPort
+	Incarnation uint32
+	// Sequence orders the reports of one run.
+	Sequence uint32
 	// Sent is the sender's clock, to be echoed; whole milliseconds, rounded down,
 	// so that an echo proves rather too little.
 	Sent int64
 	// Echo is the receiver's own Sent as the sender last received it, 0 for none.
 	Echo int64
-	// EchoRun is the receiver's incarnation that Echo belongs to.
-	EchoRun uint32
-	// Control is the sender's port for copies, 0 for none.
-	Control uint16
+	// EchoIncarnation is the receiver's incarnation that Echo belongs to.
+	EchoIncarnation uint32
+	// ControlPort is the sender's port for copies, 0 for none.
+	ControlPort uint16
 	// Version of the configuration in force at the sender.
 	Version uint64
 	// Age of the proof that the version is current, in milliseconds; -1 for no
@@ -42,85 +42,85 @@
 	Peers []netip.AddrPort
 	// Loads are the sender's own requests in progress.
 	Loads []Load
-	// Holds are prompt parts that targets have in their caches.
-	Holds []Hold
-	// Gone are instances whose address another instance answers.
-	Gone []uint32
+	// CachedParts are prompt parts that targets have in their caches.
+	CachedParts []CachedPart
+	// Replaced are instances whose address another instance answers.
+	Replaced []uint32
 	// Crashes are contents that were running when a target died.
 	Crashes []Crash
-	// Lists are whole caches, as targets named them.
-	Lists []List
-	// Missed says that the sender has just started or was cut off: it lacks what was reported before.
-	Missed bool
+	// CacheLists are whole caches, as targets named them.
+	CacheLists []CacheList
+	// NeedsCatchUp says that the sender has just started or was cut off: it lacks what was reported before.
+	NeedsCatchUp bool
 	// Partial says that the report has nothing but Lists or Crashes.
 	Partial bool
-	// Kept are the places that the sender keeps free.
-	Kept []Kept
+	// Reservations are the places that the sender keeps free.
+	Reservations []Reservation
 	// Suspected are targets whose hosts did not answer the sender.
 	Suspected []uint32
 	// Domain is the low half of the hash of the sender's failure domain, and
 	// Domains what it has seen of the ways from there.
 	Domain  uint32
-	Domains []Domain
+	Domains []DomainHealth
 	// Link is the rate of the sender's link in Mbit/s; 0 for an unknown one.
 	Link uint32
 }
 
-// Domain is what an entry has seen of the way to a failure domain of late.
-type Domain struct {
+// DomainHealth is what an entry has seen of the way to a failure domain of late.
+type DomainHealth struct {
 	_ struct{} `cbor:",toarray"`
 	// Name is the low half of the hash of the domain's name.
 	Name uint32
-	// Answered is how long ago a target there last answered, in milliseconds; -1 for not of late.
-	Answered int16
-	// TimedOut is how long ago one last did not answer, likewise, and Targets how many
+	// AnsweredAgo is how long ago a target there last answered, in milliseconds; -1 for not of late.
+	AnsweredAgo int16
+	// TimedOutAgo is how long ago one last did not answer, likewise, and Targets how many
 	// did not since the last answer.
-	TimedOut int16
-	Targets  uint8
-	// Lost says that the sender leaves the domain alone. TimedOut then counts what other
+	TimedOutAgo     int16
+	TimedOutTargets uint8
+	// Avoided says that the sender leaves the domain alone. TimedOut then counts what other
 	// entries of its own domain saw as well.
-	Lost bool
+	Avoided bool
 }
 
-// Kept is the part of a service's places that an entry keeps free for requests within
+// Reservation is the part of a service's places that an entry keeps free for requests within
 // their share, in hundredths.
-type Kept struct {
+type Reservation struct {
 	_ struct{} `cbor:",toarray"`
 	// Service is the low half of the hash of its name.
 	Service uint32
-	Part    uint8
+	Percent uint8
 }
 
-// List is what a target named of its cache: the low half of each part's ID, four
+// CacheList is what a target named of its cache: the low half of each part's ID, four
 // bytes each, little endian. Halves are mistaken for each other once in some
 // hundred listings of a fleet, which costs one prefix read again.
-type List struct {
+type CacheList struct {
 	_      struct{} `cbor:",toarray"`
 	Target uint32
 	Parts  []byte
 }
 
-// partBytes is the size of a part in a List.
-const partBytes = 4
+// partSize is the size of a part in a List.
+const partSize = 4
 
-// listMost is how many parts fit a datagram.
-const listMost = 320
+// maxListParts is how many parts fit a datagram.
+const maxListParts = 320
 
-// NewList packs parts; those beyond what fits a datagram are left out.
-func NewList(target uint32, parts []uint64) List {
-	l := List{Target: target}
-	for _, p := range parts[:min(len(parts), listMost)] {
+// NewCacheList packs parts; those beyond what fits a datagram are left out.
+func NewCacheList(target uint32, parts []uint64) CacheList {
+	l := CacheList{Target: target}
+	for _, p := range parts[:min(len(parts), maxListParts)] {
 		l.Add(uint32(p))
 	}
 	return l
 }
 
 // Add packs one more part.
-func (l *List) Add(part uint32) { l.Parts = binary.LittleEndian.AppendUint32(l.Parts, part) }
+func (l *CacheList) Add(part uint32) { l.Parts = binary.LittleEndian.AppendUint32(l.Parts, part) }
 
 // Each calls f for each part.
-func (l List) Each(f func(part uint32)) {
-	for b := l.Parts; len(b) >= partBytes; b = b[partBytes:] {
+func (l CacheList) Each(f func(part uint32)) {
+	for b := l.Parts; len(b) >= partSize; b = b[partSize:] {
 		f(binary.LittleEndian.Uint32(b))
 	}
 }
@@ -130,13 +130,13 @@
 	_       struct{} `cbor:",toarray"`
 	Target  uint32
 	Running uint16
-	// Reading is the prompt tokens that are not read yet, in hundreds.
-	Reading uint16
+	// PendingPrefill is the prompt tokens that are not read yet, in hundreds.
+	PendingPrefill uint16
 }
 
-// Hold says that a target has a part in its cache, or is reading it unless it is
+// CachedPart says that a target has a part in its cache, or is reading it unless it is
 // Ready.
-type Hold struct {
+type CachedPart struct {
 	_      struct{} `cbor:",toarray"`
 	Target uint32
 	// Part is the low half of the part's ID.
@@ -157,8 +157,8 @@
 	Cleared bool
 }
 
-// datagramMost bounds a datagram: one packet on any network.
-const datagramMost = 1400
+// maxDatagramSize bounds a datagram: one packet on any network.
+const maxDatagramSize = 1400
 
 // encode writes a report.
 func encode(r *Report) ([]byte, error) {
--- a/share/talk.go
+++ b/share/talk.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// fast is the pause between two rounds of datagrams while they cost little:
+	// minRoundInterval is the pause between two rounds of datagrams while they cost little:
 	// most requests take longer, so that few are unknown to the peers.
-	fast = 50 * time.Millisecond
-	// slow bounds the pause: a peer that was silent for much longer counts as
+	minRoundInterval = 50 * time.Millisecond
+	// maxRoundInterval bounds the pause: a peer that was silent for much longer counts as
 	// gone.
-	slow = 500 * time.Millisecond
-	// rate is the bytes a second that an entry sends. A node may spend 26 KB/s on
+	maxRoundInterval = 500 * time.Millisecond
+	// maxSendRate is the bytes a second that an entry sends. A node may spend 26 KB/s on
 	// control; 2 KB/s are left for packet headers and the source.
-	rate = 20000.0
-	// overhead is the bytes of the headers of a UDP packet.
-	overhead = 28
+	maxSendRate = 20000.0
+	// packetOverhead is the bytes of the headers of a UDP packet.
+	packetOverhead = 28
 )
 
 // Loop sends rounds of datagrams until ctx ends.
 func (p *Peers) Loop(ctx context.Context) {
-	p.begin()
-	go p.loop(ctx)
-	pause := Pace(p.round(clock.Now()))
+	p.initialize()
+	go p.receiveLoop(ctx)
+	pause := RoundInterval(p.sendRound(clock.Now()))
 	for {
 		t := time.NewTimer(pause)
 		select {
@@ -39,14 +39,14 @@
 			return
 		case <-t.C:
 		}
-		pause = Pace(p.round(clock.Now()))
+		pause = RoundInterval(p.sendRound(clock.Now()))
 	}
 }
 
-// Pace is the pause after a round that sent this many bytes.
-func Pace(bytes int) time.Duration {
-	pause := time.Duration(float64(bytes) / rate * float64(time.Second))
-	return min(max(pause, fast), slow)
+// RoundInterval is the pause after a round that sent this many bytes.
+func RoundInterval(bytes int) time.Duration {
+	pause := time.Duration(float64(bytes) / maxSendRate * float64(time.Second))
+	return min(max(pause, minRoundInterval), maxRoundInterval)
 }
 
 // Leave announces to the peers that this entry stops.
@@ -54,89 +54,89 @@
 	p.mu.Lock()
 	p.leaving = true
 	p.mu.Unlock()
-	p.round(clock.Now())
+	p.sendRound(clock.Now())
 }
 
-// Spread sends lists to the peers at once, a datagram for each: to some of them
+// SendLists sends lists to the peers at once, a datagram for each: to some of them
 // where there are many. It is for the seconds after a loss of all entries, and
 // not counted in the pace.
-func (p *Peers) Spread(lists ...List) {
+func (p *Peers) SendLists(lists ...CacheList) {
 	now := clock.Now()
 	for _, l := range lists {
-		r := &Report{From: p.Self, Run: p.Run, Lists: []List{l}, Partial: true, Age: -1}
-		for _, to := range p.choose(now, r) {
+		r := &Report{From: p.Self, Incarnation: p.Incarnation, CacheLists: []CacheList{l}, Partial: true, Age: -1}
+		for _, to := range p.selectPeers(now, r) {
 			p.sendPartial(r, to)
 		}
 	}
 }
 
-// Announce reports at once, to as many peers as one round reaches.
-func (p *Peers) Announce() { p.round(clock.Now()) }
+// ReportNow reports at once, to as many peers as one round reaches.
+func (p *Peers) ReportNow() { p.sendRound(clock.Now()) }
 
-// Bytes is what was sent and received.
-func (p *Peers) Bytes() (out, in int64) {
+// TrafficBytes is what was sent and received.
+func (p *Peers) TrafficBytes() (out, in int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.out, p.in
+	return p.sentBytes, p.receivedBytes
 }
 
-// round sends one datagram to each peer, or to some of many, and returns the
+// sendRound sends one datagram to each peer, or to some of many, and returns the
 // bytes.
-func (p *Peers) round(now clock.Stamp) int {
-	r := &Report{From: p.Self, Run: p.Run, Control: p.Control, Link: p.Link}
-	p.Knowledge.FillReport(now, r)
-	p.addNews(now)
-	targets := p.choose(now, r)
-	sum := 0
-	for _, to := range targets {
-		sum += p.tell(now, r, to)
+func (p *Peers) sendRound(now clock.Stamp) int {
+	r := &Report{From: p.Self, Incarnation: p.Incarnation, ControlPort: p.ControlPort, Link: p.Link}
+	p.Delegate.FillReport(now, r)
+	p.collectEvents(now)
+	peers := p.selectPeers(now, r)
+	total := 0
+	for _, to := range peers {
+		total += p.sendReport(now, r, to)
 	}
 	p.mu.Lock()
-	p.out += int64(sum)
+	p.sentBytes += int64(total)
 	p.mu.Unlock()
-	return sum
+	return total
 }
 
-// tell sends a report to one peer, with the echo of that peer's clock, and returns
+// sendReport sends a report to one peer, with the echo of that peer's clock, and returns
 // the bytes.
-func (p *Peers) tell(now clock.Stamp, r *Report, to netip.AddrPort) int {
+func (p *Peers) sendReport(now clock.Stamp, r *Report, to netip.AddrPort) int {
 	p.mu.Lock()
 	x := p.peers[to]
 	if x == nil {
 		p.mu.Unlock()
 		return 0
 	}
-	x.sent = now
+	x.lastSent = now
 	x.unanswered++
-	r.Echo, r.EchoRun = x.echo, x.run
+	r.Echo, r.EchoIncarnation = x.echo, x.incarnation
 	r.Sent = int64(clock.Now()) / int64(time.Millisecond)
-	b, next, err := p.fit(now, r, x.news.has)
+	b, next, err := p.encodeToFit(now, r, x.cursor.firstUnconfirmed)
 	if err == nil {
-		x.news.sent(r.Sent, next)
-		p.size = len(b)
+		x.cursor.recordSent(r.Sent, next)
+		p.lastReportSize = len(b)
 	}
 	p.mu.Unlock()
 	return p.send(b, err, to)
 }
 
-// fit encodes a report with as much of the news as a datagram holds, and returns the number
+// encodeToFit encodes a report with as much of the news as a datagram holds, and returns the number
 // of the first event that it doesn't hold. The caller holds the lock.
-func (p *Peers) fit(now clock.Stamp, r *Report, from uint64) (b []byte, next uint64, err error) {
-	for most := newsTold; ; most /= 2 {
-		next = p.news.fill(now, r, from, most)
+func (p *Peers) encodeToFit(now clock.Stamp, r *Report, from uint64) (b []byte, next uint64, err error) {
+	for maxEvents := maxEventsPerReport; ; maxEvents /= 2 {
+		next = p.events.fillReport(now, r, from, maxEvents)
 		b, err = encode(r)
-		if err != nil || len(b) <= datagramMost || most == 0 {
+		if err != nil || len(b) <= maxDatagramSize || maxEvents == 0 {
 			return b, next, err
 		}
 	}
 }
 
-// addNews takes up what happened since the last round.
-func (p *Peers) addNews(now clock.Stamp) {
-	n := p.Knowledge.News()
+// collectEvents takes up what happened since the last round.
+func (p *Peers) collectEvents(now clock.Stamp) {
+	n := p.Delegate.TakeEvents()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.news.add(now, n)
+	p.events.add(now, n)
 }
 
 // sendPartial sends a report that has nothing but lists or crashes.
@@ -145,7 +145,7 @@
 	n := p.send(b, err, to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out += int64(n)
+	p.sentBytes += int64(n)
 }
 
 // send writes one datagram that was encoded, and returns its bytes with headers.
@@ -158,11 +158,11 @@
 		p.OnError(errors.Wrapf(err, "send to %s", to))
 		return 0
 	}
-	return len(b) + overhead
+	return len(b) + packetOverhead
 }
 
-// loop reads datagrams until the socket is closed.
-func (p *Peers) loop(ctx context.Context) {
+// receiveLoop reads datagrams until the socket is closed.
+func (p *Peers) receiveLoop(ctx context.Context) {
 	buf := make([]byte, 1<<16)
 	for {
 		n, _, err := p.Conn.ReadFrom(buf)
@@ -171,7 +171,7 @@
 		}
 		if err != nil {
 			p.OnError(err)
-			time.Sleep(fast)
+			time.Sleep(minRoundInterval)
 			continue
 		}
 		r, err := decode(buf[:n])
@@ -179,64 +179,64 @@
 			p.OnError(err)
 			continue
 		}
-		p.take(clock.Now(), r, n)
+		p.handleReport(clock.Now(), r, n)
 	}
 }
 
-// take passes a report on unless a later one of the same run came first.
-func (p *Peers) take(now clock.Stamp, r *Report, n int) {
+// handleReport passes a report on unless a later one of the same run came first.
+func (p *Peers) handleReport(now clock.Stamp, r *Report, n int) {
 	p.mu.Lock()
-	p.noteHeard(now)
-	p.in += int64(n + overhead)
+	p.recordReceived(now)
+	p.receivedBytes += int64(n + packetOverhead)
 	x := p.addPeer(r.From)
-	if x == nil || x.run == r.Run && r.Number <= x.number {
+	if x == nil || x.incarnation == r.Incarnation && r.Sequence <= x.sequence {
 		p.mu.Unlock()
 		return
 	}
-	started := x.run != r.Run
+	started := x.incarnation != r.Incarnation
 	if started {
-		p.forget(x)
+		p.resetCursor(x)
 	}
-	x.run, x.number, x.lastSeen, x.unanswered = r.Run, r.Number, now, 0
+	x.incarnation, x.sequence, x.lastSeen, x.unanswered = r.Incarnation, r.Sequence, now, 0
 	if !r.Partial {
-		x.echo, x.control, x.leaving, x.hasIndex, x.version = r.Sent, r.Control, r.Leaving, r.HasIndex, r.Version
+		x.echo, x.controlPort, x.leaving, x.hasIndex, x.version = r.Sent, r.ControlPort, r.Leaving, r.HasIndex, r.Version
 		x.link = int(r.Link)
 	}
-	if r.EchoRun == p.Run {
-		x.news.confirm(r.Echo)
+	if r.EchoIncarnation == p.Incarnation {
+		x.cursor.confirm(r.Echo)
 	}
 	for _, a := range r.Peers {
 		p.addPeer(a)
 	}
 	p.mu.Unlock()
-	var asked clock.Stamp
+	var notBefore clock.Stamp
 	echo := clock.Stamp(r.Echo) * clock.Stamp(time.Millisecond)
-	if echo > 0 && r.EchoRun == p.Run && echo <= now {
-		asked = echo
+	if echo > 0 && r.EchoIncarnation == p.Incarnation && echo <= now {
+		notBefore = echo
 	}
-	p.Knowledge.MergeReport(now, r, asked)
+	p.Delegate.MergeReport(now, r, notBefore)
 	if started {
-		p.answerNew(now, r.From)
+		p.replyToNewPeer(now, r.From)
 	}
-	if r.Missed {
-		p.sendCrashes(now, p.Knowledge.Losses(now), r.From)
+	if r.NeedsCatchUp {
+		p.sendCrashReports(now, p.Delegate.RecentCrashes(now), r.From)
 	}
 }
 
-// answerNew reports at once to an entry that was not known before, or has restarted. In a large
+// replyToNewPeer reports at once to an entry that was not known before, or has restarted. In a large
 // fleet it would otherwise wait for its turn, up to half a second, before it knows
 // whom to ask for what it lost; each peer does so once for each of its runs.
-func (p *Peers) answerNew(now clock.Stamp, to netip.AddrPort) {
-	r := &Report{From: p.Self, Run: p.Run, Control: p.Control}
-	p.Knowledge.FillReport(now, r)
-	p.addNews(now)
+func (p *Peers) replyToNewPeer(now clock.Stamp, to netip.AddrPort) {
+	r := &Report{From: p.Self, Incarnation: p.Incarnation, ControlPort: p.ControlPort}
+	p.Delegate.FillReport(now, r)
+	p.collectEvents(now)
 	p.mu.Lock()
-	p.number++
-	r.Number, r.Leaving, r.Missed = p.number, p.leaving, now < p.missedUntil
-	r.Peers = p.some(now, to)
+	p.sequence++
+	r.Sequence, r.Leaving, r.NeedsCatchUp = p.sequence, p.leaving, now < p.catchUpUntil
+	r.Peers = p.samplePeers(now, to)
 	p.mu.Unlock()
-	n := p.tell(now, r, to)
+	n := p.sendReport(now, r, to)
 	p.mu.Lock()
-	p.out += int64(n)
+	p.sentBytes += int64(n)
 	p.mu.Unlock()
 }
--- a/trial/direct.go
+++ b/trial/direct.go
@@ -92,7 +92,7 @@
 func (d *direct) talk() {
 	now := d.now()
 	for i, from := range d.entries {
-		r := &share.Report{From: d.addrs[i], Loads: from.Loads(), Holds: from.Holds()}
+		r := &share.Report{From: d.addrs[i], Loads: from.Loads(), CachedParts: from.Holds()}
 		for j, to := range d.entries {
 			if j != i {
 				to.MergeReport(now, r)
--- a/trial/flood.go
+++ b/trial/flood.go
@@ -103,7 +103,7 @@
 // talk is one round of datagrams.
 func (s *surge) talk() {
 	for i, from := range s.entries {
-		r := &share.Report{From: s.addrs[i], Loads: from.Loads(), Kept: from.Kept(s.clock())}
+		r := &share.Report{From: s.addrs[i], Loads: from.Loads(), Reservations: from.Kept(s.clock())}
 		for j, to := range s.entries {
 			if j != i {
 				to.MergeReport(s.clock(), r)
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -14,54 +14,54 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// lostWait is how long a watch waits after the source was lost. What is missing
+// maxLostWait is how long a watch waits after the source was lost. What is missing
 // counts as gone two seconds after its return, and a watch that waits long notices
 // the return with the next change only: a target that is removed meanwhile
 // would pass for one whose entry only lapsed, and still get requests.
-const lostWait = 50 * time.Millisecond
+const maxLostWait = 50 * time.Millisecond
 
 // Watcher follows the source of a topic. Set the fields before Run.
 type Watcher struct {
 	Topic  chestnutstep.Topic
 	Source chestnutstep.Source
 	Roster *roster.Roster
-	// Notify is called for each change, and for each loss and return of the source.
-	Notify Notify
+	// Observer is called for each change, and for each loss and return of the source.
+	Observer Observer
 	// Wait is how long the next watch waits for changes.
 	Wait func() time.Duration
-	// Rest is how long to rest after changes, so that what changes together is read by one
+	// BatchDelay is how long to rest after changes, so that what changes together is read by one
 	// call.
-	Rest func() time.Duration
+	BatchDelay func() time.Duration
 	// Wake ends the present watch, so that the next one begins; nil for never.
 	Wake chan struct{}
-	// Pauses between calls that fail; shared by the watchers of one source, so that two
+	// Backoff between calls that fail; shared by the watchers of one source, so that two
 	// topics cost a source that is down no more calls than one.
-	Pauses *Pauses
+	Backoff *Backoff
 
 	revision uint64
 	lost     bool
 	woken    atomic.Bool
 }
 
-// Notify is what a watcher reports.
-type Notify interface {
-	Changed(c roster.Change, asked clock.Stamp)
-	Lost(t chestnutstep.Topic, err error)
-	Regained(t chestnutstep.Topic)
+// Observer is what a watcher reports.
+type Observer interface {
+	OnChange(c roster.Change, asked clock.Stamp)
+	OnSourceLost(t chestnutstep.Topic, err error)
+	OnSourceRegained(t chestnutstep.Topic)
 }
 
 // Run follows the source until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := w.step(ctx); err != nil && ctx.Err() == nil {
-			w.failed(ctx, err)
+			w.handleFailure(ctx, err)
 		}
 	}
 }
 
 // step makes one call.
 func (w *Watcher) step(ctx context.Context) error {
-	asked := clock.Now()
+	requestedAt := clock.Now()
 	full := w.revision == 0
 	var b chestnutstep.Batch
 	var err error
@@ -77,21 +77,21 @@
 	if err != nil {
 		return err
 	}
-	w.Pauses.reset()
+	w.Backoff.reset()
 	if w.lost {
 		w.lost = false
-		w.Notify.Regained(w.Topic)
+		w.Observer.OnSourceRegained(w.Topic)
 	}
 	if b.Revision > w.revision || full {
 		w.revision = b.Revision
 	}
 	c := w.Roster.Learn(clock.Now(), w.Topic, b, full)
-	w.Roster.Prove(w.Topic, asked.Add(-b.Age))
+	w.Roster.Prove(w.Topic, requestedAt.Add(-b.Age))
 	if !c.Empty() {
-		w.Notify.Changed(c, asked)
+		w.Observer.OnChange(c, requestedAt)
 	}
 	if len(b.Facts) > 0 && !full {
-		clock.Sleep(ctx, w.Rest())
+		clock.Sleep(ctx, w.BatchDelay())
 	}
 	return nil
 }
@@ -106,16 +106,16 @@
 	}
 	done := make(chan struct{})
 	defer close(done)
-	go w.loop(done, cancel)
+	go w.cancelOnWake(done, cancel)
 	wait := w.Wait()
 	if w.lost {
-		wait = min(wait, lostWait)
+		wait = min(wait, maxLostWait)
 	}
 	return w.Source.Watch(ctx, w.revision, wait)
 }
 
-// loop ends a watch that is woken.
-func (w *Watcher) loop(done <-chan struct{}, cancel context.CancelFunc) {
+// cancelOnWake ends a watch that is woken.
+func (w *Watcher) cancelOnWake(done <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-done:
 	case <-w.Wake:
@@ -124,8 +124,8 @@
 	}
 }
 
-// failed records a failure, and pauses.
-func (w *Watcher) failed(ctx context.Context, err error) {
+// handleFailure records a failure, and pauses.
+func (w *Watcher) handleFailure(ctx context.Context, err error) {
 	w.Roster.Lose(w.Topic)
 	var e chestnutstep.ErrSource
 	isSource := errors.As(err, &e)
@@ -137,7 +137,7 @@
 	}
 	if !w.lost {
 		w.lost = true
-		w.Notify.Lost(w.Topic, err)
+		w.Observer.OnSourceLost(w.Topic, err)
 	}
-	clock.Sleep(ctx, w.Pauses.next(clock.Now()))
+	clock.Sleep(ctx, w.Backoff.next(clock.Now()))
 }
