--- a/agent/cache.go
+++ b/agent/cache.go
@@ -166,7 +166,7 @@
 	if p.Choice != price.Import {
 		return 0, errors.New("import: rebuilding is cheaper")
 	}
-	defer time.AfterFunc(p.Stop, cancel).Stop()
+	defer time.AfterFunc(p.ImportTimeout, cancel).Stop()
 	data, err := receive(st, first.Size)
 	if err != nil {
 		return 0, errors.Wrap(err, "import")
@@ -182,20 +182,20 @@
 }
 
 // quote is what an import is weighed by.
-func (a *Agent) quote(first *wire.Chunk) price.Quote {
-	q := price.Quote{Prompt: float64(first.Tokens), Cached: float64(first.Tokens)}
+func (a *Agent) quote(first *wire.Chunk) price.Inputs {
+	q := price.Inputs{PromptTokens: float64(first.Tokens), HolderCached: float64(first.Tokens)}
 	// The holder has refused the request, or leaves: no patience is left for
 	// waiting there, which would otherwise be the cheapest way always.
-	q.Queue = time.Nanosecond
+	q.HolderWait = time.Nanosecond
 	m, v := a.model(), a.View()
 	if m == nil || v == nil {
 		return q
 	}
-	q.Prefill = m.PrefillRate
-	q.Token = float64(m.CacheBytesPerToken)
-	q.Link = float64(v.Publication.Budget.ExportRate)
+	q.PrefillRate = m.PrefillRate
+	q.BytesPerToken = float64(m.CacheBytesPerToken)
+	q.LinkRate = float64(v.Publication.Budget.ExportRate)
 	load := a.Load()
-	q.Load = float64(load.Running) / float64(max(m.Slots, 1))
+	q.OtherLoad = float64(load.Running) / float64(max(m.Slots, 1))
 	return q
 }
 
--- a/agent/mover.go
+++ b/agent/mover.go
@@ -80,11 +80,11 @@
 	chats := make([]price.Chat, 0, len(all))
 	for _, h := range all {
 		chats = append(chats, price.Chat{
-			Workspace: h.workspace,
-			Name:      h.name,
-			Tokens:    float64(h.tokens),
-			Bytes:     float64(h.tokens * m.CacheBytesPerToken),
-			Return:    price.Return(now.Sub(h.served), chatPause, chatShare),
+			Workspace:         h.workspace,
+			Name:              h.name,
+			Tokens:            float64(h.tokens),
+			Bytes:             float64(h.tokens * m.CacheBytesPerToken),
+			ReturnProbability: price.ReturnProbability(now.Sub(h.served), chatPause, chatShare),
 		})
 	}
 	return price.Plan(chats, float64(v.Publication.Budget.ExportRate), shiftLimit)
--- a/board/board.go
+++ b/board/board.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	// partsMost bounds the prompt parts that are remembered, in about 100 bytes
+	// maxParts bounds the prompt parts that are remembered, in about 100 bytes
 	// each. What a target has not read for long it has dropped anyway.
-	partsMost = 20000
-	// holdKeep is how long a part is believed to be in a cache without being
+	maxParts = 20000
+	// cachedPartTTL is how long a part is believed to be in a cache without being
 	// read again.
-	holdKeep = 30 * time.Minute
-	// readingUnit is the tokens in one unit of share.Load.Reading.
-	readingUnit = 100
+	cachedPartTTL = 30 * time.Minute
+	// pendingTokensUnit is the tokens in one unit of share.Load.Reading.
+	pendingTokensUnit = 100
 )
 
 // Board is safe for concurrent use. Set the fields before the first call.
 type Board struct {
-	// Cold bounds what all entries together may send to a cold target in a second:
+	// ColdBounds bounds what all entries together may send to a cold target in a second:
 	// over times its rate, and slack more. Nil for the defaults.
-	Cold func() (over, slack float64)
+	ColdBounds func() (over, slack float64)
 	// Overloaded reports that work waits for this entry's own processor: its time-outs then say
 	// nothing of hosts. Nil for never.
 	Overloaded func() bool
@@ -43,55 +43,55 @@
 	Domain string
 
 	mu      sync.Mutex
-	targets map[uint32]*state
-	// holds is by the low half of a part's ID, and by target.
-	holds map[uint32]map[uint32]hold
-	news  []share.CachedPart
-	gone  []uint32
-	peers map[netip.AddrPort]*peer
-	sums  map[uint32]share.Load
+	targets map[uint32]*targetState
+	// cachedParts is by the low half of a part's ID, and by target.
+	cachedParts  map[uint32]map[uint32]cachedPart
+	cacheChanges []share.CachedPart
+	replaced     []uint32
+	peers        map[netip.AddrPort]*peer
+	peerLoads    map[uint32]share.Load
 	// services is what requests to each service hold, of this entry.
-	services map[string]*usage
+	services map[string]*serviceState
 	// domains is what is known of the ways to failure domains.
 	domains map[string]*domain
 	// listed are the caches that a target or a peer has listed whole.
 	listed map[uint32]bool
-	// most is the largest number of entries that was known at once of late, and
+	// maxEntries is the largest number of entries that was known at once of late, and
 	// mostAt when there were that many.
-	most   int
-	mostAt clock.Stamp
-	// fleet counts the changes of who is a member of the fleet.
-	fleet     uint64
-	expiredAt clock.Stamp
-	// silent are targets that were found to be silent, for the peers; alert is until when
+	maxEntries   int
+	maxEntriesAt clock.Stamp
+	// fleetVersion counts the changes of who is a member of the fleet.
+	fleetVersion uint64
+	expiredAt    clock.Stamp
+	// unresponsive are targets that were found to be silent, for the peers; alert is until when
 	// more of them are to be expected, and answeredAt when any target last answered.
-	silent     []uint32
-	alert      clock.Stamp
-	answeredAt clock.Stamp
+	unresponsive []uint32
+	alertUntil   clock.Stamp
+	answeredAt   clock.Stamp
 
-	// groups index the targets of each service.
-	groups  map[string]*group
+	// indexes index the targets of each service.
+	indexes map[string]*serviceIndex
 	scratch []place.Candidate
 }
 
-// state is what is known of one target.
-type state struct {
+// targetState is what is known of one target.
+type targetState struct {
 	// born is the start that health and cold are about.
-	born      int64
-	running   int
-	reading   int
-	health    health
-	cold      coldBucket
-	limit     admit.AdaptiveLimit
-	suspicion suspicion
-	// sent are this entry's own requests that peers may not know of.
-	sent burst
+	born          int64
+	running       int
+	pendingTokens int
+	health        health
+	cold          coldBucket
+	limit         admit.AdaptiveLimit
+	suspicion     suspicion
+	// recentSent are this entry's own requests that peers may not know of.
+	recentSent decayingCounter
 	// member is the target in the index of the newest view; nil before it is indexed.
-	member *member
+	member *indexMember
 	// rank is this entry's place among those that may send to the target while it is cold,
 	// as of a number of changes of the fleet.
-	rank   int
-	ranked uint64
+	rank        int
+	rankVersion uint64
 }
 
 // loadKey names a target in datagrams about what is in progress there. A restart
@@ -100,9 +100,9 @@
 // work, and get more than its multiple of the mean.
 func loadKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// Key names an instance in datagrams about its cache. A restart is another instance,
+// CacheKey names an instance in datagrams about its cache. A restart is another instance,
 // which has nothing in its cache.
-func Key(t *chestnutstep.Instance) uint32 {
+func CacheKey(t *chestnutstep.Instance) uint32 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(t.ID)
@@ -114,82 +114,82 @@
 	return uint32(d.Sum64())
 }
 
-func (b *Board) begin() {
+func (b *Board) initMaps() {
 	if b.targets != nil {
 		return
 	}
-	b.targets = make(map[uint32]*state)
-	b.holds = make(map[uint32]map[uint32]hold)
+	b.targets = make(map[uint32]*targetState)
+	b.cachedParts = make(map[uint32]map[uint32]cachedPart)
 	b.peers = make(map[netip.AddrPort]*peer)
-	b.sums = make(map[uint32]share.Load)
-	b.services = make(map[string]*usage)
+	b.peerLoads = make(map[uint32]share.Load)
+	b.services = make(map[string]*serviceState)
 	b.domains = make(map[string]*domain)
 	b.listed = make(map[uint32]bool)
-	b.groups = make(map[string]*group)
+	b.indexes = make(map[string]*serviceIndex)
 }
 
-func (b *Board) state(key uint32) *state {
-	b.begin()
+func (b *Board) state(key uint32) *targetState {
+	b.initMaps()
 	s := b.targets[key]
 	if s == nil {
-		s = &state{}
+		s = &targetState{}
 		b.targets[key] = s
 	}
 	return s
 }
 
-// instance returns the state of a target. What was learned of an earlier start says
+// instanceState returns the state of a target. What was learned of an earlier start says
 // nothing of this one.
-func (b *Board) instance(t *chestnutstep.Instance) (uint32, *state) {
+func (b *Board) instanceState(t *chestnutstep.Instance) (uint32, *targetState) {
 	key := loadKey(t.ID)
 	s := b.state(key)
 	if s.born != t.StartedMs {
-		b.setApart(s)
+		b.countIndividually(s)
 		s.born, s.health, s.cold, s.limit = t.StartedMs, health{}, coldBucket{}, admit.AdaptiveLimit{}
 	}
 	return key, s
 }
 
 // candidate returns a target as a candidate for a request; false where it may not have it.
-func (b *Board) candidate(l *look, m *member) (place.Candidate, bool) {
-	if !m.usable || slices.Contains(l.need.Skip, m.ID) || !m.area.open {
+func (b *Board) candidate(l *lookup, m *indexMember) (place.Candidate, bool) {
+	if !m.usable || slices.Contains(l.criteria.Skip, m.ID) || !m.totals.allowed {
 		return place.Candidate{}, false
 	}
 	s := m.state
-	if !l.need.Suspects && s.health.down(l.now) {
+	if !l.criteria.IncludeDown && s.health.isDown(l.now) {
 		return place.Candidate{}, false
 	}
 	cold := l.service.ColdRate > 0 && l.now < m.ColdUntil
-	if cold && !b.coldLeft(l.now, m.key, s, l.service) {
+	if cold && !b.canSendCold(l.now, m.key, s, l.service) {
 		return place.Candidate{}, false
 	}
-	limit := s.limit.At(l.now, m.Slots, l.hold, l.patience)
+	limit := s.limit.At(l.now, m.Slots, l.serviceTime, l.patience)
 	return place.Candidate{
-		ID:         m.ID,
-		Address:    m.Address,
-		Running:    float64(b.runningAt(m)),
-		Limit:      limit,
-		Unreported: b.unreported(l.now, s, limit),
-		Reading:    float64(s.reading + readingUnit*int(b.sums[m.key].PendingPrefill)),
-		Slots:      m.Slots,
-		Held:       b.held(l.now, m.cache, l.need.Parts, false),
-		Failing:    s.health.failing(),
-		Suspected:  s.suspicion.active(l.now),
-		Far:        m.Domain != l.need.Domain,
-		Cold:       cold,
+		ID:            m.ID,
+		Address:       m.Address,
+		Running:       float64(b.runningAt(m)),
+		Limit:         limit,
+		Unreported:    b.unreported(l.now, s, limit),
+		PendingTokens: float64(s.pendingTokens + pendingTokensUnit*int(b.peerLoads[m.key].PendingPrefill)),
+		Slots:         m.Slots,
+		CachedTokens:  b.cachedTokens(l.now, m.cacheKey, l.criteria.Parts, false),
+		FailureRatio:  s.health.failureRatio(),
+		Suspected:     s.suspicion.isActive(l.now),
+		OtherDomain:   m.Domain != l.criteria.Domain,
+		Cold:          cold,
 	}, true
 }
 
-// Keep forgets all targets that are not listed: what they held is lost.
-func (b *Board) Keep(v *roster.View) {
+// Prune forgets all targets that are not listed: what they held is lost.
+func (b *Board) Prune(v *roster.View) {
 	live, caches := make(map[uint32]bool, len(v.ByID)), make(map[uint32]bool, len(v.ByID))
 	for _, t := range v.ByID {
 		live[loadKey(t.ID)] = true
-		caches[Key(&t.Instance)] = true
+		caches[CacheKey(&t.Instance)] = true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initMaps()
 	for key, s := range b.targets {
 		if !live[key] && s.running == 0 {
 			delete(b.targets, key)
@@ -200,14 +200,14 @@
 			delete(b.listed, key)
 		}
 	}
-	for part, m := range b.holds {
+	for part, m := range b.cachedParts {
 		for key := range m {
 			if !caches[key] {
 				delete(m, key)
 			}
 		}
 		if len(m) == 0 {
-			delete(b.holds, part)
+			delete(b.cachedParts, part)
 		}
 	}
 }
--- a/board/choose.go
+++ b/board/choose.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// sample is how many targets with a place a choice looks at, beside those that hold the
+	// sampleSize is how many targets with a place a choice looks at, beside those that hold the
 	// prefix: the least loaded of so many is hardly worse than that of all.
-	sample = 16
-	// holdersMost bounds the holders of a prefix that a choice looks at: parts that many
+	sampleSize = 16
+	// maxHolders bounds the holders of a prefix that a choice looks at: parts that many
 	// prompts share are in every cache.
-	holdersMost = 32
+	maxHolders = 32
 )
 
-// Need says what a request wants of a target.
-type Need struct {
+// Criteria says what a request wants of a target.
+type Criteria struct {
 	Parts []chestnutstep.PromptPart
 	// Domain of the entry.
 	Domain string
-	// Allowed says whether targets of a failure domain may have the request; nil
+	// DomainAllowed says whether targets of a failure domain may have the request; nil
 	// for all.
-	Allowed func(domain string) bool
+	DomainAllowed func(domain string) bool
 	// Skip are targets that had the request already.
 	Skip []string
-	// Suspects may be used when nothing else is left.
-	Suspects bool
-	// Who asks for a place; nil where the request has one.
-	Who *Who
-	// Cap is the multiple of the mean load that no target may carry; 0 where none is set.
-	Cap float64
+	// IncludeDown may be used when nothing else is left.
+	IncludeDown bool
+	// Caller asks for a place; nil where the request has one.
+	Caller *Caller
+	// CapFactor is the multiple of the mean load that no target may carry; 0 where none is set.
+	CapFactor float64
 	// VerifyHost says that a dead host would cost the request more than a handshake: it may run
 	// only once, or has lost time already.
 	VerifyHost bool
@@ -45,188 +45,188 @@
 	// Target is nil where there is none for the request.
 	Target *roster.Target
 	place.Candidate
-	Ask place.Ask
+	Request place.Request
 	// Donor is where the missing prefix is fetched from; the zero Donor for nowhere.
 	Donor place.Donor
 	// Cost is the expected milliseconds to the first byte.
 	Cost float64
-	// Fresh says that the request should open a connection, to verify that the host is there.
-	Fresh bool
-	// Of is the number of targets that might have taken the request.
-	Of int
-	// Room is what is known of the places; Free where the request did not ask for one.
-	Room Room
+	// NewConnection says that the request should open a connection, to verify that the host is there.
+	NewConnection bool
+	// Eligible is the number of targets that might have taken the request.
+	Eligible int
+	// Admission is what is known of the places; Free where the request did not ask for one.
+	Admission Admission
 }
 
-// Cached is the tokens of the prompt that the target need not read.
-func (c *Choice) Cached() int { return max(c.Held, c.Donor.Held) }
+// ReusableTokens is the tokens of the prompt that the target need not read.
+func (c *Choice) ReusableTokens() int { return max(c.CachedTokens, c.Donor.CachedTokens) }
 
-// look is what holds for all targets during one choice.
-type look struct {
-	now      clock.Stamp
-	service  *chestnutstep.Service
-	need     *Need
-	hold     time.Duration
-	patience time.Duration
-	// reach is how many requests each slot of a target may have.
-	reach   float64
-	sum     place.Totals
-	ceiling float64
+// lookup is what holds for all targets during one choice.
+type lookup struct {
+	now         clock.Stamp
+	service     *chestnutstep.Service
+	criteria    *Criteria
+	serviceTime time.Duration
+	patience    time.Duration
+	// requestsPerSlot is how many requests each slot of a target may have.
+	requestsPerSlot float64
+	totals          place.Totals
+	ceiling         float64
 }
 
 // Choose picks the target for a request. Its cost does not grow with the number of targets,
 // but where hardly any of them has a place.
-func (b *Board) Choose(now clock.Stamp, v *roster.View, service *chestnutstep.Service, need Need, ask place.Ask) Choice {
+func (b *Board) Choose(now clock.Stamp, v *roster.View, service *chestnutstep.Service, criteria Criteria, req place.Request) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initMaps()
 	b.expire(now)
-	g := b.group(now, v, service)
-	b.settle(now, g)
-	l := b.newLook(now, service, &need)
-	b.sumUp(&l, g)
-	if l.sum.Targets == 0 && !need.Suspects {
-		need.Suspects = true
-		b.sumUp(&l, g)
+	ix := b.serviceIndex(now, v, service)
+	b.refreshTotals(now, ix)
+	l := b.newLookup(now, service, &criteria)
+	b.computeTotals(&l, ix)
+	if l.totals.Targets == 0 && !criteria.IncludeDown {
+		criteria.IncludeDown = true
+		b.computeTotals(&l, ix)
 	}
-	c := Choice{Ask: ask, Of: l.sum.Targets, Room: Room{Free: true}}
-	if need.Who != nil {
-		if c.Room = b.admit(now, service.Name, l.sum.Taken(), *need.Who); !c.Room.Free {
+	c := Choice{Request: req, Eligible: l.totals.Targets, Admission: Admission{Admitted: true}}
+	if criteria.Caller != nil {
+		if c.Admission = b.admit(now, service.Name, l.totals.Taken(), *criteria.Caller); !c.Admission.Admitted {
 			return c
 		}
 	}
 	var donor place.Donor
 	if service.IsEngine {
-		donor = b.donor(now, g, need.Parts)
+		donor = b.donor(now, ix, criteria.Parts)
 	}
-	l.ceiling = l.sum.Ceiling(need.Cap)
-	ask.Ceiling = l.ceiling
-	list := b.shortlist(&l, g, &ask)
-	picked, ok := place.Pick(list, donor, ask)
+	l.ceiling = l.totals.Ceiling(criteria.CapFactor)
+	req.Ceiling = l.ceiling
+	list := b.shortlist(&l, ix, &req)
+	picked, ok := place.Pick(list, donor, req)
 	if !ok {
 		return c
 	}
 	c.Candidate, c.Cost = list[picked.Index], picked.Cost
 	c.Target = v.ByID[c.ID]
-	c.Fresh = b.needsHandshake(now, b.state(loadKey(c.ID)), need.VerifyHost)
+	c.NewConnection = b.needsHandshake(now, b.state(loadKey(c.ID)), criteria.VerifyHost)
 	if picked.Fetch {
 		c.Donor = donor
 	}
 	return c
 }
 
-func (b *Board) newLook(now clock.Stamp, service *chestnutstep.Service, need *Need) look {
-	l := look{
-		now: now, service: service, need: need,
-		hold:     b.usage(service.Name).pace.Mean(),
-		patience: time.Duration(patienceShare * float64(service.LatencyObjective)),
+func (b *Board) newLookup(now clock.Stamp, service *chestnutstep.Service, criteria *Criteria) lookup {
+	l := lookup{
+		now: now, service: service, criteria: criteria,
+		serviceTime: b.serviceState(service.Name).pace.Mean(),
+		patience:    time.Duration(patienceRatio * float64(service.LatencyObjective)),
 	}
-	l.reach = admit.Capacity(1, l.hold, l.patience)
+	l.requestsPerSlot = admit.Capacity(1, l.serviceTime, l.patience)
 	return l
 }
 
-// sumUp adds up the targets that may take the request.
-func (b *Board) sumUp(l *look, g *group) {
-	l.sum = place.Totals{}
-	b.openAreas(l, g)
-	for _, a := range g.areas {
-		if a.open {
-			l.addArea(a)
+// computeTotals adds up the targets that may take the request.
+func (b *Board) computeTotals(l *lookup, ix *serviceIndex) {
+	l.totals = place.Totals{}
+	b.setAllowedDomains(l, ix)
+	for _, a := range ix.totals {
+		if a.allowed {
+			l.addDomain(a)
 		}
 	}
-	for _, m := range g.recent {
-		if !m.apart && m.area.open {
-			l.sum.Unreported += b.unreported(l.now, m.state, l.reach*float64(m.Slots))
+	for _, m := range ix.recentlySent {
+		if !m.individual && m.totals.allowed {
+			l.totals.Unreported += b.unreported(l.now, m.state, l.requestsPerSlot*float64(m.Slots))
 		}
 	}
-	for _, id := range l.need.Skip {
-		if s := b.targets[loadKey(id)]; s != nil && s.member != nil && !s.member.apart && s.member.area.open {
-			l.skipMember(b, s.member)
+	for _, id := range l.criteria.Skip {
+		if s := b.targets[loadKey(id)]; s != nil && s.member != nil && !s.member.individual && s.member.totals.allowed {
+			l.subtractSkipped(b, s.member)
 		}
 	}
-	for _, m := range g.apart {
+	for _, m := range ix.individual {
 		if c, ok := b.candidate(l, m); ok {
-			l.sum.Add(&c)
+			l.totals.Add(&c)
 		}
 	}
 }
 
-// openAreas notes which failure domains may have the request.
-func (b *Board) openAreas(l *look, g *group) {
-	for _, a := range g.areas {
-		allowed := l.need.Allowed == nil || l.need.Allowed(a.domain)
-		a.open = allowed && (l.need.Suspects || !b.domains[a.domain].isUnreachable(l.now))
+// setAllowedDomains notes which failure domains may have the request.
+func (b *Board) setAllowedDomains(l *lookup, ix *serviceIndex) {
+	for _, a := range ix.totals {
+		allowed := l.criteria.DomainAllowed == nil || l.criteria.DomainAllowed(a.domain)
+		a.allowed = allowed && (l.criteria.IncludeDown || !b.domains[a.domain].isUnreachable(l.now))
 	}
 }
 
-func (l *look) addArea(a *area) {
-	l.sum.Targets += a.targets
-	l.sum.Warm += a.targets
-	l.sum.Running += float64(a.running)
-	l.sum.Busy += float64(a.running)
-	l.sum.Places += l.reach * float64(a.slots)
-	l.sum.Open = l.sum.Open || a.unlimited > 0
+func (l *lookup) addDomain(a *domainTotals) {
+	l.totals.Targets += a.targets
+	l.totals.Warm += a.targets
+	l.totals.Running += float64(a.running)
+	l.totals.WarmRunning += float64(a.running)
+	l.totals.Capacity += l.requestsPerSlot * float64(a.slots)
+	l.totals.Unlimited = l.totals.Unlimited || a.unlimited > 0
 }
 
-// skipMember takes a target that had the request already out of the sums.
-func (l *look) skipMember(b *Board, m *member) {
+// subtractSkipped takes a target that had the request already out of the sums.
+func (l *lookup) subtractSkipped(b *Board, m *indexMember) {
 	running := float64(b.runningAt(m))
-	l.sum.Targets--
-	l.sum.Warm--
-	l.sum.Running -= running
-	l.sum.Busy -= running
-	l.sum.Places -= l.reach * float64(m.Slots)
-	l.sum.Unreported -= b.unreported(l.now, m.state, l.reach*float64(m.Slots))
+	l.totals.Targets--
+	l.totals.Warm--
+	l.totals.Running -= running
+	l.totals.WarmRunning -= running
+	l.totals.Capacity -= l.requestsPerSlot * float64(m.Slots)
+	l.totals.Unreported -= b.unreported(l.now, m.state, l.requestsPerSlot*float64(m.Slots))
 }
 
 // shortlist lists the targets worth a closer look: in the order of the request's hash until
 // enough of them have a place, and those that hold the prefix. All are listed where few have
 // a place. The list is valid until the next call.
-func (b *Board) shortlist(l *look, g *group, ask *place.Ask) []place.Candidate {
-	g.turn++
+func (b *Board) shortlist(l *lookup, ix *serviceIndex, req *place.Request) []place.Candidate {
+	ix.choiceSeq++
 	list := b.scratch[:0]
-	fit := 0
-	g.ring.Walk(ask.Key, func(i int) bool {
-		m := g.members[i]
-		m.turn = g.turn
+	fitting := 0
+	ix.ring.Walk(req.Key, func(i int) bool {
+		m := ix.members[i]
+		m.choiceSeq = ix.choiceSeq
 		c, ok := b.candidate(l, m)
 		if !ok {
 			return true
 		}
-		if len(list) < place.Choices {
-			c.Named = len(list) + 1
+		if len(list) < place.HashCandidates {
+			c.HashRank = len(list) + 1
 		}
 		list = append(list, c)
 		if c.Fits(l.ceiling) {
-			fit++
+			fitting++
 		}
-		return fit < sample
+		return fitting < sampleSize
 	})
-	list = b.addHolders(l, g, ask, list)
+	list = b.addHolders(l, ix, req, list)
 	b.scratch = list
 	return list
 }
 
 // addHolders adds the targets that hold enough of the prefix and were not looked at yet.
-func (b *Board) addHolders(l *look, g *group, ask *place.Ask, list []place.Candidate) []place.Candidate {
-	if ask.Shared <= 0 {
+func (b *Board) addHolders(l *lookup, ix *serviceIndex, req *place.Request, list []place.Candidate) []place.Candidate {
+	if req.Shared <= 0 {
 		return list
 	}
-	left, least := holdersMost, place.HolderTokens(ask.Shared)
-	sum := 0
-	for _, p := range l.need.Parts {
-		if sum += p.Tokens; sum < least {
+	remaining, minTokens := maxHolders, place.MinHolderTokens(req.Shared)
+	tokens := 0
+	for _, p := range l.criteria.Parts {
+		if tokens += p.Tokens; tokens < minTokens {
 			continue
 		}
-		for cache := range b.holds[uint32(p.ID)] {
-			if left--; left < 0 {
+		for cache := range b.cachedParts[uint32(p.ID)] {
+			if remaining--; remaining < 0 {
 				break
 			}
-			m := g.caches[cache]
-			if m == nil || m.turn == g.turn {
+			m := ix.caches[cache]
+			if m == nil || m.choiceSeq == ix.choiceSeq {
 				continue
 			}
-			m.turn = g.turn
+			m.choiceSeq = ix.choiceSeq
 			if c, ok := b.candidate(l, m); ok {
 				list = append(list, c)
 			}
@@ -239,15 +239,15 @@
 // donor returns the target with the longest prefix to fetch from; of several the
 // least loaded, as fetches from one run one after the other. One that is leaving
 // may give while it still answers: what only it holds is lost otherwise.
-func (b *Board) donor(now clock.Stamp, g *group, parts []chestnutstep.PromptPart) place.Donor {
+func (b *Board) donor(now clock.Stamp, ix *serviceIndex, parts []chestnutstep.PromptPart) place.Donor {
 	var best place.Donor
-	for i := len(parts) - 1; i >= 0 && best.Held == 0; i-- {
-		left := holdersMost
-		for cache := range b.holds[uint32(parts[i].ID)] {
-			if left--; left < 0 {
+	for i := len(parts) - 1; i >= 0 && best.CachedTokens == 0; i-- {
+		remaining := maxHolders
+		for cache := range b.cachedParts[uint32(parts[i].ID)] {
+			if remaining--; remaining < 0 {
 				break
 			}
-			if m := g.caches[cache]; m != nil && !m.state.health.down(now) && now >= m.ColdUntil {
+			if m := ix.caches[cache]; m != nil && !m.state.health.isDown(now) && now >= m.ColdUntil {
 				b.compareDonor(now, &best, m, parts)
 			}
 		}
@@ -256,10 +256,10 @@
 }
 
 // compareDonor puts a target in the place of the best donor if it is better.
-func (b *Board) compareDonor(now clock.Stamp, best *place.Donor, m *member, parts []chestnutstep.PromptPart) {
-	held := b.held(now, m.cache, parts, true)
+func (b *Board) compareDonor(now clock.Stamp, best *place.Donor, m *indexMember, parts []chestnutstep.PromptPart) {
+	cached := b.cachedTokens(now, m.cacheKey, parts, true)
 	load := float64(b.runningAt(m))
-	if held > best.Held || held == best.Held && held > 0 && load < best.Running {
-		*best = place.Donor{ID: m.ID, Address: m.Address, Held: held, Running: load}
+	if cached > best.CachedTokens || cached == best.CachedTokens && cached > 0 && load < best.Running {
+		*best = place.Donor{ID: m.ID, Address: m.Address, CachedTokens: cached, Running: load}
 	}
 }
--- a/board/choose_test.go
+++ b/board/choose_test.go
@@ -20,8 +20,8 @@
 )
 
 // plainChoice chooses as Choose does, by looking at every target.
-func plainChoice(b *board.Board, now clock.Stamp, v *roster.View, need board.Need, ask place.Ask) (place.Choice, []place.Candidate) {
-	list := b.Candidates(now, v, engine, need)
+func plainChoice(b *board.Board, now clock.Stamp, v *roster.View, criteria board.Criteria, req place.Request) (place.Choice, []place.Candidate) {
+	list := b.Candidates(now, v, engine, criteria)
 	byID := make(map[string]*place.Candidate, len(list))
 	var sum place.Totals
 	for i := range list {
@@ -32,18 +32,18 @@
 	for _, t := range v.Services["s"] {
 		ids = append(ids, t.ID)
 	}
-	named := 0
+	hashed := 0
 	var ring place.Ring
-	ring.Change(ids, nil)
-	ring.Walk(ask.Key, func(i int) bool {
-		if c := byID[ids[i]]; c != nil && named < place.Choices {
-			named++
-			c.Named = named
+	ring.Update(ids, nil)
+	ring.Walk(req.Key, func(i int) bool {
+		if c := byID[ids[i]]; c != nil && hashed < place.HashCandidates {
+			hashed++
+			c.HashRank = hashed
 		}
 		return true
 	})
-	ask.Ceiling = sum.Ceiling(need.Cap)
-	c, _ := place.Pick(list, b.Donor(now, v, engine, need.Parts), ask)
+	req.Ceiling = sum.Ceiling(criteria.CapFactor)
+	c, _ := place.Pick(list, b.Donor(now, v, engine, criteria.Parts), req)
 	return c, list
 }
 
@@ -52,7 +52,7 @@
 	b    *board.Board
 	v    *roster.View
 	now  clock.Stamp
-	runs []*board.Run
+	runs []*board.Attempt
 	// joined counts the targets that joined.
 	joined int
 }
@@ -63,13 +63,13 @@
 	switch rapid.IntRange(0, 5).Draw(t, "step") {
 	case 0, 1:
 		p := rapid.Uint64Range(1, 6).Draw(t, "prefix")
-		h.runs = append(h.runs, h.b.Start(h.now, x, engine, parts(p, 1000+p), 0, board.Who{Objective: time.Second}))
+		h.runs = append(h.runs, h.b.Start(h.now, x, engine, parts(p, 1000+p), 0, board.Caller{Objective: time.Second}))
 	case 2:
 		if len(h.runs) > 0 {
 			r := h.runs[0]
 			h.runs = h.runs[1:]
-			r.First(h.now)
-			r.End(h.now, rapid.SampledFrom([]board.Outcome{board.Served, board.Refused, board.Unreached, board.Silent}).Draw(t, "end"))
+			r.FirstByte(h.now)
+			r.End(h.now, rapid.SampledFrom([]board.Outcome{board.Served, board.Refused, board.Unreachable, board.Broken}).Draw(t, "end"))
 		}
 	case 3:
 		from := addr(rapid.IntRange(1, 4).Draw(t, "peer"))
@@ -79,7 +79,7 @@
 		}
 		h.b.MergeReport(h.now, &share.Report{From: from, Loads: loads})
 	case 4:
-		h.v = view(len(h.v.Services["s"]), rapid.IntRange(1, len(h.v.Services["s"])).Draw(t, "warm"))
+		h.v = newView(len(h.v.Services["s"]), rapid.IntRange(1, len(h.v.Services["s"])).Draw(t, "warm"))
 	case 5:
 		h.change(t, x)
 	}
@@ -109,24 +109,24 @@
 	h.v = v
 }
 
-// TestChooseIsThePlainChoice guards against an index that has lost track of the targets: totals,
+// TestChooseMatchesPlainChoice guards against an index that has lost track of the targets: totals,
 // holders and the order by hash have to be those that a look at every target gives.
-func TestChooseIsThePlainChoice(t *testing.T) {
+func TestChooseMatchesPlainChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "targets")
-		h := &history{b: &board.Board{Self: addr(0)}, v: view(n, n), now: start}
+		h := &history{b: &board.Board{Self: addr(0)}, v: newView(n, n), now: start}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			h.step(t)
 			p := rapid.Uint64Range(1, 6).Draw(t, "asked")
-			need := board.Need{Parts: parts(p, 2000), Domain: "d", Skip: []string{"t0"}[:rapid.IntRange(0, 1).Draw(t, "skip")]}
-			ask := place.Ask{Key: p, Tokens: 2000, Shared: 1000}
-			sameTotals(t, h, need)
-			want, list := plainChoice(h.b, h.now, h.v, need, ask)
+			criteria := board.Criteria{Parts: parts(p, 2000), Domain: "d", Skip: []string{"t0"}[:rapid.IntRange(0, 1).Draw(t, "skip")]}
+			req := place.Request{Key: p, Tokens: 2000, Shared: 1000}
+			sameTotals(t, h, criteria)
+			want, list := plainChoice(h.b, h.now, h.v, criteria, req)
 			if len(list) == 0 {
-				need.Suspects = true
-				want, list = plainChoice(h.b, h.now, h.v, need, ask)
+				criteria.IncludeDown = true
+				want, list = plainChoice(h.b, h.now, h.v, criteria, req)
 			}
-			got := h.b.Choose(h.now, h.v, engine, need, ask)
+			got := h.b.Choose(h.now, h.v, engine, criteria, req)
 			if len(list) == 0 {
 				assert.Assert(t, got.Target == nil)
 				continue
@@ -139,41 +139,41 @@
 }
 
 // sameTotals compares the sums of the index with those over all targets.
-func sameTotals(t *rapid.T, h *history, need board.Need) {
+func sameTotals(t *rapid.T, h *history, criteria board.Criteria) {
 	var want place.Totals
-	for _, c := range h.b.Candidates(h.now, h.v, engine, need) {
+	for _, c := range h.b.Candidates(h.now, h.v, engine, criteria) {
 		want.Add(&c)
 	}
-	got := h.b.Sum(h.now, h.v, engine, need)
+	got := h.b.Totals(h.now, h.v, engine, criteria)
 	assert.Equal(t, got.Targets, want.Targets)
 	assert.Equal(t, got.Warm, want.Warm)
 	assert.Equal(t, got.Running, want.Running)
-	assert.Equal(t, got.Busy, want.Busy)
-	assert.Equal(t, got.Open, want.Open)
+	assert.Equal(t, got.WarmRunning, want.WarmRunning)
+	assert.Equal(t, got.Unlimited, want.Unlimited)
 	assert.Assert(t, math.Abs(got.Taken()-want.Taken()) < 0.02, "%f and %f", got.Taken(), want.Taken())
 }
 
-// TestFewChoicesAreAlmostAll guards against a look at too few targets: the least loaded of
+// TestSampledChoiceIsNearlyLeastLoaded guards against a look at too few targets: the least loaded of
 // those has to be hardly busier than the least loaded of all.
-func TestFewChoicesAreAlmostAll(t *testing.T) {
-	b, v := &board.Board{Self: addr(0)}, view(300, 300)
+func TestSampledChoiceIsNearlyLeastLoaded(t *testing.T) {
+	b, v := &board.Board{Self: addr(0)}, newView(300, 300)
 	for i := range 6000 {
-		ask := place.Ask{Key: uint64(i) * 7919}
-		c := b.Choose(start, v, engine, board.Need{}, ask)
-		b.Start(start, c.Target, engine, nil, 0, board.Who{})
+		req := place.Request{Key: uint64(i) * 7919}
+		c := b.Choose(start, v, engine, board.Criteria{}, req)
+		b.Start(start, c.Target, engine, nil, 0, board.Caller{})
 	}
-	most, least := 0.0, math.Inf(1)
-	for _, c := range b.Candidates(start, v, engine, board.Need{}) {
-		most, least = max(most, c.Running), min(least, c.Running)
+	maxRunning, minRunning := 0.0, math.Inf(1)
+	for _, c := range b.Candidates(start, v, engine, board.Criteria{}) {
+		maxRunning, minRunning = max(maxRunning, c.Running), min(minRunning, c.Running)
 	}
-	assert.Assert(t, most <= 34 && least >= 10, "%.0f to %.0f in progress, 20 on average", least, most)
+	assert.Assert(t, maxRunning <= 34 && minRunning >= 10, "%.0f to %.0f in progress, 20 on average", minRunning, maxRunning)
 }
 
-// bench is a board that knows of many targets, with a request in ten in progress.
-func bench(n int) (*board.Board, *roster.View) {
-	b, v := &board.Board{Self: addr(0)}, view(n, n)
+// busyBoard is a board that knows of many targets, with a request in ten in progress.
+func busyBoard(n int) (*board.Board, *roster.View) {
+	b, v := &board.Board{Self: addr(0)}, newView(n, n)
 	for i := range 10 * n {
-		b.Start(start, v.Services["s"][i%n], engine, parts(1, uint64(10+i/3), uint64(1e6+i)), 0, board.Who{}).First(start)
+		b.Start(start, v.Services["s"][i%n], engine, parts(1, uint64(10+i/3), uint64(1e6+i)), 0, board.Caller{}).FirstByte(start)
 	}
 	for i := range 300 {
 		b.MergeReport(start, &share.Report{From: addr(i + 1), Loads: []share.Load{{Target: 7, Running: 1}}})
@@ -181,12 +181,12 @@
 	return b, v
 }
 
-// request is all that the board does for one request.
-func request(b *board.Board, v *roster.View, now clock.Stamp, i uint64) {
-	need := board.Need{Parts: parts(1, 10+i%1000, 1e9+i), Domain: "d", Who: &board.Who{Workspace: "w", Objective: time.Second}}
-	c := b.Choose(now, v, engine, need, place.Ask{Key: 10 + i%1000, Tokens: 3000, Shared: 2000})
-	r := b.Start(now, c.Target, engine, need.Parts, c.Cached(), *need.Who)
-	r.First(now)
+// doRequest is all that the board does for one request.
+func doRequest(b *board.Board, v *roster.View, now clock.Stamp, i uint64) {
+	criteria := board.Criteria{Parts: parts(1, 10+i%1000, 1e9+i), Domain: "d", Caller: &board.Caller{Workspace: "w", Objective: time.Second}}
+	c := b.Choose(now, v, engine, criteria, place.Request{Key: 10 + i%1000, Tokens: 3000, Shared: 2000})
+	r := b.Start(now, c.Target, engine, criteria.Parts, c.ReusableTokens(), *criteria.Caller)
+	r.FirstByte(now)
 	r.End(now, board.Served)
 }
 
@@ -194,20 +194,20 @@
 func BenchmarkChoose(bm *testing.B) {
 	for _, n := range []int{51, 300, 1000, 2700} {
 		bm.Run(fmt.Sprint(n), func(bm *testing.B) {
-			b, v := bench(n)
+			b, v := busyBoard(n)
 			bm.ReportAllocs()
 			for i := range uint64(bm.N) {
-				request(b, v, start.Add(time.Duration(i)*time.Millisecond), i)
+				doRequest(b, v, start.Add(time.Duration(i)*time.Millisecond), i)
 			}
 		})
 		bm.Run(fmt.Sprint(n, "-by-8"), func(bm *testing.B) {
-			b, v := bench(n)
+			b, v := busyBoard(n)
 			bm.SetParallelism(8)
 			var next atomic.Uint64
 			bm.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					i := next.Add(1)
-					request(b, v, start.Add(time.Duration(i)*time.Millisecond), i)
+					doRequest(b, v, start.Add(time.Duration(i)*time.Millisecond), i)
 				}
 			})
 		})
@@ -217,45 +217,45 @@
 // TestSuspicionsOfPeers guards against every entry finding out by a request of its own that a host is
 // gone, and against one that is cut off closing targets for all.
 func TestSuspicionsOfPeers(t *testing.T) {
-	entries, v := fleet(2), view(2, 2)
+	entries, v := newFleet(2), newView(2, 2)
 	a, b := entries[0], entries[1]
-	b.Candidates(start, v, engine, board.Need{})
-	a.Start(start, v.ByID["t0"], engine, nil, 0, board.Who{}).End(start, board.Unreached)
-	tell := func() { b.MergeReport(start, &share.Report{From: addr(0), Suspected: a.Suspicions()}) }
-	tell()
-	list := b.Candidates(start, v, engine, board.Need{})
+	b.Candidates(start, v, engine, board.Criteria{})
+	a.Start(start, v.ByID["t0"], engine, nil, 0, board.Caller{}).End(start, board.Unreachable)
+	report := func() { b.MergeReport(start, &share.Report{From: addr(0), Suspected: a.Suspicions()}) }
+	report()
+	list := b.Candidates(start, v, engine, board.Criteria{})
 	assert.Equal(t, len(list), 2, "a peer's word closes no target")
 	assert.Assert(t, list[0].Suspected && !list[1].Suspected)
 
-	choose := func(sure bool, skip string) board.Choice {
-		return b.Choose(start, v, engine, board.Need{VerifyHost: sure, Skip: []string{skip}}, place.Ask{Key: 1})
+	choose := func(verify bool, skip string) board.Choice {
+		return b.Choose(start, v, engine, board.Criteria{VerifyHost: verify, Skip: []string{skip}}, place.Request{Key: 1})
 	}
-	assert.Assert(t, choose(false, "t1").Fresh, "suspected: a connection has to verify the host")
-	assert.Assert(t, !choose(false, "t0").Fresh)
-	assert.Assert(t, choose(true, "t0").Fresh, "hosts fall silent together: what may run once needs a proof")
+	assert.Assert(t, choose(false, "t1").NewConnection, "suspected: a connection has to verify the host")
+	assert.Assert(t, !choose(false, "t0").NewConnection)
+	assert.Assert(t, choose(true, "t0").NewConnection, "hosts fall silent together: what may run once needs a proof")
 
-	run := b.Start(start, v.ByID["t0"], engine, nil, 0, board.Who{})
-	run.First(start)
-	assert.Assert(t, !choose(true, "t1").Fresh, "it has answered")
-	assert.Assert(t, !b.Candidates(start, v, engine, board.Need{})[0].Suspected)
-	a.Start(start, v.ByID["t0"], engine, nil, 0, board.Who{}).End(start.Add(time.Second), board.Unreached)
-	tell()
-	assert.Assert(t, !b.Candidates(start, v, engine, board.Need{})[0].Suspected, "it answers here")
+	run := b.Start(start, v.ByID["t0"], engine, nil, 0, board.Caller{})
+	run.FirstByte(start)
+	assert.Assert(t, !choose(true, "t1").NewConnection, "it has answered")
+	assert.Assert(t, !b.Candidates(start, v, engine, board.Criteria{})[0].Suspected)
+	a.Start(start, v.ByID["t0"], engine, nil, 0, board.Caller{}).End(start.Add(time.Second), board.Unreachable)
+	report()
+	assert.Assert(t, !b.Candidates(start, v, engine, board.Criteria{})[0].Suspected, "it answers here")
 }
 
 // BenchmarkView plays a target that joins and one that leaves before each request.
 func BenchmarkView(bm *testing.B) {
 	for _, n := range []int{51, 2700} {
 		bm.Run(fmt.Sprint(n), func(bm *testing.B) {
-			b, v := bench(n)
-			request(b, v, start, 0)
+			b, v := busyBoard(n)
+			doRequest(b, v, start, 0)
 			bm.ReportAllocs()
 			for i := range uint64(bm.N) {
 				list := slices.Clone(v.Services["s"])
 				list[int(i)%n] = &roster.Target{Instance: chestnutstep.Instance{ID: fmt.Sprint("j", i), Service: "s", Domain: "d", Slots: 4}}
 				v = &roster.View{Services: map[string][]*roster.Target{"s": list}, ByID: v.ByID}
 				v.ByID[list[int(i)%n].ID] = list[int(i)%n]
-				request(b, v, start.Add(time.Duration(i)*time.Millisecond), i)
+				doRequest(b, v, start.Add(time.Duration(i)*time.Millisecond), i)
 			}
 		})
 	}
@@ -264,30 +264,30 @@
 // TestEmptyCachesAreListed guards against entries that ask again and again for what a target holds
 // that is known to hold nothing.
 func TestEmptyCachesAreListed(t *testing.T) {
-	entries, v := fleet(2), view(1, 1)
+	entries, v := newFleet(2), newView(1, 1)
 	a, b := entries[0], entries[1]
-	a.Hold(start, &v.ByID["t0"].Instance, nil)
-	b.MergeLists(start, a.Lists(start))
-	assert.Assert(t, b.Listed(&v.ByID["t0"].Instance))
+	a.RecordCache(start, &v.ByID["t0"].Instance, nil)
+	b.MergeCacheLists(start, a.CacheLists(start))
+	assert.Assert(t, b.CacheListed(&v.ByID["t0"].Instance))
 }
 
-// TestOverloadedEntrySuspectsNobody guards against an entry without processor whose time-outs have it
+// TestOverloadedEntrySuspectsNoTarget guards against an entry without processor whose time-outs have it
 // verify every host, time out again, and send all to the few hosts that it doesn't suspect.
-func TestOverloadedEntrySuspectsNobody(t *testing.T) {
+func TestOverloadedEntrySuspectsNoTarget(t *testing.T) {
 	overloaded := true
-	b, v := &board.Board{Self: addr(0), Overloaded: func() bool { return overloaded }}, view(3, 3)
-	fail := func() { b.Start(start, v.ByID["t0"], engine, nil, 0, board.Who{}).End(start, board.Unreached) }
+	b, v := &board.Board{Self: addr(0), Overloaded: func() bool { return overloaded }}, newView(3, 3)
+	fail := func() { b.Start(start, v.ByID["t0"], engine, nil, 0, board.Caller{}).End(start, board.Unreachable) }
 	choose := func() board.Choice {
-		return b.Choose(start, v, engine, board.Need{VerifyHost: true}, place.Ask{Key: 1})
+		return b.Choose(start, v, engine, board.Criteria{VerifyHost: true}, place.Request{Key: 1})
 	}
 	fail()
-	b.Start(start, v.ByID["t1"], engine, nil, 0, board.Who{}).First(start)
-	assert.Assert(t, !b.RecordSilence(start, v.ByID["t2"]))
+	b.Start(start, v.ByID["t1"], engine, nil, 0, board.Caller{}).FirstByte(start)
+	assert.Assert(t, !b.RecordUnresponsive(start, v.ByID["t2"]))
 	assert.Equal(t, len(b.Suspicions()), 0)
 	overloaded = false
-	assert.Assert(t, !choose().Fresh)
+	assert.Assert(t, !choose().NewConnection)
 	fail()
 	assert.Equal(t, len(b.Suspicions()), 1)
 	overloaded = true
-	assert.Assert(t, !choose().Fresh)
+	assert.Assert(t, !choose().NewConnection)
 }
--- a/board/domain.go
+++ b/board/domain.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// silentLeast is how many targets of a failure domain fall silent before it counts as
+	// minTimedOut is how many targets of a failure domain fall silent before it counts as
 	// silent itself: one may have died alone.
-	silentLeast = 2
-	// silentWithin is the time within which they do: as long as two tries in a row take
+	minTimedOut = 2
+	// timeoutWindow is the time within which they do: as long as two tries in a row take
 	// to find out.
-	silentWithin = 1500 * time.Millisecond
-	// probeTime is how long the one request that finds out whether a domain is back may
+	timeoutWindow = 1500 * time.Millisecond
+	// probeTimeout is how long the one request that finds out whether a domain is back may
 	// take, until the next one is sent: a connection that can't be opened is given up
 	// sooner.
-	probeTime = 500 * time.Millisecond
+	probeTimeout = 500 * time.Millisecond
 	// probeSpread is the time over which entries of a failure domain look again, one after the
 	// other.
 	probeSpread = 2 * time.Second
-	// timeoutTime is how long a connection that can't be opened takes: an answer since it was
+	// dialTimeout is how long a connection that can't be opened takes: an answer since it was
 	// begun shows that the target is gone, not its domain.
-	timeoutTime = 400 * time.Millisecond
+	dialTimeout = 400 * time.Millisecond
 )
 
 // domain is what is known of the way to a failure domain.
@@ -40,18 +40,18 @@
 // large fleet an entry sends too little to find out by itself: it goes by what the
 // entries of its own failure domain see as well, whose way is the same.
 type domain struct {
-	// silent gives when each target fell silent, since the last answer of any.
-	silent map[uint32]clock.Stamp
-	until  clock.Stamp
-	pause  time.Duration
+	// timedOut gives when each target fell silent, since the last answer of any.
+	timedOut  map[uint32]clock.Stamp
+	downUntil clock.Stamp
+	backoff   time.Duration
 	// probing says that a request is on its way that finds out whether it is back.
 	probing bool
 	// answeredAt is when a target there last answered this entry or a near one.
 	answeredAt clock.Stamp
-	// answeredHere is when one last answered this entry.
-	answeredHere clock.Stamp
-	// near is what other entries of the own failure domain saw last.
-	near map[netip.AddrPort]timeouts
+	// answeredLocally is when one last answered this entry.
+	answeredLocally clock.Stamp
+	// peerTimeouts is what other entries of the own failure domain saw last.
+	peerTimeouts map[netip.AddrPort]timeouts
 }
 
 // timeouts is what one entry saw of a domain that does not answer it.
@@ -61,138 +61,138 @@
 }
 
 // isUnreachable says that the domain gets no requests now.
-func (d *domain) isUnreachable(now clock.Stamp) bool { return d != nil && now < d.until }
+func (d *domain) isUnreachable(now clock.Stamp) bool { return d != nil && now < d.downUntil }
 
 // recordTimeout notes that a target did not answer.
 func (d *domain) recordTimeout(now clock.Stamp, key uint32) {
-	d.forget(now)
-	d.silent[key] = now
-	lost := len(d.silent) >= silentLeast || d.silentForAll() && !d.answered()
-	if d.pause == 0 && !lost || d.pause > 0 && !d.probing {
+	d.expire(now)
+	d.timedOut[key] = now
+	unreachable := len(d.timedOut) >= minTimedOut || d.hasTimedOutForAll() && !d.hasAnswered()
+	if d.backoff == 0 && !unreachable || d.backoff > 0 && !d.probing {
 		return
 	}
 	d.probing = false
-	d.leaveAlone(now, min(max(2*d.pause, downLeast), downMost))
+	d.markUnreachable(now, min(max(2*d.backoff, minDownTime), maxDownTime))
 }
 
-// forget drops what was seen too long ago.
-func (d *domain) forget(now clock.Stamp) {
-	for k, at := range d.silent {
-		if now.Sub(at) > silentWithin {
-			delete(d.silent, k)
+// expire drops what was seen too long ago.
+func (d *domain) expire(now clock.Stamp) {
+	for k, at := range d.timedOut {
+		if now.Sub(at) > timeoutWindow {
+			delete(d.timedOut, k)
 		}
 	}
-	for from, t := range d.near {
-		if now.Sub(t.last) > silentWithin {
-			delete(d.near, from)
+	for from, t := range d.peerTimeouts {
+		if now.Sub(t.last) > timeoutWindow {
+			delete(d.peerTimeouts, from)
 		}
 	}
 }
 
-func (d *domain) leaveAlone(now clock.Stamp, pause time.Duration) {
-	d.pause = pause
-	d.until = max(d.until, now.Add(pause))
+func (d *domain) markUnreachable(now clock.Stamp, backoff time.Duration) {
+	d.backoff = backoff
+	d.downUntil = max(d.downUntil, now.Add(backoff))
 }
 
 // recordResponse notes that a target answered, whatever it said.
 func (d *domain) recordResponse(now clock.Stamp) {
-	clear(d.silent)
-	clear(d.near)
+	clear(d.timedOut)
+	clear(d.peerTimeouts)
 	d.answeredAt = max(d.answeredAt, now)
-	d.until, d.pause, d.probing = 0, 0, false
+	d.downUntil, d.backoff, d.probing = 0, 0, false
 }
 
 // recordAnswer notes an answer to this entry.
 func (d *domain) recordAnswer(now clock.Stamp) {
-	d.answeredHere = now
+	d.answeredLocally = now
 	d.recordResponse(now)
 }
 
 // merge takes what a near entry has seen.
-func (d *domain) merge(now clock.Stamp, from netip.AddrPort, r share.DomainHealth, wait time.Duration) {
+func (d *domain) merge(now clock.Stamp, from netip.AddrPort, r share.DomainHealth, probeDelay time.Duration) {
 	if r.AnsweredAgo >= 0 {
-		d.answeredAt = max(d.answeredAt, ago(now, r.AnsweredAgo))
-		if d.answered() {
+		d.answeredAt = max(d.answeredAt, stampFromAge(now, r.AnsweredAgo))
+		if d.hasAnswered() {
 			d.recordResponse(d.answeredAt)
 		}
 	}
 	if r.TimedOutAgo >= 0 {
-		d.near[from] = timeouts{ago(now, r.TimedOutAgo), int(r.TimedOutTargets)}
+		d.peerTimeouts[from] = timeouts{stampFromAge(now, r.TimedOutAgo), int(r.TimedOutTargets)}
 	}
-	d.forget(now)
-	if !d.answered() && (r.Avoided || d.silentForAll()) {
-		d.leaveToOthers(now, wait)
+	d.expire(now)
+	if !d.hasAnswered() && (r.Avoided || d.hasTimedOutForAll()) {
+		d.deferProbe(now, probeDelay)
 	}
 }
 
-// answered reports whether a target has answered since the last request to one that did not.
-func (d *domain) answered() bool { return d.answeredAt > d.lastTimeout().Add(-timeoutTime) }
+// hasAnswered reports whether a target has answered since the last request to one that did not.
+func (d *domain) hasAnswered() bool { return d.answeredAt > d.lastTimeout().Add(-dialTimeout) }
 
-// silentForAll reports whether several targets did not answer several of this entry and the
+// hasTimedOutForAll reports whether several targets did not answer several of this entry and the
 // near ones.
-func (d *domain) silentForAll() bool {
-	entries, targets := len(d.near), len(d.silent)
+func (d *domain) hasTimedOutForAll() bool {
+	entries, targets := len(d.peerTimeouts), len(d.timedOut)
 	if targets > 0 {
 		entries++
 	}
-	for _, t := range d.near {
+	for _, t := range d.peerTimeouts {
 		targets += t.targets
 	}
-	return entries >= silentLeast && targets >= silentLeast
+	return entries >= minTimedOut && targets >= minTimedOut
 }
 
 // lastTimeout is when a target last did not answer, here or at a near entry.
 func (d *domain) lastTimeout() clock.Stamp {
 	last := clock.Stamp(0)
-	for _, at := range d.silent {
+	for _, at := range d.timedOut {
 		last = max(last, at)
 	}
-	for _, t := range d.near {
+	for _, t := range d.peerTimeouts {
 		last = max(last, t.last)
 	}
 	return last
 }
 
-// leaveToOthers leaves the domain alone for as long as what entries of the own failure domain
+// deferProbe leaves the domain alone for as long as what entries of the own failure domain
 // saw counts. They don't all look again at the same moment: wait is this entry's turn.
-func (d *domain) leaveToOthers(now clock.Stamp, wait time.Duration) {
-	if until := d.lastTimeout().Add(silentWithin + wait); until > now {
-		d.pause = max(d.pause, downLeast)
-		d.until = max(d.until, until)
+func (d *domain) deferProbe(now clock.Stamp, probeDelay time.Duration) {
+	if until := d.lastTimeout().Add(timeoutWindow + probeDelay); until > now {
+		d.backoff = max(d.backoff, minDownTime)
+		d.downUntil = max(d.downUntil, until)
 	}
 }
 
-// start notes a request to the domain: while it is not known to be back, no other
+// recordStart notes a request to the domain: while it is not known to be back, no other
 // follows for a while.
-func (d *domain) start(now clock.Stamp) {
-	if d != nil && d.pause > 0 {
-		d.until, d.probing = max(d.until, now.Add(probeTime)), true
+func (d *domain) recordStart(now clock.Stamp) {
+	if d != nil && d.backoff > 0 {
+		d.downUntil, d.probing = max(d.downUntil, now.Add(probeTimeout)), true
 	}
 }
 
 // report says what this entry has seen of late; false for nothing.
 func (d *domain) report(now clock.Stamp, name string) (share.DomainHealth, bool) {
-	d.forget(now)
+	d.expire(now)
 	r := share.DomainHealth{
-		Name: DomainKey(name), AnsweredAgo: age(now, d.answeredHere), TimedOutAgo: -1,
-		TimedOutTargets: uint8(min(len(d.silent), math.MaxUint8)), Avoided: d.pause > 0,
+		Name: DomainKey(name), AnsweredAgo: ageMillis(now, d.answeredLocally), TimedOutAgo: -1,
+		TimedOutTargets: uint8(min(len(d.timedOut), math.MaxUint8)), Avoided: d.backoff > 0,
 	}
 	if r.Avoided || r.TimedOutTargets > 0 {
-		r.TimedOutAgo = age(now, d.lastTimeout())
+		r.TimedOutAgo = ageMillis(now, d.lastTimeout())
 	}
 	return r, r.AnsweredAgo >= 0 || r.TimedOutAgo >= 0
 }
 
-// age is how long ago something was, in milliseconds; -1 for too long.
-func age(now, at clock.Stamp) int16 {
-	if at == 0 || now.Sub(at) > silentWithin {
+// ageMillis is how long ago something was, in milliseconds; -1 for too long.
+func ageMillis(now, at clock.Stamp) int16 {
+	if at == 0 || now.Sub(at) > timeoutWindow {
 		return -1
 	}
 	return int16(now.Sub(at).Milliseconds())
 }
 
-// ago is the inverse of age.
-func ago(now clock.Stamp, ms int16) clock.Stamp {
+// stampFromAge is the inverse of age.
+func stampFromAge(now clock.Stamp, ms int16) clock.Stamp {
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
@@ -203,25 +203,25 @@
 func (b *Board) domainOf(name string) *domain {
 	d := b.domains[name]
 	if d == nil {
-		d = &domain{silent: make(map[uint32]clock.Stamp), near: make(map[netip.AddrPort]timeouts)}
+		d = &domain{timedOut: make(map[uint32]clock.Stamp), peerTimeouts: make(map[netip.AddrPort]timeouts)}
 		b.domains[name] = d
 	}
 	return d
 }
 
-// reach notes what the end of a request says of the way to a domain.
-func (b *Board) reach(now clock.Stamp, name string, key uint32, o Outcome) {
+// recordDomainOutcome notes what the end of a request says of the way to a domain.
+func (b *Board) recordDomainOutcome(now clock.Stamp, name string, key uint32, o Outcome) {
 	switch o {
-	case Unreached:
+	case Unreachable:
 		b.domainOf(name).recordTimeout(now, key)
-	case Served, Failed, Refused, Replaced, Closed:
+	case Served, Failed, Refused, Replaced, ConnRefused:
 		b.domainOf(name).recordAnswer(now)
-	case Silent, Canceled: // a connection that broke says nothing of the way there
+	case Broken, Canceled: // a connection that broke says nothing of the way there
 	}
 }
 
-// Domains lists what this entry has seen of failure domains of late, for the peers.
-func (b *Board) Domains(now clock.Stamp) []share.DomainHealth {
+// DomainReports lists what this entry has seen of failure domains of late, for the peers.
+func (b *Board) DomainReports(now clock.Stamp) []share.DomainHealth {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []share.DomainHealth
@@ -238,15 +238,15 @@
 	for _, r := range list {
 		for name, d := range b.domains {
 			if DomainKey(name) == r.Name {
-				d.merge(now, from, r, b.probeWait(name, d))
+				d.merge(now, from, r, b.probeDelay(name, d))
 			}
 		}
 	}
 }
 
-// probeWait is this entry's turn among the near ones to find out whether a domain is back; it
+// probeDelay is this entry's turn among the near ones to find out whether a domain is back; it
 // changes with each time that one finds out that it is not.
-func (b *Board) probeWait(name string, d *domain) time.Duration {
+func (b *Board) probeDelay(name string, d *domain) time.Duration {
 	round := d.lastTimeout() / clock.Stamp(time.Second)
 	h := xxhash.Sum64String(fmt.Sprintf("%s %s %d", b.Self, name, round))
 	return time.Duration(h % uint64(probeSpread))
--- a/board/domain_test.go
+++ b/board/domain_test.go
@@ -17,9 +17,9 @@
 // dialTime is how long a request waits for a connection that can't be opened.
 const dialTime = 400 * time.Millisecond
 
-// domains is a view of targets in some failure domains.
-func domains(n, each int) *roster.View {
-	v := view(n*each, n*each)
+// newDomainView is a view of targets in some failure domains.
+func newDomainView(n, each int) *roster.View {
+	v := newView(n*each, n*each)
 	for i, t := range v.Services["s"] {
 		t.Domain = fmt.Sprint("d", i%n)
 	}
@@ -30,15 +30,15 @@
 // by one, each of its targets costs a caller 400 ms, again and again: about one try for
 // each target and each pause. One notices as many slow answers as the domain has targets,
 // every few seconds.
-func TestSilentDomainIsLeftAlone(t *testing.T) {
+func TestUnreachableDomainGetsFewRequests(t *testing.T) {
 	const (
-		away = 2 * time.Second
-		// known is when the first tries have failed.
-		known = dialTime + 100*time.Millisecond
-		back  = 8 * time.Second
-		end   = 12 * time.Second
+		cutAt = 2 * time.Second
+		// detectionTime is when the first tries have failed.
+		detectionTime = dialTime + 100*time.Millisecond
+		backAt        = 8 * time.Second
+		end           = 12 * time.Second
 	)
-	b, v := &board.Board{Self: addr(0)}, domains(3, 10)
+	b, v := &board.Board{Self: addr(0)}, newDomainView(3, 10)
 	var open []call
 	r := rand.New(rand.NewPCG(3, 4))
 	late, served := 0, 0
@@ -46,26 +46,26 @@
 		kept := open[:0]
 		for _, c := range open {
 			switch {
-			case c.silent && now.Sub(c.at) >= dialTime:
-				c.run.End(now, board.Unreached)
-			case !c.silent && now.Sub(c.at) >= 30*time.Millisecond:
+			case c.unanswered && now.Sub(c.startedAt) >= dialTime:
+				c.run.End(now, board.Unreachable)
+			case !c.unanswered && now.Sub(c.startedAt) >= 30*time.Millisecond:
 				c.run.End(now, board.Served)
 			default:
 				kept = append(kept, c)
 			}
 		}
 		open = kept
-		list := b.Candidates(now, v, engine, board.Need{})
+		list := b.Candidates(now, v, engine, board.Criteria{})
 		x := v.ByID[list[r.IntN(len(list))].ID]
-		gone := now >= start.Add(away) && now < start.Add(back)
-		silent := gone && x.Domain == "d0"
-		if now >= start.Add(back+time.Second+board.DownMost) && x.Domain == "d0" {
+		isCut := now >= start.Add(cutAt) && now < start.Add(backAt)
+		unanswered := isCut && x.Domain == "d0"
+		if now >= start.Add(backAt+time.Second+board.MaxDownTime) && x.Domain == "d0" {
 			served++
 		}
-		if silent && now > start.Add(away+known) {
+		if unanswered && now > start.Add(cutAt+detectionTime) {
 			late++
 		}
-		open = append(open, call{b.Start(now, x, engine, nil, 0, board.Who{}), now, silent})
+		open = append(open, call{b.Start(now, x, engine, nil, 0, board.Caller{}), now, unanswered})
 	}
 	assert.Assert(t, late <= 8, "%d tries at targets that are known to be cut off", late)
 	assert.Assert(t, served > 10, "the domain is back, and got %d requests", served)
@@ -73,37 +73,37 @@
 
 // Two targets of a large domain die in the same second, while the others answer. The
 // domain is not away: its callers would be sent to another for nothing.
-func TestTwoDeadTargetsAreNoSilentDomain(t *testing.T) {
-	b, v := &board.Board{Self: addr(0)}, domains(2, 10)
+func TestTwoDeadTargetsAreNoUnreachableDomain(t *testing.T) {
+	b, v := &board.Board{Self: addr(0)}, newDomainView(2, 10)
 	list := v.Services["s"]
 	now := start
 	for i := 0; i < len(list); i += 2 {
 		o := board.Served
 		if i < 4 {
-			o = board.Unreached
+			o = board.Unreachable
 		}
-		run := b.Start(now, list[i], engine, nil, 0, board.Who{})
+		run := b.Start(now, list[i], engine, nil, 0, board.Caller{})
 		now = now.Add(20 * time.Millisecond)
 		run.End(now, o)
 	}
-	left := 0
-	for _, c := range b.Candidates(now, v, engine, board.Need{}) {
+	available := 0
+	for _, c := range b.Candidates(now, v, engine, board.Criteria{}) {
 		if v.ByID[c.ID].Domain == "d0" {
-			left++
+			available++
 		}
 	}
-	assert.Equal(t, left, 8)
+	assert.Equal(t, available, 8)
 }
 
-// fewRequests is a fleet whose entries send a request a second each: of a failure domain that is cut off
+// sparseTraffic is a fleet whose entries send a request a second each: of a failure domain that is cut off
 // each sees one target every few seconds.
-type fewRequests struct {
+type sparseTraffic struct {
 	boards []*board.Board
 	view   *roster.View
-	// dead says whether a target does not answer at a time.
-	dead func(t *roster.Target, now clock.Stamp) bool
+	// isDead says whether a target does not answer at a time.
+	isDead func(t *roster.Target, now clock.Stamp) bool
 	// sent counts the requests to each failure domain, silent those that got no answer, by second.
-	sent, silent map[string][]int
+	sent, unanswered map[string][]int
 
 	r    *rand.Rand
 	open []call
@@ -111,9 +111,9 @@
 
 // call is a request in progress.
 type call struct {
-	run    *board.Run
-	at     clock.Stamp
-	silent bool
+	run        *board.Attempt
+	startedAt  clock.Stamp
+	unanswered bool
 }
 
 const (
@@ -124,23 +124,23 @@
 	callTime = 30 * time.Millisecond
 )
 
-func newFewRequests(dead func(*roster.Target, clock.Stamp) bool) *fewRequests {
-	f := &fewRequests{
-		view: domains(fewDomains, 40), dead: dead, r: rand.New(rand.NewPCG(5, 6)),
-		sent: make(map[string][]int), silent: make(map[string][]int),
+func newSparseTraffic(isDead func(*roster.Target, clock.Stamp) bool) *sparseTraffic {
+	f := &sparseTraffic{
+		view: newDomainView(fewDomains, 40), isDead: isDead, r: rand.New(rand.NewPCG(5, 6)),
+		sent: make(map[string][]int), unanswered: make(map[string][]int),
 	}
 	for i := range fewEntries {
 		f.boards = append(f.boards, &board.Board{Self: addr(i), Domain: fmt.Sprint("d", i%fewDomains)})
 	}
 	for d := range fewDomains {
 		f.sent[fmt.Sprint("d", d)] = make([]int, fewSeconds)
-		f.silent[fmt.Sprint("d", d)] = make([]int, fewSeconds)
+		f.unanswered[fmt.Sprint("d", d)] = make([]int, fewSeconds)
 	}
 	return f
 }
 
 // run plays the seconds: requests, answers, and reports between entries, each of which reaches one other.
-func (f *fewRequests) run() {
+func (f *sparseTraffic) run() {
 	const tick = 10 * time.Millisecond
 	for now := start; now < start.Add(fewSeconds*time.Second); now = now.Add(tick) {
 		f.end(now)
@@ -150,31 +150,31 @@
 			}
 			if f.r.IntN(5) == 0 {
 				to := f.boards[f.r.IntN(fewEntries)]
-				to.MergeReport(now, &share.Report{From: b.Self, Domain: board.DomainKey(b.Domain), Domains: b.Domains(now)})
+				to.MergeReport(now, &share.Report{From: b.Self, Domain: board.DomainKey(b.Domain), Domains: b.DomainReports(now)})
 			}
 		}
 	}
 }
 
-func (f *fewRequests) send(b *board.Board, now clock.Stamp) {
-	list := b.Candidates(now, f.view, engine, board.Need{})
+func (f *sparseTraffic) send(b *board.Board, now clock.Stamp) {
+	list := b.Candidates(now, f.view, engine, board.Criteria{})
 	x := f.view.ByID[list[f.r.IntN(len(list))].ID]
 	second := int(now.Sub(start) / time.Second)
-	silent := f.dead(x, now)
+	unanswered := f.isDead(x, now)
 	f.sent[x.Domain][second]++
-	if silent {
-		f.silent[x.Domain][second]++
+	if unanswered {
+		f.unanswered[x.Domain][second]++
 	}
-	f.open = append(f.open, call{b.Start(now, x, engine, nil, 0, board.Who{}), now, silent})
+	f.open = append(f.open, call{b.Start(now, x, engine, nil, 0, board.Caller{}), now, unanswered})
 }
 
-func (f *fewRequests) end(now clock.Stamp) {
+func (f *sparseTraffic) end(now clock.Stamp) {
 	kept := f.open[:0]
 	for _, c := range f.open {
-		switch age := now.Sub(c.at); {
-		case c.silent && age >= dialTime:
-			c.run.End(now, board.Unreached)
-		case !c.silent && age >= callTime:
+		switch age := now.Sub(c.startedAt); {
+		case c.unanswered && age >= dialTime:
+			c.run.End(now, board.Unreachable)
+		case !c.unanswered && age >= callTime:
 			c.run.End(now, board.Served)
 		default:
 			kept = append(kept, c)
@@ -183,11 +183,11 @@
 	f.open = kept
 }
 
-// TestSilentDomainIsFoundTogether guards against a large fleet that finds a lost failure domain only when the list of
+// TestUnreachableDomainIsDetectedByPeers guards against a large fleet that finds a lost failure domain only when the list of
 // targets drops it: each entry sends too little there to find out by itself.
-func TestSilentDomainIsFoundTogether(t *testing.T) {
+func TestUnreachableDomainIsDetectedByPeers(t *testing.T) {
 	const from, to = 4, 9
-	f := newFewRequests(func(x *roster.Target, now clock.Stamp) bool {
+	f := newSparseTraffic(func(x *roster.Target, now clock.Stamp) bool {
 		s := now.Sub(start)
 		return x.Domain == "d0" && s >= from*time.Second && s < to*time.Second
 	})
@@ -195,16 +195,16 @@
 	t.Log("requests to the domain that was lost, by second:", f.sent["d0"])
 	late := 0
 	for s := from + 2; s < to; s++ {
-		late += f.silent["d0"][s]
+		late += f.unanswered["d0"][s]
 	}
 	assert.Assert(t, late <= fewEntries/4, "%d requests to a domain that was lost two seconds before", late)
 	assert.Assert(t, f.sent["d0"][fewSeconds-1] >= f.sent["d0"][from-1]/2, "the domain is back: %v", f.sent["d0"])
 }
 
-// TestDeadTargetsAreNoSilentDomain guards against a sound failure domain that entries leave alone for a few of its
+// TestDeadTargetsAreNoUnreachableDomain guards against a sound failure domain that entries leave alone for a few of its
 // targets that are dead.
-func TestDeadTargetsAreNoSilentDomain(t *testing.T) {
-	f := newFewRequests(func(x *roster.Target, now clock.Stamp) bool {
+func TestDeadTargetsAreNoUnreachableDomain(t *testing.T) {
+	f := newSparseTraffic(func(x *roster.Target, now clock.Stamp) bool {
 		return x.Domain == "d0" && now >= start.Add(4*time.Second) && board.DomainKey(x.ID)%4 == 0
 	})
 	f.run()
--- a/board/export_test.go
+++ b/board/export_test.go
@@ -7,23 +7,23 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// DownMost is the longest time for which a target is left alone, for tests.
-const DownMost = downMost
+// MaxDownTime is the longest time for which a target is left alone, for tests.
+const MaxDownTime = maxDownTime
 
 // Candidates lists all targets that may take a request now, in the order of the view: the
 // plain version of what Choose looks at.
-func (b *Board) Candidates(now clock.Stamp, v *roster.View, service *chestnutstep.Service, need Need) []place.Candidate {
+func (b *Board) Candidates(now clock.Stamp, v *roster.View, service *chestnutstep.Service, criteria Criteria) []place.Candidate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initMaps()
 	b.expire(now)
-	g := b.group(now, v, service)
-	l := b.newLook(now, service, &need)
-	b.openAreas(&l, g)
+	ix := b.serviceIndex(now, v, service)
+	l := b.newLookup(now, service, &criteria)
+	b.setAllowedDomains(&l, ix)
 	var list []place.Candidate
 	for _, t := range v.Services[service.Name] {
-		slot, _ := g.ring.Slot(t.ID)
-		if c, ok := b.candidate(&l, g.members[slot]); ok {
+		slot, _ := ix.ring.Slot(t.ID)
+		if c, ok := b.candidate(&l, ix.members[slot]); ok {
 			list = append(list, c)
 		}
 	}
@@ -34,10 +34,10 @@
 func (b *Board) Donor(now clock.Stamp, v *roster.View, service *chestnutstep.Service, parts []chestnutstep.PromptPart) place.Donor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initMaps()
 	var best place.Donor
-	for _, m := range b.group(now, v, service).members {
-		if m != nil && !m.state.health.down(now) && now >= m.ColdUntil {
+	for _, m := range b.serviceIndex(now, v, service).members {
+		if m != nil && !m.state.health.isDown(now) && now >= m.ColdUntil {
 			b.compareDonor(now, &best, m, parts)
 		}
 	}
@@ -45,25 +45,25 @@
 }
 
 // Admit asks for a place at all of the candidates.
-func (b *Board) Admit(now clock.Stamp, service string, list []place.Candidate, who Who) Room {
+func (b *Board) Admit(now clock.Stamp, service string, list []place.Candidate, caller Caller) Admission {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initMaps()
 	var sum place.Totals
 	for i := range list {
 		sum.Add(&list[i])
 	}
-	return b.admit(now, service, sum.Taken(), who)
+	return b.admit(now, service, sum.Taken(), caller)
 }
 
-// Sum adds up the targets as Choose does.
-func (b *Board) Sum(now clock.Stamp, v *roster.View, service *chestnutstep.Service, need Need) place.Totals {
+// Totals adds up the targets as Choose does.
+func (b *Board) Totals(now clock.Stamp, v *roster.View, service *chestnutstep.Service, criteria Criteria) place.Totals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
-	g := b.group(now, v, service)
-	b.settle(now, g)
-	l := b.newLook(now, service, &need)
-	b.sumUp(&l, g)
-	return l.sum
+	b.initMaps()
+	ix := b.serviceIndex(now, v, service)
+	b.refreshTotals(now, ix)
+	l := b.newLookup(now, service, &criteria)
+	b.computeTotals(&l, ix)
+	return l.totals
 }
--- a/board/health.go
+++ b/board/health.go
@@ -17,94 +17,94 @@
 	Failed
 	// Refused says that the target is full.
 	Refused
-	// Unreached says that no connection could be opened: nothing answered.
-	Unreached
-	// Closed says that none could be opened, as the host said itself.
-	Closed
+	// Unreachable says that no connection could be opened: nothing answered.
+	Unreachable
+	// ConnRefused says that none could be opened, as the host said itself.
+	ConnRefused
 	// Replaced says that another instance has the address.
 	Replaced
-	// Silent says that the connection broke before any answer.
-	Silent
+	// Broken says that the connection broke before any answer.
+	Broken
 	// Canceled says nothing about the target: the caller left.
 	Canceled
 )
 
 const (
-	// downLeast and downMost bound the time that a target which can't be reached
+	// minDownTime and downMost bound the time that a target which can't be reached
 	// is left alone. Each try costs a request its dial limit.
-	downLeast = 500 * time.Millisecond
-	downMost  = 2 * time.Second
-	// replacedFor is how long an instance whose address another one answers is
+	minDownTime = 500 * time.Millisecond
+	maxDownTime = 2 * time.Second
+	// replacedDownTime is how long an instance whose address another one answers is
 	// left alone: until the list of targets no longer names it, which takes a few
 	// heartbeats. Without it requests are sent there again and
 	// again, out of their few tries.
-	replacedFor = 10 * time.Second
-	// weigh is the weight of the newest answer in the share of failures: about
+	replacedDownTime = 10 * time.Second
+	// failureWeight is the weight of the newest answer in the share of failures: about
 	// the last dozen answers count.
-	weigh = 0.12
-	// grey is the share of failures below which a target counts as sound: some
+	failureWeight = 0.12
+	// failureThreshold is the share of failures below which a target counts as sound: some
 	// services answer one request in six with a failure of their own.
-	grey = 0.3
-	// fade halves the share of failures of a target that gets nothing, so that it
+	failureThreshold = 0.3
+	// failureHalfLife halves the share of failures of a target that gets nothing, so that it
 	// is tried again.
-	fade = 1500 * time.Millisecond
+	failureHalfLife = 1500 * time.Millisecond
 )
 
 // health judges a target by its answers alone: health checks are good while a
 // target fails part of its requests.
 type health struct {
-	until clock.Stamp
-	pause time.Duration
-	share float64
-	last  clock.Stamp
+	downUntil clock.Stamp
+	backoff   time.Duration
+	ratio     float64
+	updatedAt clock.Stamp
 }
 
-func (h *health) down(now clock.Stamp) bool { return now < h.until }
+func (h *health) isDown(now clock.Stamp) bool { return now < h.downUntil }
 
-func (h *health) take(now clock.Stamp, o Outcome) {
+func (h *health) record(now clock.Stamp, o Outcome) {
 	h.decay(now)
 	switch o {
 	case Served:
-		h.pause = 0
-		h.share -= weigh * h.share
+		h.backoff = 0
+		h.ratio -= failureWeight * h.ratio
 	case Failed:
-		h.pause = 0
-		h.share += weigh * (1 - h.share)
-	case Silent:
-		h.share += 2 * weigh * (1 - h.share)
-		h.rest(now)
-	case Unreached, Closed:
-		h.rest(now)
+		h.backoff = 0
+		h.ratio += failureWeight * (1 - h.ratio)
+	case Broken:
+		h.ratio += 2 * failureWeight * (1 - h.ratio)
+		h.markDown(now)
+	case Unreachable, ConnRefused:
+		h.markDown(now)
 	case Replaced:
-		h.until = now.Add(replacedFor)
+		h.downUntil = now.Add(replacedDownTime)
 	}
 }
 
-// rest leaves the target alone, longer after each failure in a row.
-func (h *health) rest(now clock.Stamp) {
-	if now < h.until {
+// markDown leaves the target alone, longer after each failure in a row.
+func (h *health) markDown(now clock.Stamp) {
+	if now < h.downUntil {
 		return
 	}
-	h.pause = min(max(2*h.pause, downLeast), downMost)
-	h.until = now.Add(h.pause)
+	h.backoff = min(max(2*h.backoff, minDownTime), maxDownTime)
+	h.downUntil = now.Add(h.backoff)
 }
 
 func (h *health) decay(now clock.Stamp) {
-	for h.last != 0 && now.Sub(h.last) > fade {
-		h.share /= 2
-		h.last = h.last.Add(fade)
-		if h.share < 0.01 {
-			h.share = 0
+	for h.updatedAt != 0 && now.Sub(h.updatedAt) > failureHalfLife {
+		h.ratio /= 2
+		h.updatedAt = h.updatedAt.Add(failureHalfLife)
+		if h.ratio < 0.01 {
+			h.ratio = 0
 			break
 		}
 	}
-	h.last = now
+	h.updatedAt = now
 }
 
-// failing is the share of failures above what is usual.
-func (h *health) failing() float64 {
-	if h.share < grey {
+// failureRatio is the share of failures above what is usual.
+func (h *health) failureRatio() float64 {
+	if h.ratio < failureThreshold {
 		return 0
 	}
-	return h.share
+	return h.ratio
 }
--- a/board/holds.go
+++ b/board/holds.go
@@ -6,8 +6,8 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// hold is a prompt part in a target's cache.
-type hold struct {
+// cachedPart is a prompt part in a target's cache.
+type cachedPart struct {
 	at clock.Stamp
 	// ready says that the target has read it: before that there is nothing to
 	// fetch, and whoever tries reads it a second time.
@@ -17,14 +17,14 @@
 	listed bool
 }
 
-// held counts the tokens of the leading parts in a target's cache: a part is of
+// cachedTokens counts the tokens of the leading parts in a target's cache: a part is of
 // use only if all before it are there too. With ready, parts that are still being
 // read don't count.
-func (b *Board) held(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, ready bool) int {
+func (b *Board) cachedTokens(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, onlyReady bool) int {
 	n := 0
 	for _, p := range parts {
-		h, ok := b.holds[uint32(p.ID)][key]
-		if !ok || now.Sub(h.at) > holdKeep || ready && !h.ready {
+		h, ok := b.cachedParts[uint32(p.ID)][key]
+		if !ok || now.Sub(h.at) > cachedPartTTL || onlyReady && !h.ready {
 			return n
 		}
 		n += p.Tokens
@@ -32,69 +32,69 @@
 	return n
 }
 
-// hold notes that a target reads parts. The last part is the request's own: no
+// recordParts notes that a target reads parts. The last part is the request's own: no
 // other request asks for it.
-func (b *Board) hold(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, ready bool) {
+func (b *Board) recordParts(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, ready bool) {
 	if len(parts) == 0 {
 		return
 	}
 	for _, p := range parts[:len(parts)-1] {
 		if b.recordPart(now, uint32(p.ID), key, ready) {
-			b.news = append(b.news, share.CachedPart{Target: key, Part: uint32(p.ID), Ready: ready})
+			b.cacheChanges = append(b.cacheChanges, share.CachedPart{Target: key, Part: uint32(p.ID), Ready: ready})
 		}
 	}
 }
 
 // recordPart notes a part in a cache, and says whether that is new.
 func (b *Board) recordPart(now clock.Stamp, part, key uint32, ready bool) bool {
-	m := b.holds[part]
+	m := b.cachedParts[part]
 	if m == nil {
-		if len(b.holds) >= partsMost {
-			b.forgetOld(now)
+		if len(b.cachedParts) >= maxParts {
+			b.evictOld(now)
 		}
-		m = make(map[uint32]hold, 2)
-		b.holds[part] = m
+		m = make(map[uint32]cachedPart, 2)
+		b.cachedParts[part] = m
 	}
 	old, known := m[key]
-	m[key] = hold{at: now, ready: ready || old.ready}
+	m[key] = cachedPart{at: now, ready: ready || old.ready}
 	return !known || ready && !old.ready || old.listed
 }
 
-// drop forgets parts that a target did not read after all.
-func (b *Board) drop(key uint32, parts []chestnutstep.PromptPart) {
+// dropUnready forgets parts that a target did not read after all.
+func (b *Board) dropUnready(key uint32, parts []chestnutstep.PromptPart) {
 	for _, p := range parts {
-		if m := b.holds[uint32(p.ID)]; m != nil && !m[key].ready {
+		if m := b.cachedParts[uint32(p.ID)]; m != nil && !m[key].ready {
 			delete(m, key)
 		}
 	}
 }
 
-// Hold notes what a target itself says of its cache.
-func (b *Board) Hold(now clock.Stamp, t *chestnutstep.Instance, parts []chestnutstep.PromptPart) {
+// RecordCache notes what a target itself says of its cache.
+func (b *Board) RecordCache(now clock.Stamp, t *chestnutstep.Instance, parts []chestnutstep.PromptPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initMaps()
 	for _, p := range parts {
-		b.list(now, Key(t), uint32(p.ID))
+		b.recordListed(now, CacheKey(t), uint32(p.ID))
 	}
-	b.listed[Key(t)] = true
+	b.listed[CacheKey(t)] = true
 }
 
-// Listed says whether a target's cache was listed whole, by itself or by a peer.
-func (b *Board) Listed(t *chestnutstep.Instance) bool {
+// CacheListed says whether a target's cache was listed whole, by itself or by a peer.
+func (b *Board) CacheListed(t *chestnutstep.Instance) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.listed[Key(t)]
+	return b.listed[CacheKey(t)]
 }
 
-// Lists returns all that is known of caches, for a peer that has just started.
-func (b *Board) Lists(now clock.Stamp) []share.CacheList {
+// CacheLists returns all that is known of caches, for a peer that has just started.
+func (b *Board) CacheLists(now clock.Stamp) []share.CacheList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	byTarget := make(map[uint32]*share.CacheList)
-	for part, m := range b.holds {
+	for part, m := range b.cachedParts {
 		for key, h := range m {
-			if !h.ready || now.Sub(h.at) > holdKeep {
+			if !h.ready || now.Sub(h.at) > cachedPartTTL {
 				continue
 			}
 			l := byTarget[key]
@@ -117,36 +117,36 @@
 	return lists
 }
 
-// MergeLists notes what a peer knows of caches.
-func (b *Board) MergeLists(now clock.Stamp, lists []share.CacheList) {
+// MergeCacheLists notes what a peer knows of caches.
+func (b *Board) MergeCacheLists(now clock.Stamp, lists []share.CacheList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
-	b.mergeLists(now, lists)
+	b.initMaps()
+	b.mergeCacheLists(now, lists)
 }
 
-// list notes a part that a target named, unless more is known of it.
-func (b *Board) list(now clock.Stamp, key, part uint32) {
-	if _, known := b.holds[part][key]; known {
+// recordListed notes a part that a target named, unless more is known of it.
+func (b *Board) recordListed(now clock.Stamp, key, part uint32) {
+	if _, known := b.cachedParts[part][key]; known {
 		return
 	}
 	b.recordPart(now, part, key, true)
-	b.holds[part][key] = hold{at: now, ready: true, listed: true}
+	b.cachedParts[part][key] = cachedPart{at: now, ready: true, listed: true}
 }
 
-// forgetOld makes room.
-func (b *Board) forgetOld(now clock.Stamp) {
-	for part, m := range b.holds {
+// evictOld makes room.
+func (b *Board) evictOld(now clock.Stamp) {
+	for part, m := range b.cachedParts {
 		for key, h := range m {
-			if now.Sub(h.at) > holdKeep/4 {
+			if now.Sub(h.at) > cachedPartTTL/4 {
 				delete(m, key)
 			}
 		}
 		if len(m) == 0 {
-			delete(b.holds, part)
+			delete(b.cachedParts, part)
 		}
 	}
-	if len(b.holds) >= partsMost {
-		clear(b.holds)
+	if len(b.cachedParts) >= maxParts {
+		clear(b.cachedParts)
 	}
 }
--- a/board/peers.go
+++ b/board/peers.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// loadKeep is how long a peer's loads count: longer than the longest pause
+	// loadTTL is how long a peer's loads count: longer than the longest pause
 	// between datagrams of a few dozen entries, and short enough that those of a
 	// dead peer don't keep targets looking busy.
-	loadKeep = 1500 * time.Millisecond
-	// firstKeep is how long a peer that spoke once counts as a member: entries of a
+	loadTTL = 1500 * time.Millisecond
+	// firstReportTTL is how long a peer that spoke once counts as a member: entries of a
 	// large fleet get reports of each other many seconds apart.
-	firstKeep = 30 * time.Second
-	// gapsKept is how many of its usual gaps a member may be silent.
-	gapsKept = 3
-	// gapFade is the part by which a long gap is forgotten at each datagram.
-	gapFade = 0.25
+	firstReportTTL = 30 * time.Second
+	// maxMissedReports is how many of its usual gaps a member may be silent.
+	maxMissedReports = 3
+	// gapDecay is the part by which a long gap is forgotten at each datagram.
+	gapDecay = 0.25
 )
 
 // peer is another entry. Its loads are worth something only while they are fresh; as
@@ -27,35 +27,35 @@
 // loadKeep: taken for the whole fleet, each would use too large a part of its budgets.
 type peer struct {
 	lastSeen clock.Stamp
-	// gap is the longest time of late between two of its datagrams; 0 after one.
-	gap   time.Duration
-	loads []share.Load
+	// maxGap is the longest time of late between two of its datagrams; 0 after one.
+	maxGap time.Duration
+	loads  []share.Load
 }
 
 // recordReport notes a datagram.
 func (p *peer) recordReport(now clock.Stamp) {
 	if p.lastSeen != 0 {
-		p.gap = max(now.Sub(p.lastSeen), p.gap-time.Duration(gapFade*float64(p.gap)))
+		p.maxGap = max(now.Sub(p.lastSeen), p.maxGap-time.Duration(gapDecay*float64(p.maxGap)))
 	}
 	p.lastSeen = now
 }
 
-// keep is how long a silent peer counts as a member.
-func (p *peer) keep() time.Duration {
-	if p.gap == 0 {
-		return firstKeep
+// ttl is how long a silent peer counts as a member.
+func (p *peer) ttl() time.Duration {
+	if p.maxGap == 0 {
+		return firstReportTTL
 	}
-	return max(gapsKept*p.gap, loadKeep)
+	return max(maxMissedReports*p.maxGap, loadTTL)
 }
 
-// Gone returns the instances that were found since the last call to have lost their address
+// ReplacedTargets returns the instances that were found since the last call to have lost their address
 // to another one. Each entry would otherwise find out by a request of its own, out of the
 // fleet's retry budget.
-func (b *Board) Gone() []uint32 {
+func (b *Board) ReplacedTargets() []uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	list := b.gone
-	b.gone = nil
+	list := b.replaced
+	b.replaced = nil
 	return list
 }
 
@@ -65,13 +65,13 @@
 	defer b.mu.Unlock()
 	var list []share.Load
 	for key, s := range b.targets {
-		if s.running == 0 && s.reading == 0 {
+		if s.running == 0 && s.pendingTokens == 0 {
 			continue
 		}
 		list = append(list, share.Load{
 			Target:         key,
 			Running:        uint16(min(s.running, 1<<16-1)),
-			PendingPrefill: uint16(min(max(s.reading, 0)/readingUnit, 1<<16-1)),
+			PendingPrefill: uint16(min(max(s.pendingTokens, 0)/pendingTokensUnit, 1<<16-1)),
 		})
 	}
 	return list
@@ -102,13 +102,13 @@
 	}
 }
 
-// Holds returns what this entry's requests have changed in targets' caches since the last
+// CacheChanges returns what this entry's requests have changed in targets' caches since the last
 // call.
-func (b *Board) Holds() []share.CachedPart {
+func (b *Board) CacheChanges() []share.CachedPart {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	list := b.news
-	b.news = nil
+	list := b.cacheChanges
+	b.cacheChanges = nil
 	return list
 }
 
@@ -116,32 +116,32 @@
 func (b *Board) MergeReport(now clock.Stamp, r *share.Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
+	b.initMaps()
 	p := b.peers[r.From]
 	if p == nil {
 		p = &peer{}
 		b.peers[r.From] = p
-		b.fleet++
+		b.fleetVersion++
 	}
-	if len(b.peers)+1 >= b.most {
-		b.most, b.mostAt = len(b.peers)+1, now
+	if len(b.peers)+1 >= b.maxEntries {
+		b.maxEntries, b.maxEntriesAt = len(b.peers)+1, now
 	}
 	if r.Partial {
-		b.mergeLists(now, r.CacheLists)
+		b.mergeCacheLists(now, r.CacheLists)
 		return
 	}
-	b.add(p.loads, -1)
+	b.addLoads(p.loads, -1)
 	p.recordReport(now)
 	p.loads = r.Loads
 	if r.Leaving {
 		p.loads = nil
 	}
-	b.add(p.loads, 1)
+	b.addLoads(p.loads, 1)
 	b.mergeKept(now, r.Reservations)
 	for _, key := range r.Replaced {
 		if s := b.targets[key]; s != nil {
-			b.setApart(s)
-			s.health.take(now, Replaced)
+			b.countIndividually(s)
+			s.health.record(now, Replaced)
 		}
 	}
 	b.mergeSuspicions(now, r.Suspected)
@@ -149,78 +149,78 @@
 		b.mergeDomains(now, r.From, r.Domains)
 	}
 	for _, h := range r.CachedParts {
-		if old, known := b.holds[h.Part][h.Target]; !known || h.Ready && !old.ready {
+		if old, known := b.cachedParts[h.Part][h.Target]; !known || h.Ready && !old.ready {
 			b.recordPart(now, h.Part, h.Target, h.Ready)
 		}
 	}
 }
 
-// mergeLists takes whole caches from a peer.
-func (b *Board) mergeLists(now clock.Stamp, lists []share.CacheList) {
+// mergeCacheLists takes whole caches from a peer.
+func (b *Board) mergeCacheLists(now clock.Stamp, lists []share.CacheList) {
 	for _, l := range lists {
-		l.Each(func(part uint32) { b.list(now, l.Target, part) })
+		l.Each(func(part uint32) { b.recordListed(now, l.Target, part) })
 		b.listed[l.Target] = true
 	}
 }
 
-// add puts a peer's loads into the sums, or takes them out.
-func (b *Board) add(loads []share.Load, sign int) {
+// addLoads puts a peer's loads into the sums, or takes them out.
+func (b *Board) addLoads(loads []share.Load, sign int) {
 	for _, l := range loads {
-		s := b.sums[l.Target]
+		s := b.peerLoads[l.Target]
 		before := int(s.Running)
 		s.Running = uint16(max(int(s.Running)+sign*int(l.Running), 0))
 		s.PendingPrefill = uint16(max(int(s.PendingPrefill)+sign*int(l.PendingPrefill), 0))
-		if known := b.targets[l.Target]; known != nil {
-			known.addToArea(int(s.Running) - before)
+		if target := b.targets[l.Target]; target != nil {
+			target.addToTotals(int(s.Running) - before)
 		}
 		if s.Running == 0 && s.PendingPrefill == 0 {
-			delete(b.sums, l.Target)
+			delete(b.peerLoads, l.Target)
 			continue
 		}
-		b.sums[l.Target] = s
+		b.peerLoads[l.Target] = s
 	}
 }
 
-// mostKeep is how long entries that fell silent still count in budgets: longer than
+// maxEntriesTTL is how long entries that fell silent still count in budgets: longer than
 // a cut lasts behind which they go on sending, and short enough that a fleet which
 // was made smaller gets its whole budget back.
-const mostKeep = 5 * time.Minute
+const maxEntriesTTL = 5 * time.Minute
 
-// expireEvery is how often it is looked for peers that fell silent.
-const expireEvery = 50 * time.Millisecond
+// expireInterval is how often it is looked for peers that fell silent.
+const expireInterval = 50 * time.Millisecond
 
 // expire forgets the loads of peers that are silent, and peers that are silent for long.
 func (b *Board) expire(now clock.Stamp) {
-	if now.Sub(b.expiredAt) < expireEvery && b.expiredAt != 0 {
+	if now.Sub(b.expiredAt) < expireInterval && b.expiredAt != 0 {
 		return
 	}
 	b.expiredAt = now
-	if now.Sub(b.mostAt) > mostKeep {
-		b.most, b.mostAt = len(b.peers)+1, now
+	if now.Sub(b.maxEntriesAt) > maxEntriesTTL {
+		b.maxEntries, b.maxEntriesAt = len(b.peers)+1, now
 	}
 	for from, p := range b.peers {
-		silent := now.Sub(p.lastSeen)
-		if silent > loadKeep {
-			b.add(p.loads, -1)
+		elapsed := now.Sub(p.lastSeen)
+		if elapsed > loadTTL {
+			b.addLoads(p.loads, -1)
 			p.loads = nil
 		}
-		if silent > p.keep() {
+		if elapsed > p.ttl() {
 			delete(b.peers, from)
-			b.fleet++
+			b.fleetVersion++
 		}
 	}
 }
 
-// Peers is how many other entries there are, as far as is known.
-func (b *Board) Peers() int {
+// PeerCount is how many other entries there are, as far as is known.
+func (b *Board) PeerCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.peers)
 }
 
-// Entries is how many entries share the fleet's budgets.
-func (b *Board) Entries() int {
+// EntryCount is how many entries share the fleet's budgets.
+func (b *Board) EntryCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.entries()
+	return b.entryCount()
 }
--- a/board/usage_test.go
+++ b/board/usage_test.go
@@ -16,16 +16,16 @@
 // service that is hardly used.
 func TestFewRequestsDontFillAnIdleService(t *testing.T) {
 	plain := &chestnutstep.Service{Name: "s", LatencyObjective: 150 * time.Millisecond}
-	entries, v := fleet(27), view(3, 3)
+	entries, v := newFleet(27), newView(3, 3)
 	b := entries[0]
-	who := board.Who{Workspace: "w", Objective: plain.LatencyObjective}
-	b.Start(start, v.ByID["t0"], plain, nil, 0, who).End(start.Add(30*time.Millisecond), board.Served)
+	caller := board.Caller{Workspace: "w", Objective: plain.LatencyObjective}
+	b.Start(start, v.ByID["t0"], plain, nil, 0, caller).End(start.Add(30*time.Millisecond), board.Served)
 	now := start.Add(time.Second)
 	for _, x := range v.Services["s"] {
-		room := b.Admit(now, "s", b.Candidates(now, v, plain, board.Need{}), who)
-		assert.Assert(t, room.Free, "refused with %.2f of the places taken", room.Taken)
-		b.Start(now, x, plain, nil, 0, who)
+		admission := b.Admit(now, "s", b.Candidates(now, v, plain, board.Criteria{}), caller)
+		assert.Assert(t, admission.Admitted, "refused with %.2f of the places taken", admission.Taken)
+		b.Start(now, x, plain, nil, 0, caller)
 	}
-	room := b.Admit(now, "s", b.Candidates(now, v, plain, board.Need{}), who)
-	assert.Assert(t, room.Free, "refused with %.2f of the places taken", room.Taken)
+	admission := b.Admit(now, "s", b.Candidates(now, v, plain, board.Criteria{}), caller)
+	assert.Assert(t, admission.Admitted, "refused with %.2f of the places taken", admission.Taken)
 }
--- a/entry/walk.go
+++ b/entry/walk.go
@@ -102,7 +102,7 @@
 	hinted := k.targets[0]
 	place.Hint = ""
 	home := ranker.Rank(make([]*chestnutstep.Target, 0, n), place, n)
-	if hinted.Name == k.ask.hint && route.Drift(home[0], k.ask.hint, k.ask.id) {
+	if hinted.Name == k.ask.hint && route.ReturnsHome(home[0], k.ask.hint, k.ask.id) {
 		// The home imports the chat's KV cache from where it was.
 		k.targets = home
 		k.source = hinted.Agent
--- a/feed/late_test.go
+++ b/feed/late_test.go
@@ -118,7 +118,7 @@
 		}
 		waitUntil(t, func() bool {
 			for _, x := range f.entries {
-				x.roster.Confirm(clock.Now())
+				x.roster.ConfirmVersion(clock.Now())
 			}
 			return e.roster.View().ByID["i-a"].Leaving
 		}, "the target's leaving is known")
--- a/feed/page.go
+++ b/feed/page.go
@@ -143,13 +143,13 @@
 			return
 		default:
 		}
-		s.Roster.Await(req.topic, req.after, wait, done)
+		s.Roster.WaitForUpdate(req.topic, req.after, wait, done)
 	}
 }
 
 // hasChanges says whether the peer gets its answer at once.
 func (s *Server) hasChanges(req request) bool {
-	return s.Roster.Newer(req.topic, req.after) || !s.Roster.Follows(req.topic, req.direct)
+	return s.Roster.HasNewer(req.topic, req.after) || !s.Roster.IsFollowing(req.topic, req.direct)
 }
 
 // respond writes what is known.
@@ -160,7 +160,7 @@
 		http.Error(w, "history is gone", http.StatusGone)
 		return
 	}
-	if len(b.Facts) == 0 && !s.Roster.Follows(req.topic, req.direct) {
+	if len(b.Facts) == 0 && !s.Roster.IsFollowing(req.topic, req.direct) {
 		http.Error(w, "the source is lost", http.StatusServiceUnavailable)
 		return
 	}
--- a/feed/page_test.go
+++ b/feed/page_test.go
@@ -49,17 +49,17 @@
 // TestLostReaderRejectsFollowers guards against followers that wait for news from a reader that gets none itself.
 func TestLostReaderRejectsFollowers(t *testing.T) {
 	s := &Server{Roster: &roster.Roster{}}
-	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 3}, true)
-	s.Roster.Prove(chestnutstep.TopicTargets, clock.Now())
+	s.Roster.Apply(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 3}, true)
+	s.Roster.RecordProof(chestnutstep.TopicTargets, clock.Now())
 	answered := make(chan int)
 	go func() { answered <- requestTargets(s, "after=3&wait=3600000&fresh=7200000") }()
 	time.Sleep(20 * time.Millisecond)
-	s.Roster.Lose(chestnutstep.TopicTargets)
+	s.Roster.MarkLost(chestnutstep.TopicTargets)
 	assert.Equal(t, <-answered, http.StatusServiceUnavailable)
 	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusServiceUnavailable)
 	removed := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: "i-a", Revision: 4, Deleted: true}
-	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 4, Facts: []chestnutstep.Fact{removed}}, false)
-	s.Roster.Lose(chestnutstep.TopicTargets)
+	s.Roster.Apply(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 4, Facts: []chestnutstep.Fact{removed}}, false)
+	s.Roster.MarkLost(chestnutstep.TopicTargets)
 	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusOK, "news are given all the same")
 }
 
@@ -67,8 +67,8 @@
 func TestReadersDoNotFollowEachOther(t *testing.T) {
 	s := &Server{Roster: &roster.Roster{}}
 	follower := chestnutstep.Batch{Revision: 3, Age: time.Millisecond}
-	s.Roster.Learn(clock.Now(), chestnutstep.TopicTargets, follower, true)
-	s.Roster.Prove(chestnutstep.TopicTargets, clock.Now())
+	s.Roster.Apply(clock.Now(), chestnutstep.TopicTargets, follower, true)
+	s.Roster.RecordProof(chestnutstep.TopicTargets, clock.Now())
 	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000&direct=1"), http.StatusServiceUnavailable)
 	assert.Equal(t, requestTargets(s, "after=3&wait=1&fresh=7200000"), http.StatusOK)
 }
--- a/feed/source_test.go
+++ b/feed/source_test.go
@@ -46,8 +46,8 @@
 	for i := range 2 {
 		r := &roster.Roster{}
 		out := chestnutstep.Fact{Kind: chestnutstep.FactDomainOut, Name: "z", Revision: 3}
-		r.Learn(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 3, Facts: []chestnutstep.Fact{out}}, true)
-		r.Prove(chestnutstep.TopicRouting, clock.Now().Add(-time.Minute))
+		r.Apply(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 3, Facts: []chestnutstep.Fact{out}}, true)
+		r.RecordProof(chestnutstep.TopicRouting, clock.Now().Add(-time.Minute))
 		server := httptest.NewServer(&feed.Server{Roster: r})
 		t.Cleanup(server.Close)
 		members = append(members, feed.Member{
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -19,28 +19,28 @@
 // first Limit, and is cold then. It is not safe for use by several goroutines:
 // its owner holds one lock around all calls.
 type Gate struct {
-	limits  chestnutstep.Limits
-	limited bool
-	leaving bool
-
-	cap   admit.Cap
-	cold  admit.ColdCap
-	ramp  ramp.Ramp
-	queue queue.Queue
-	pace  admit.DurationEstimator
-	turn  turn
-
-	running map[string]*run
-	// seen is when a class was last offered.
-	seen    [chestnutstep.ClassCount]time.Time
-	dropped []chestnutstep.DroppedRequest
+	limits    chestnutstep.Limits
+	hasLimits bool
+	leaving   bool
+
+	cap     admit.Cap
+	cold    admit.ColdCap
+	ramp    ramp.Ramp
+	queue   queue.Queue
+	pace    admit.DurationEstimator
+	suspect suspectSlot
+
+	running map[string]*runningWork
+	// lastOffered is when a class was last offered.
+	lastOffered [chestnutstep.ClassCount]time.Time
+	dropped     []chestnutstep.DroppedRequest
 }
 
-// run is one running request.
-type run struct {
-	work  chestnutstep.Work
-	since time.Time
-	era   uint64
+// runningWork is one running request.
+type runningWork struct {
+	work      chestnutstep.Work
+	startedAt time.Time
+	era       uint64
 }
 
 var _ chestnutstep.Gate = (*Gate)(nil)
@@ -48,7 +48,7 @@
 // SetLimits puts the limits of a publication in force. Lower caps cut nothing that
 // runs: nothing new starts until what runs has come under them.
 func (g *Gate) SetLimits(now time.Time, l chestnutstep.Limits) {
-	g.limits, g.limited = l, true
+	g.limits, g.hasLimits = l, true
 	g.cap.Multiple = l.Model.Multiple
 	g.cap.Floor = l.Model.Floor
 	g.cap.Slots = l.Model.Slots
@@ -57,9 +57,9 @@
 	g.cold.StartCap = l.Model.ColdCap
 	g.cold.WarmupAnswers = l.Model.WarmupAnswers
 	g.cold.Slots = l.Model.Slots
-	g.queue.Bound = l.Model.QueueLimit
+	g.queue.Capacity = l.Model.QueueLimit
 	g.queue.Weights = l.Workspaces
-	g.shift(now)
+	g.updateRamp(now)
 }
 
 // SetMean takes a new estimate of the mean load.
@@ -72,11 +72,11 @@
 // SetLeaving says whether the target takes no new work from now on.
 func (g *Gate) SetLeaving(now time.Time, leaving bool) {
 	g.leaving = leaving
-	g.shift(now)
+	g.updateRamp(now)
 }
 
-// shift starts the way out or back when leaving or the publication changed it.
-func (g *Gate) shift(now time.Time) {
+// updateRamp starts the way out or back when leaving or the publication changed it.
+func (g *Gate) updateRamp(now time.Time) {
 	if g.leaving || g.limits.Out {
 		g.ramp.Leave(now)
 		return
@@ -86,7 +86,7 @@
 
 // End says that running or waiting work is over.
 func (g *Gate) End(now time.Time, id string, o chestnutstep.Outcome) {
-	if g.turn.remove(now, id) || g.queue.Remove(id) {
+	if g.suspect.remove(now, id) || g.queue.Remove(id) {
 		return
 	}
 	r := g.running[id]
@@ -94,8 +94,8 @@
 		return
 	}
 	delete(g.running, id)
-	g.pace.Measure(now.Sub(r.since), r.work.Cost)
-	g.turn.end(now, id)
+	g.pace.Measure(now.Sub(r.startedAt), r.work.Cost)
+	g.suspect.end(now, id)
 	switch o {
 	case chestnutstep.OutcomeServed:
 		g.cold.RecordSuccess(r.era)
@@ -115,17 +115,17 @@
 		Waiting: g.waiting(),
 		Cap:     limit,
 		Cold:    cold,
-		Leaving: g.ramp.Away(),
+		Leaving: g.ramp.Leaving(),
 		Weight:  g.ramp.Weight(coldCap, g.limits.Model.Slots),
 	}
-	if l.Leaving || !g.limited {
+	if l.Leaving || !g.hasLimits {
 		l.Cap, l.Weight = 0, 0
 	}
 	return l
 }
 
 func (g *Gate) waiting() int {
-	if g.turn.waits != nil {
+	if g.suspect.waiting != nil {
 		return g.queue.Len() + 1
 	}
 	return g.queue.Len()
@@ -135,62 +135,62 @@
 // for what still starts while the target leaves, too.
 func (g *Gate) limit(now time.Time) (int, chestnutstep.Reason) {
 	limit, reason := g.cap.At(now), chestnutstep.ReasonFull
-	if cold, _ := g.cold.Cap(); cold < limit {
-		limit, reason = cold, chestnutstep.ReasonCold
+	if coldCap, _ := g.cold.Cap(); coldCap < limit {
+		limit, reason = coldCap, chestnutstep.ReasonCold
 	}
 	return limit, reason
 }
 
 const (
-	// recent is how long a class counts as in use after its last offer. A
+	// inUseWindow is how long a class counts as in use after its last offer. A
 	// minute spans the pause between two questions of a few busy callers.
-	recent = time.Minute
-	// normalSpare and batchSpare are the parts of the cap, as one over, that
+	inUseWindow = time.Minute
+	// normalReserveDivisor and batchSpare are the parts of the cap, as one over, that
 	// normal and batch work leave to more urgent work that is in use. Without
 	// them, long plans take every slot in a quiet second, and each quick
 	// question waits for a plan of minutes to end. An eighth is one slot of
 	// eight, enough for questions that take a second or two; batch leaves
 	// twice that. Caps below eight, or four, leave none: a whole slot would be
 	// more than that part.
-	normalSpare = 8
-	batchSpare  = 4
+	normalReserveDivisor = 8
+	batchReserveDivisor  = 4
 )
 
-// room says whether one more request of the class may run.
-func (g *Gate) room(now time.Time, class chestnutstep.Class) bool {
+// canStart says whether one more request of the class may run.
+func (g *Gate) canStart(now time.Time, class chestnutstep.Class) bool {
 	limit, _ := g.limit(now)
-	if len(g.running) >= limit || g.turn.blocks() {
+	if len(g.running) >= limit || g.suspect.isTaken() {
 		return false
 	}
-	spare := g.spare(now, class, limit)
-	return spare == 0 || len(g.running) < limit-spare
+	reserved := g.reservedSlots(now, class, limit)
+	return reserved == 0 || len(g.running) < limit-reserved
 }
 
-// may is room as the queue asks for it.
-func (g *Gate) may(now time.Time) func(c chestnutstep.Class) bool {
-	return func(c chestnutstep.Class) bool { return g.room(now, c) }
+// canStartFunc is room as the queue asks for it.
+func (g *Gate) canStartFunc(now time.Time) func(c chestnutstep.Class) bool {
+	return func(c chestnutstep.Class) bool { return g.canStart(now, c) }
 }
 
-// spare is how many slots the class must leave free.
-func (g *Gate) spare(now time.Time, class chestnutstep.Class, limit int) int {
+// reservedSlots is how many slots the class must leave free.
+func (g *Gate) reservedSlots(now time.Time, class chestnutstep.Class, limit int) int {
 	urgent := g.inUse(now, chestnutstep.ClassUrgent)
 	switch {
 	case class == chestnutstep.ClassNormal && urgent:
-		return limit / normalSpare
+		return limit / normalReserveDivisor
 	case class == chestnutstep.ClassBatch && (urgent || g.inUse(now, chestnutstep.ClassNormal)):
-		return limit / batchSpare
+		return limit / batchReserveDivisor
 	}
 	return 0
 }
 
 func (g *Gate) inUse(now time.Time, class chestnutstep.Class) bool {
-	seen := g.seen[class]
-	return !seen.IsZero() && now.Sub(seen) < recent
+	last := g.lastOffered[class]
+	return !last.IsZero() && now.Sub(last) < inUseWindow
 }
 
 func (g *Gate) start(now time.Time, w chestnutstep.Work) {
 	if g.running == nil {
-		g.running = make(map[string]*run)
+		g.running = make(map[string]*runningWork)
 	}
-	g.running[w.ID] = &run{work: w, since: now, era: g.cold.Generation()}
+	g.running[w.ID] = &runningWork{work: w, startedAt: now, era: g.cold.Generation()}
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -21,14 +21,14 @@
 
 var epoch = time.Unix(0, 0)
 
-// scan reads an argument of a script's command, if it is there.
-func scan[T any](t *testing.T, d *datadriven.TestData, key string, v T) T {
+// scanArg reads an argument of a script's command, if it is there.
+func scanArg[T any](t *testing.T, d *datadriven.TestData, key string, v T) T {
 	d.MaybeScanArgs(t, key, &v)
 	return v
 }
 
 func scanTime(t *testing.T, d *datadriven.TestData, key string, unset float64) time.Duration {
-	return time.Duration(scan(t, d, key, unset) * float64(time.Second))
+	return time.Duration(scanArg(t, d, key, unset) * float64(time.Second))
 }
 
 // TestScripts plays the scripts in testdata. Each command may say at=SECONDS.
@@ -43,19 +43,19 @@
 			if d.HasArg("at") {
 				now = epoch.Add(scanTime(t, d, "at", 0))
 			}
-			return play(t, g, now, d)
+			return runCommand(t, g, now, d)
 		})
 	})
 }
 
-func play(t *testing.T, g *Gate, now time.Time, d *datadriven.TestData) string {
+func runCommand(t *testing.T, g *Gate, now time.Time, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "gate", "limit":
 		g.SetLimits(now, scriptLimits(t, d))
 	case "mean":
 		g.SetMean(now, chestnutstep.Mean{
-			Load:    scan(t, d, "load", 0.0),
-			Targets: scan(t, d, "targets", 8),
+			Load:    scanArg(t, d, "load", 0.0),
+			Targets: scanArg(t, d, "targets", 8),
 			Age:     scanTime(t, d, "age", 0),
 		})
 	case "offer":
@@ -81,19 +81,19 @@
 }
 
 func scriptLimits(t *testing.T, d *datadriven.TestData) chestnutstep.Limits {
-	l := chestnutstep.Limits{Weight: scan(t, d, "weight", 1.0), Out: d.HasArg("out")}
-	l.Model.Multiple = scan(t, d, "multiple", 0.0)
-	l.Model.Floor = scan(t, d, "floor", 1)
-	l.Model.Slots = scan(t, d, "slots", 4)
-	l.Model.QueueLimit = scan(t, d, "queue", 8)
-	l.Model.ColdCap = scan(t, d, "cold", l.Model.Slots)
-	l.Workspaces = map[string]float64{"big": scan(t, d, "big", 1.0)}
+	l := chestnutstep.Limits{Weight: scanArg(t, d, "weight", 1.0), Out: d.HasArg("out")}
+	l.Model.Multiple = scanArg(t, d, "multiple", 0.0)
+	l.Model.Floor = scanArg(t, d, "floor", 1)
+	l.Model.Slots = scanArg(t, d, "slots", 4)
+	l.Model.QueueLimit = scanArg(t, d, "queue", 8)
+	l.Model.ColdCap = scanArg(t, d, "cold", l.Model.Slots)
+	l.Workspaces = map[string]float64{"big": scanArg(t, d, "big", 1.0)}
 	return l
 }
 
 func scriptOutcome(t *testing.T, d *datadriven.TestData) chestnutstep.Outcome {
 	outcomes := map[string]chestnutstep.Outcome{"failed": chestnutstep.OutcomeFailed, "withdraw": chestnutstep.OutcomeAbandoned}
-	return outcomes[scan(t, d, "as", "served")]
+	return outcomes[scanArg(t, d, "as", "served")]
 }
 
 // scriptOffers offers the ids of the input, with the command's arguments.
@@ -102,9 +102,9 @@
 	for _, id := range strings.Fields(d.Input) {
 		w := chestnutstep.Work{
 			ID:              id,
-			Workspace:       scan(t, d, "ws", "small"),
-			Class:           chestnutstep.Class(scan(t, d, "class", 1)),
-			Cost:            scan(t, d, "cost", 100.0),
+			Workspace:       scanArg(t, d, "ws", "small"),
+			Class:           chestnutstep.Class(scanArg(t, d, "class", 1)),
+			Cost:            scanArg(t, d, "cost", 100.0),
 			Deadline:        now.Add(scanTime(t, d, "limit", 60)),
 			WaitUntil:       now.Add(scanTime(t, d, "patience", 0)),
 			HasCachedPrefix: d.HasArg("home"),
@@ -119,7 +119,7 @@
 // answers that differ from the one before.
 func scriptServe(t *testing.T, g *Gate, now time.Time, d *datadriven.TestData) string {
 	out, last := "", ""
-	for i := range scan(t, d, "times", 1) {
+	for i := range scanArg(t, d, "times", 1) {
 		answer := scriptOffers(t, g, now, d)
 		if answer != last {
 			out += fmt.Sprint(i, " ", answer)
@@ -156,7 +156,7 @@
 	limits  chestnutstep.Limits
 	running map[string]chestnutstep.Work
 	waiting map[string]chestnutstep.Work
-	next    int
+	nextID  int
 	// limit is the cap in force before the step.
 	limit int
 }
@@ -172,9 +172,9 @@
 	}
 }
 
-func (m *model) settle() {
+func (m *model) runNext() {
 	m.limit = m.g.Load(m.now).Cap
-	if m.g.ramp.Away() {
+	if m.g.ramp.Leaving() {
 		m.limit, _ = m.g.limit(m.now)
 	}
 	n := m.g.AdvanceQueue(m.now)
@@ -193,14 +193,14 @@
 
 func (m *model) offer(t *rapid.T) {
 	w := chestnutstep.Work{
-		ID:              fmt.Sprint("r", m.next),
+		ID:              fmt.Sprint("r", m.nextID),
 		Workspace:       rapid.SampledFrom([]string{"big", "small", "third"}).Draw(t, "workspace"),
 		Class:           chestnutstep.Class(rapid.IntRange(0, 4).Draw(t, "class")),
 		Cost:            rapid.Float64Range(-1, 30000).Draw(t, "cost"),
 		HasCachedPrefix: rapid.Bool().Draw(t, "home"),
 		Exclusive:       rapid.IntRange(0, 9).Draw(t, "alone") == 0,
 	}
-	m.next++
+	m.nextID++
 	w.Deadline = m.now.Add(time.Duration(rapid.IntRange(-1, 60).Draw(t, "limit")) * time.Second)
 	w.WaitUntil = m.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "patience")) * time.Second)
 	m.limit = m.g.Load(m.now).Cap
@@ -210,7 +210,7 @@
 	case chestnutstep.VerdictQueue:
 		m.waiting[w.ID] = w
 	case chestnutstep.VerdictRefuse:
-		assert.Assert(t, d.Reason != "" && d.RetryAfter >= soonest, "%+v", d)
+		assert.Assert(t, d.Reason != "" && d.RetryAfter >= minRetryAfter, "%+v", d)
 		full := d.Reason == chestnutstep.ReasonFull || d.Reason == chestnutstep.ReasonCold
 		assert.Assert(t, !full || w.Class > 0 || len(m.running) >= m.limit || len(m.waiting) > 0, "refused with room to spare")
 	}
@@ -234,7 +234,7 @@
 	})
 }
 
-func (m *model) relimit(t *rapid.T) {
+func (m *model) changeLimits(t *rapid.T) {
 	m.limits.Model.Multiple = rapid.SampledFrom([]float64{0, 1.1, 1.25, 2}).Draw(t, "multiple")
 	m.limits.Model.Slots = rapid.IntRange(1, 20).Draw(t, "slots")
 	m.limits.Model.QueueLimit = rapid.IntRange(0, 6).Draw(t, "queue")
@@ -261,7 +261,7 @@
 		step := func(act func(t *rapid.T)) func(t *rapid.T) {
 			return func(t *rapid.T) {
 				act(t)
-				m.settle()
+				m.runNext()
 				m.check(t)
 			}
 		}
@@ -270,7 +270,7 @@
 			"offer2":  step(m.offer),
 			"end":     step(m.end),
 			"measure": step(m.measure),
-			"limit":   step(m.relimit),
+			"limit":   step(m.changeLimits),
 			"chill":   step(func(*rapid.T) { m.g.MarkCold(m.now) }),
 			"leave":   step(func(t *rapid.T) { m.g.SetLeaving(m.now, rapid.Bool().Draw(t, "leaving")) }),
 			"tick": step(func(t *rapid.T) {
--- a/gate/next.go
+++ b/gate/next.go
@@ -11,13 +11,13 @@
 func (g *Gate) AdvanceQueue(now time.Time) chestnutstep.QueueUpdate {
 	g.expire(now)
 	g.shed(now)
-	n := chestnutstep.QueueUpdate{Started: g.starts(now)}
+	n := chestnutstep.QueueUpdate{Started: g.startWaiting(now)}
 	n.Dropped, g.dropped = g.dropped, nil
 	return n
 }
 
 func (g *Gate) expire(now time.Time) {
-	if w, reason := g.turn.expire(now); w != nil {
+	if w, reason := g.suspect.expire(now); w != nil {
 		g.drop(now, *w, reason)
 	}
 	for {
@@ -25,61 +25,61 @@
 		if !ok {
 			return
 		}
-		g.drop(now, w, g.expired(now, w))
+		g.drop(now, w, g.expiryReason(now, w))
 	}
 }
 
-func (g *Gate) expired(now time.Time, w chestnutstep.Work) chestnutstep.Reason {
+func (g *Gate) expiryReason(now time.Time, w chestnutstep.Work) chestnutstep.Reason {
 	if !w.Deadline.After(now) {
 		return chestnutstep.ReasonLate
 	}
-	return g.full(now)
+	return g.fullReason(now)
 }
 
 // shed turns waiting work of a leaving target away, the least urgent first.
 func (g *Gate) shed(now time.Time) {
 	for c := range chestnutstep.Class(chestnutstep.ClassCount) {
-		if g.ramp.Shed(now, c) {
+		if g.ramp.ShouldShed(now, c) {
 			g.shedClass(now, c)
 		}
 	}
 }
 
 func (g *Gate) shedClass(now time.Time, class chestnutstep.Class) {
-	if w := g.turn.waits; w != nil && w.Class == class {
-		g.turn.remove(now, w.ID)
-		g.drop(now, *w, g.away())
+	if w := g.suspect.waiting; w != nil && w.Class == class {
+		g.suspect.remove(now, w.ID)
+		g.drop(now, *w, g.leavingReason())
 	}
 	for {
 		w, ok := g.queue.Shed(class)
 		if !ok {
 			return
 		}
-		g.drop(now, w, g.away())
+		g.drop(now, w, g.leavingReason())
 	}
 }
 
-func (g *Gate) away() chestnutstep.Reason {
+func (g *Gate) leavingReason() chestnutstep.Reason {
 	if g.limits.Out {
 		return chestnutstep.ReasonOut
 	}
 	return chestnutstep.ReasonLeaving
 }
 
-func (g *Gate) starts(now time.Time) []string {
-	if !g.limited {
+func (g *Gate) startWaiting(now time.Time) []string {
+	if !g.hasLimits {
 		return nil
 	}
-	if id := g.startAlone(now); id != "" {
+	if id := g.startSuspect(now); id != "" {
 		return []string{id}
 	}
 	var ids []string
 	for {
-		w, ok := g.queue.Pop(g.may(now))
+		w, ok := g.queue.Pop(g.canStartFunc(now))
 		if !ok {
 			return ids
 		}
-		if g.hopeless(now, w) {
+		if g.willMissDeadline(now, w) {
 			g.drop(now, w, chestnutstep.ReasonLate)
 			continue
 		}
@@ -88,12 +88,12 @@
 	}
 }
 
-// hopeless says that waiting work has less than half the time left that its
+// willMissDeadline says that waiting work has less than half the time left that its
 // like has taken here. Started, it would hold a slot until its time limit for
 // an answer that nobody gets, and under saturation that is what makes goodput
 // fall as load grows. Half, because the estimate is a mean over unlike work:
 // what has a fair chance is started. Work that found a free slot is never
 // judged so, and what it takes corrects an estimate that was too high.
-func (g *Gate) hopeless(now time.Time, w chestnutstep.Work) bool {
+func (g *Gate) willMissDeadline(now time.Time, w chestnutstep.Work) bool {
 	return now.Add(g.pace.Estimate(w.Cost) / 2).After(w.Deadline)
 }
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -15,39 +15,39 @@
 // work is better off at its next target at once.
 func (g *Gate) Offer(now time.Time, w chestnutstep.Work) chestnutstep.Decision {
 	w.Class = min(w.Class, chestnutstep.ClassCount-1)
-	if d, known := g.known(w); known {
+	if d, found := g.findOffered(w); found {
 		return d
 	}
-	if reason := g.closed(now, w); reason != "" {
+	if reason := g.closedReason(now, w); reason != "" {
 		return g.refuse(now, w, reason)
 	}
-	g.seen[w.Class] = now
+	g.lastOffered[w.Class] = now
 	if w.Exclusive {
-		return g.offerAlone(now, w)
+		return g.offerSuspect(now, w)
 	}
-	if g.room(now, w.Class) && !g.queue.Behind(w.Class, g.may(now)) {
-		g.queue.Pass(w.Class)
+	if g.canStart(now, w.Class) && !g.queue.MustWait(w.Class, g.canStartFunc(now)) {
+		g.queue.RecordStart(w.Class)
 		g.start(now, w)
 		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}
 	}
-	return g.wait(now, w)
+	return g.enqueue(now, w)
 }
 
-// known finds work that was offered before: a repeat changes nothing.
-func (g *Gate) known(w chestnutstep.Work) (chestnutstep.Decision, bool) {
+// findOffered finds work that was offered before: a repeat changes nothing.
+func (g *Gate) findOffered(w chestnutstep.Work) (chestnutstep.Decision, bool) {
 	if g.running[w.ID] != nil {
 		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}, true
 	}
-	if g.queue.Has(w.ID) || g.turn.has(w.ID) {
-		return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: g.predict(w)}, true
+	if g.queue.Contains(w.ID) || g.suspect.isWaiting(w.ID) {
+		return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: g.predictWait(w)}, true
 	}
 	return chestnutstep.Decision{}, false
 }
 
-// closed is why the target takes no work at all, or none of this work.
-func (g *Gate) closed(now time.Time, w chestnutstep.Work) chestnutstep.Reason {
+// closedReason is why the target takes no work at all, or none of this work.
+func (g *Gate) closedReason(now time.Time, w chestnutstep.Work) chestnutstep.Reason {
 	switch {
-	case !g.limited, g.limits.Out:
+	case !g.hasLimits, g.limits.Out:
 		return chestnutstep.ReasonOut
 	case g.leaving:
 		return chestnutstep.ReasonLeaving
@@ -57,48 +57,48 @@
 	return ""
 }
 
-// wait lets work wait, or refuses it at once when waiting can't help: the
+// enqueue lets work wait, or refuses it at once when waiting can't help: the
 // caller learns in milliseconds what it would otherwise learn after its time
 // limit, and can still be served elsewhere.
-func (g *Gate) wait(now time.Time, w chestnutstep.Work) chestnutstep.Decision {
-	if !mayWait(now, w) {
-		return g.refuse(now, w, g.full(now))
+func (g *Gate) enqueue(now time.Time, w chestnutstep.Work) chestnutstep.Decision {
+	if !canWait(now, w) {
+		return g.refuse(now, w, g.fullReason(now))
 	}
-	predicted := g.predict(w)
+	predicted := g.predictWait(w)
 	if now.Add(predicted + g.pace.Estimate(w.Cost)).After(w.Deadline) {
 		return g.refuse(now, w, chestnutstep.ReasonLate)
 	}
 	if now.Add(predicted).After(w.WaitUntil) {
-		return g.refuse(now, w, g.full(now))
+		return g.refuse(now, w, g.fullReason(now))
 	}
-	out, full := g.queue.Push(now, w)
-	if full != nil {
-		return g.refuse(now, w, full.Reason)
+	evicted, rejection := g.queue.Push(now, w)
+	if rejection != nil {
+		return g.refuse(now, w, rejection.Reason)
 	}
-	if out != nil {
-		g.drop(now, *out, pushedOut(*out, w))
+	if evicted != nil {
+		g.drop(now, *evicted, evictionReason(*evicted, w))
 	}
 	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: predicted}
 }
 
-// pushedOut is why waiting work lost its place to other work.
-func pushedOut(out, by chestnutstep.Work) chestnutstep.Reason {
-	if out.Class > by.Class {
+// evictionReason is why waiting work lost its place to other work.
+func evictionReason(evicted, by chestnutstep.Work) chestnutstep.Reason {
+	if evicted.Class > by.Class {
 		return chestnutstep.ReasonQueue
 	}
 	return chestnutstep.ReasonShare
 }
 
-func mayWait(now time.Time, w chestnutstep.Work) bool {
+func canWait(now time.Time, w chestnutstep.Work) bool {
 	if !w.WaitUntil.After(now) {
 		return false
 	}
 	return w.HasCachedPrefix || !w.WaitUntil.Before(w.Deadline)
 }
 
-// full is the reason of work that found no room.
-func (g *Gate) full(now time.Time) chestnutstep.Reason {
-	if g.turn.blocks() {
+// fullReason is the reason of work that found no room.
+func (g *Gate) fullReason(now time.Time) chestnutstep.Reason {
+	if g.suspect.isTaken() {
 		return chestnutstep.ReasonSuspect
 	}
 	_, reason := g.limit(now)
@@ -109,7 +109,7 @@
 	return chestnutstep.Decision{
 		Verdict:    chestnutstep.VerdictRefuse,
 		Reason:     reason,
-		RetryAfter: admit.Jitter(w.ID, g.comeBack(now, reason)),
+		RetryAfter: admit.Jitter(w.ID, g.retryAfter(now, reason)),
 	}
 }
 
--- a/mean/mean.go
+++ b/mean/mean.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// Most is how many samples are held, the youngest. The error of a mean has
+	// MaxSamples is how many samples are held, the youngest. The error of a mean has
 	// two parts: too few samples, and samples of before a surge; more samples
 	// are older ones. In a fleet whose load rises and falls by a third within a
 	// minute, 48 and 64 erred least of what was tried, 128 a third more. Fewer
 	// targets than that are all held, and their mean is the mean of all.
-	Most = 64
-	// Keep is how old a sample may be and still count: with few targets nothing
+	MaxSamples = 64
+	// MaxAge is how old a sample may be and still count: with few targets nothing
 	// younger pushes it out, and one whose agent is gone must not stay.
-	Keep = 10 * time.Second
-	// Relay is how old a sample may be and still be passed on, so that it
+	MaxAge = 10 * time.Second
+	// MaxRelayAge is how old a sample may be and still be passed on, so that it
 	// reaches its receiver with time left to be of use.
-	Relay = 5 * time.Second
+	MaxRelayAge = 5 * time.Second
 )
 
 // Sampler is a chestnutstep.Sampler for one target. Set the fields before use.
@@ -66,14 +66,14 @@
 		if x.SeenAt.After(now) {
 			x.SeenAt = now
 		}
-		if now.Sub(x.SeenAt) <= Keep {
-			s.put(x)
+		if now.Sub(x.SeenAt) <= MaxAge {
+			s.insert(x)
 		}
 	}
 	s.trim(now)
 }
 
-func (s *Sampler) put(x chestnutstep.Sample) {
+func (s *Sampler) insert(x chestnutstep.Sample) {
 	i := slices.IndexFunc(s.samples, func(o chestnutstep.Sample) bool { return o.Target == x.Target })
 	if i < 0 {
 		s.samples = append(s.samples, x)
@@ -89,8 +89,8 @@
 	slices.SortFunc(s.samples, func(a, b chestnutstep.Sample) int {
 		return cmp.Or(b.SeenAt.Compare(a.SeenAt), cmp.Compare(a.Target, b.Target))
 	})
-	n := min(len(s.samples), Most)
-	for n > 0 && now.Sub(s.samples[n-1].SeenAt) > Keep {
+	n := min(len(s.samples), MaxSamples)
+	for n > 0 && now.Sub(s.samples[n-1].SeenAt) > MaxAge {
 		n--
 	}
 	clear(s.samples[n:])
@@ -103,11 +103,11 @@
 func (s *Sampler) Samples(now time.Time, n int) []chestnutstep.Sample {
 	s.trim(now)
 	list := make([]chestnutstep.Sample, 0, max(n, 0))
-	if n > 0 && s.serves(now, Relay) {
+	if n > 0 && s.isOwnFresh(now, MaxRelayAge) {
 		list = append(list, s.own)
 	}
 	for _, x := range s.samples {
-		if len(list) >= n || now.Sub(x.SeenAt) > Relay {
+		if len(list) >= n || now.Sub(x.SeenAt) > MaxRelayAge {
 			break
 		}
 		list = append(list, x)
@@ -115,12 +115,12 @@
 	return list
 }
 
-// serves says whether this target's own sample is young enough to count. Its
+// isOwnFresh says whether this target's own sample is young enough to count. Its
 // agent sets none while the target takes no work: a failure domain that is out
 // would count as idle, lower the mean, and with it the caps of those that carry
 // its load.
-func (s *Sampler) serves(now time.Time, most time.Duration) bool {
-	return !s.own.SeenAt.IsZero() && now.Sub(s.own.SeenAt) <= most
+func (s *Sampler) isOwnFresh(now time.Time, maxAge time.Duration) bool {
+	return !s.own.SeenAt.IsZero() && now.Sub(s.own.SeenAt) <= maxAge
 }
 
 // Mean estimates the mean over all targets of the model, this one included,
@@ -133,7 +133,7 @@
 		sum += x.Load
 		m.Age = max(m.Age, now.Sub(x.SeenAt))
 	}
-	if s.serves(now, Keep) {
+	if s.isOwnFresh(now, MaxAge) {
 		sum += s.own.Load
 		n++
 	}
--- a/mean/mean_test.go
+++ b/mean/mean_test.go
@@ -32,9 +32,9 @@
 	n      int
 	sent   int
 	rounds int
-	// circles are the neighbours that each agent exchanges with in turn, as
+	// neighbors are the neighbours that each agent exchanges with in turn, as
 	// package gossip does; without them each peer is drawn anew.
-	circles [][]int
+	neighbors [][]int
 }
 
 func newRelays(agents, n int) *relays {
@@ -52,30 +52,30 @@
 		at := now.Add(time.Duration(i) * time.Second / time.Duration(len(x.agents)))
 		a, b := &x.agents[i], &x.agents[x.peer(i, r)]
 		a.SetLocal(at, chestnutstep.Sample{Load: loads[i]})
-		told, heard := a.Samples(at, x.n), b.Samples(at, x.n)
-		b.Merge(at, told)
-		a.Merge(at, heard)
-		x.sent += len(told) + len(heard)
+		sent, received := a.Samples(at, x.n), b.Samples(at, x.n)
+		b.Merge(at, sent)
+		a.Merge(at, received)
+		x.sent += len(sent) + len(received)
 	}
 }
 
 func (x *relays) peer(i int, r *rand.Rand) int {
-	if x.circles == nil {
+	if x.neighbors == nil {
 		return r.IntN(len(x.agents))
 	}
-	circle := x.circles[i]
+	neighbors := x.neighbors[i]
 	if x.rounds%60 == i%60 {
-		circle[r.IntN(len(circle))] = r.IntN(len(x.agents))
+		neighbors[r.IntN(len(neighbors))] = r.IntN(len(x.agents))
 	}
-	return circle[x.rounds%len(circle)]
+	return neighbors[x.rounds%len(neighbors)]
 }
 
-// newCircles is newRelays with six neighbours for each agent.
-func newCircles(agents, n int) *relays {
+// newNeighborRelays is newRelays with six neighbours for each agent.
+func newNeighborRelays(agents, n int) *relays {
 	x := newRelays(agents, n)
 	r := rand.New(rand.NewPCG(7, 8))
 	for range agents {
-		x.circles = append(x.circles, r.Perm(agents)[:min(6, agents)])
+		x.neighbors = append(x.neighbors, r.Perm(agents)[:min(6, agents)])
 	}
 	return x
 }
@@ -94,30 +94,30 @@
 // polls asks k random peers a second for their own load and averages what came
 // within pollKeep.
 type polls struct {
-	k     int
-	heard [][]chestnutstep.Sample
+	k       int
+	samples [][]chestnutstep.Sample
 }
 
 func (x *polls) round(now time.Time, loads []float64, r *rand.Rand) {
-	if x.heard == nil {
-		x.heard = make([][]chestnutstep.Sample, len(loads))
+	if x.samples == nil {
+		x.samples = make([][]chestnutstep.Sample, len(loads))
 	}
-	for i := range x.heard {
+	for i := range x.samples {
 		for range x.k {
-			x.heard[i] = append(x.heard[i], chestnutstep.Sample{Load: loads[r.IntN(len(loads))], SeenAt: now})
+			x.samples[i] = append(x.samples[i], chestnutstep.Sample{Load: loads[r.IntN(len(loads))], SeenAt: now})
 		}
-		for len(x.heard[i]) > 0 && now.Sub(x.heard[i][0].SeenAt) > pollKeep {
-			x.heard[i] = x.heard[i][1:]
+		for len(x.samples[i]) > 0 && now.Sub(x.samples[i][0].SeenAt) > pollKeep {
+			x.samples[i] = x.samples[i][1:]
 		}
 	}
 }
 
 func (x *polls) mean(_ time.Time, i int) float64 {
 	sum := 0.0
-	for _, s := range x.heard[i] {
+	for _, s := range x.samples[i] {
 		sum += s.Load
 	}
-	return sum / float64(len(x.heard[i]))
+	return sum / float64(len(x.samples[i]))
 }
 
 // A poll is a question and an answer of half a sample each.
@@ -154,23 +154,23 @@
 
 func (x *pushSum) bytes() float64 { return 16 }
 
-// fleet plays loads that differ by target (a third of their mean, one standard
+// loadPattern plays loads that differ by target (a third of their mean, one standard
 // deviation) and rise and fall together by a share, the swing, in a minute.
-type fleet struct {
+type loadPattern struct {
 	rand  *rand.Rand
 	bias  []float64
 	swing float64
 }
 
-func newFleet(n int, swing float64) *fleet {
-	f := &fleet{rand: rand.New(rand.NewPCG(1, 2)), bias: make([]float64, n), swing: swing}
+func newLoadPattern(n int, swing float64) *loadPattern {
+	f := &loadPattern{rand: rand.New(rand.NewPCG(1, 2)), bias: make([]float64, n), swing: swing}
 	for i := range f.bias {
 		f.bias[i] = f.rand.NormFloat64() / 3
 	}
 	return f
 }
 
-func (f *fleet) loads(second int) []float64 {
+func (f *loadPattern) loads(second int) []float64 {
 	level := 8 * (1 + f.swing*math.Sin(2*math.Pi*float64(second)/60))
 	loads := make([]float64, len(f.bias))
 	for i := range loads {
@@ -180,10 +180,10 @@
 	return loads
 }
 
-// measure returns the relative error of the estimates, as the root of the mean
+// measureError returns the relative error of the estimates, as the root of the mean
 // square over agents and seconds, and the worst second's bias.
-func measure(x estimator, targets, seconds int, swing float64) (rms, bias float64) {
-	f := newFleet(targets, swing)
+func measureError(x estimator, targets, seconds int, swing float64) (rms, bias float64) {
+	f := newLoadPattern(targets, swing)
 	r := rand.New(rand.NewPCG(3, 4))
 	n := 0
 	for s := range seconds {
@@ -218,11 +218,11 @@
 // another's for no reason it could see.
 func TestErrorOfTheMean(t *testing.T) {
 	const targets, seconds, surge = 400, 50, 1.0 / 3
-	rms, _ := measure(newRelays(targets, 16), targets, seconds, surge)
+	rms, _ := measureError(newRelays(targets, 16), targets, seconds, surge)
 	assert.Assert(t, rms < 0.09, "relayed samples: error %.3f", rms)
-	few, _ := measure(newCircles(targets, 8), targets, seconds, surge)
+	few, _ := measureError(newNeighborRelays(targets, 8), targets, seconds, surge)
 	assert.Assert(t, few < 0.1, "as the fleet exchanges them: error %.3f", few)
-	poll, _ := measure(&polls{k: 2}, targets, seconds, surge)
+	poll, _ := measureError(&polls{k: 2}, targets, seconds, surge)
 	assert.Assert(t, poll > 1.3*rms, "the same exchanges without relay: error %.3f", poll)
 }
 
@@ -230,7 +230,7 @@
 // them: what stands still is known exactly.
 func TestFewTargetsAreAllKnown(t *testing.T) {
 	for _, n := range []int{3, 12, 18} {
-		x := newCircles(n, 16)
+		x := newNeighborRelays(n, 16)
 		r := rand.New(rand.NewPCG(5, 6))
 		loads := make([]float64, n)
 		for i := range loads {
@@ -269,10 +269,10 @@
 // A peer sends thousands of names, by fault or by intent: memory stays bounded.
 func TestTableIsBounded(t *testing.T) {
 	s := Sampler{Model: "m", Target: "self"}
-	for i := range 3 * Most {
+	for i := range 3 * MaxSamples {
 		s.Merge(epoch, []chestnutstep.Sample{{Target: fmt.Sprint(i), Model: "m", Load: 1, SeenAt: epoch}})
 	}
-	assert.Equal(t, s.Mean(epoch).Targets, Most)
+	assert.Equal(t, s.Mean(epoch).Targets, MaxSamples)
 }
 
 // BenchmarkMean prints the error of each way to know the mean, at a steady load
@@ -284,9 +284,9 @@
 		name string
 		make func() estimator
 	}{
-		{"circle=16", func() estimator { return newCircles(targets, 16) }},
-		{"circle=12", func() estimator { return newCircles(targets, 12) }},
-		{"circle=8", func() estimator { return newCircles(targets, 8) }},
+		{"circle=16", func() estimator { return newNeighborRelays(targets, 16) }},
+		{"circle=12", func() estimator { return newNeighborRelays(targets, 12) }},
+		{"circle=8", func() estimator { return newNeighborRelays(targets, 8) }},
 		{"relay=16", func() estimator { return newRelays(targets, 16) }},
 		{"relay=8", func() estimator { return newRelays(targets, 8) }},
 		{"relay=4", func() estimator { return newRelays(targets, 4) }},
@@ -299,8 +299,8 @@
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
 				x := c.make()
-				calm, _ := measure(c.make(), targets, seconds, 0)
-				rms, bias := measure(x, targets, seconds, 1.0/3)
+				calm, _ := measureError(c.make(), targets, seconds, 0)
+				rms, bias := measureError(x, targets, seconds, 1.0/3)
 				b.ReportMetric(100*calm, "%calm")
 				b.ReportMetric(100*rms, "%surge")
 				b.ReportMetric(100*bias, "%bias")
@@ -318,7 +318,7 @@
 	out := &Sampler{Model: "m", Target: "out"}
 	out.SetLocal(now, chestnutstep.Sample{})
 	in := &Sampler{Model: "m", Target: "in"}
-	later := now.Add(Keep + time.Second)
+	later := now.Add(MaxAge + time.Second)
 	in.SetLocal(later, chestnutstep.Sample{Load: 8})
 	assert.Equal(t, len(out.Samples(later, 16)), 0)
 	in.Merge(later, out.Samples(later, 16))
--- a/node/advice.go
+++ b/node/advice.go
@@ -17,17 +17,17 @@
 	r.Version = n.roster.Version()
 	r.HasIndex = n.hasCacheIndex.Load()
 	r.Age = -1
-	if at := n.roster.Confirmed(); at != 0 {
+	if at := n.roster.VersionConfirmedAt(); at != 0 {
 		r.Age = now.Sub(at).Milliseconds() + 1
 	}
 	r.Loads = n.board.Loads()
 	r.Reservations = n.board.Kept(now)
-	r.Domain, r.Domains = board.DomainKey(n.Settings.Domain), n.board.Domains(now)
+	r.Domain, r.Domains = board.DomainKey(n.Settings.Domain), n.board.DomainReports(now)
 }
 
 // TakeEvents returns what has happened since the last call, for all peers.
 func (n *Direct) TakeEvents() share.Events {
-	return share.Events{CachedParts: n.board.Holds(), Replaced: n.board.Gone(), Suspected: n.board.Suspicions(), Crashes: n.crashes.TakeReports()}
+	return share.Events{CachedParts: n.board.CacheChanges(), Replaced: n.board.ReplacedTargets(), Suspected: n.board.Suspicions(), Crashes: n.crashes.TakeReports()}
 }
 
 // RecentCrashes returns what an entry has to know of contents that end targets.
@@ -47,7 +47,7 @@
 	own := n.roster.Version()
 	switch {
 	case r.Version == own && own != 0 && r.Age >= 0 && notBefore != 0:
-		n.roster.Confirm(notBefore.Add(-time.Duration(r.Age) * time.Millisecond))
+		n.roster.ConfirmVersion(notBefore.Add(-time.Duration(r.Age) * time.Millisecond))
 	case r.Version > own && r.Version == n.newestVersion.Load():
 		n.newestSeenAt.Store(int64(now))
 	case r.Version > own && (r.Version > n.newestVersion.Load() || !n.isBehind()):
@@ -78,18 +78,18 @@
 	if c.Version != 0 {
 		n.log.Emit(event.RoutingInForce, event.Uint("version", c.Version), event.Dur("asked", clock.Now().Sub(requestedAt)))
 	}
-	if len(c.Out)+len(c.In) > 0 {
-		n.log.Emit(event.DomainsChanged, event.Str("out", strings.Join(c.Out, " ")), event.Str("back", strings.Join(c.In, " ")))
+	if len(c.Out)+len(c.Restored) > 0 {
+		n.log.Emit(event.DomainsChanged, event.Str("out", strings.Join(c.Out, " ")), event.Str("back", strings.Join(c.Restored, " ")))
 	}
-	if len(c.Joined)+len(c.Left)+len(c.Leaving)+len(c.Kept)+len(c.Back) == 0 {
+	if len(c.Joined)+len(c.Removed)+len(c.Leaving)+len(c.Kept)+len(c.Recovered) == 0 {
 		return
 	}
 	n.log.Emit(event.TargetsChanged,
-		event.Str("joined", strings.Join(c.Joined, " ")), event.Str("left", strings.Join(c.Left, " ")),
+		event.Str("joined", strings.Join(c.Joined, " ")), event.Str("left", strings.Join(c.Removed, " ")),
 		event.Str("leaving", strings.Join(c.Leaving, " ")), event.Str("kept", strings.Join(c.Kept, " ")),
-		event.Str("back", strings.Join(c.Back, " ")))
+		event.Str("back", strings.Join(c.Recovered, " ")))
 	if v := n.roster.View(); v != nil {
-		n.board.Keep(v)
+		n.board.Prune(v)
 		n.crashes.Reconcile(clock.Now(), v)
 	}
 }
--- a/node/count.go
+++ b/node/count.go
@@ -34,7 +34,7 @@
 	if dropped > c.dropped {
 		n.log.Emit(event.LinesDropped, event.Int("lines", dropped-c.dropped))
 	}
-	live := n.board.Peers()
+	live := n.board.PeerCount()
 	if live != c.peers {
 		n.log.Emit(event.PeersCounted, event.Int("peers", int64(live)), event.Int("before", int64(c.peers)))
 	}
--- a/node/direct.go
+++ b/node/direct.go
@@ -187,7 +187,7 @@
 		return errors.Wrap(err, "peer address")
 	}
 	n.delays = &delayMonitor{node: n}
-	n.board = &board.Board{Self: self, Domain: n.Settings.Domain, Cold: n.coldBounds, Overloaded: n.delays.isOverloaded}
+	n.board = &board.Board{Self: self, Domain: n.Settings.Domain, ColdBounds: n.coldBounds, Overloaded: n.delays.isOverloaded}
 	n.relay = &relay.Relay{
 		Domain:      n.Settings.Domain,
 		Regions:     n.Settings.Regions,
@@ -201,7 +201,7 @@
 		Meters:      &n.meters.Relay,
 		IsBehind:    n.isBehind,
 		CachesKnown: n.cacheIndexSettled,
-		Budgets:     &retry.Budgets{Bounds: n.retryBounds, Entries: n.board.Entries},
+		Budgets:     &retry.Budgets{Bounds: n.retryBounds, Entries: n.board.EntryCount},
 	}
 	n.shed = &relay.Shedder{Relay: n.relay}
 	conn, err := net.ListenPacket("udp", n.Settings.PeerAddr)
--- a/node/feed.go
+++ b/node/feed.go
@@ -144,7 +144,7 @@
 }
 
 // proofAge is the age of the proof that the configuration is current.
-func (n *Direct) proofAge() time.Duration { return clock.Now().Sub(n.roster.Confirmed()) }
+func (n *Direct) proofAge() time.Duration { return clock.Now().Sub(n.roster.VersionConfirmedAt()) }
 
 // factsAge is the age of the proof that all facts of a topic are known.
 func (n *Direct) factsAge(t chestnutstep.Topic) time.Duration {
@@ -168,7 +168,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(feed.Path, &feed.Server{Roster: n.roster})
-	mux.Handle(share.CacheListsPath, &share.CacheServer{Lists: func() []share.CacheList { return n.board.Lists(clock.Now()) }})
+	mux.Handle(share.CacheListsPath, &share.CacheServer{Lists: func() []share.CacheList { return n.board.CacheLists(clock.Now()) }})
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: directHeaderTimeout, IdleTimeout: directHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
--- a/node/learn.go
+++ b/node/learn.go
@@ -98,7 +98,7 @@
 			n.log.Emit(event.CachesTaken, event.Str("peer", peer.String()), event.Int("lists", int64(len(lists))),
 				event.Int("bytes", int64(size)), event.Err(err))
 			if err == nil {
-				n.board.MergeLists(clock.Now(), lists)
+				n.board.MergeCacheLists(clock.Now(), lists)
 				return true
 			}
 			pause = busyPeerDelay
@@ -222,7 +222,7 @@
 	v := n.roster.View()
 	var list []*roster.Target
 	for _, t := range v.ByID {
-		if s := v.Routing.Services[t.Service]; s != nil && s.IsEngine && v.Usable(t) && !n.board.Listed(&t.Instance) {
+		if s := v.Routing.Services[t.Service]; s != nil && s.IsEngine && v.Usable(t) && !n.board.CacheListed(&t.Instance) {
 			list = append(list, t)
 		}
 	}
@@ -249,8 +249,8 @@
 	if err != nil {
 		return
 	}
-	n.board.Hold(clock.Now(), &t.Instance, parts)
-	n.peers.SendLists(share.NewCacheList(board.Key(&t.Instance), partIDs(parts)))
+	n.board.RecordCache(clock.Now(), &t.Instance, parts)
+	n.peers.SendLists(share.NewCacheList(board.CacheKey(&t.Instance), partIDs(parts)))
 }
 
 func partIDs(parts []chestnutstep.PromptPart) []uint64 {
--- a/place/place.go
+++ b/place/place.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	// ReadRate is how many prompt tokens an engine reads in a millisecond: the
+	// PrefillRate is how many prompt tokens an engine reads in a millisecond: the
 	// slower end of what current engines do. It only has to be right relative to
 	// Share.
-	ReadRate = 60.0
-	// Share is what each request in progress adds to the time of the next one,
+	PrefillRate = 60.0
+	// LoadCost is what each request in progress adds to the time of the next one,
 	// in milliseconds: a token takes longer for everyone in the batch.
-	Share = 1.5
+	LoadCost = 1.5
 	// FetchRate is how many tokens of cache an engine takes over from another in
 	// a millisecond, its own set-up included at usual prompt lengths.
 	FetchRate = 600.0
-	// fetchLeast is the shortest missing prefix that is worth fetching: below
+	// minFetchTokens is the shortest missing prefix that is worth fetching: below
 	// that, the set-up takes as long as reading.
-	fetchLeast = 128
-	// Spread is the part of the allowed multiple of the mean load above which a target
+	minFetchTokens = 128
+	// SpreadRatio is the part of the allowed multiple of the mean load above which a target
 	// gets no request that another could take: what peers do in the same moment adds
 	// the rest.
-	Spread = 0.75
-	// CapDefault is the multiple where none is set.
-	CapDefault = 2.0
+	SpreadRatio = 0.75
+	// DefaultCapFactor is the multiple where none is set.
+	DefaultCapFactor = 2.0
 	// spreadSlack lets a target take a few requests more. Where it has a handful, one or
 	// two above a multiple of the mean are chance, and sending them away from their
 	// prefix moves it to one target after the other.
 	spreadSlack = 2.0
-	// farCost is what another failure domain costs, in milliseconds: the way
+	// otherDomainCost is what another failure domain costs, in milliseconds: the way
 	// there and back for each of the request and the answer.
-	farCost = 6.0
-	// greyCost is added for a target that failed much of what it got of late,
+	otherDomainCost = 6.0
+	// failureCost is added for a target that failed much of what it got of late,
 	// times the share that failed. It outweighs any wait that a caller accepts.
-	greyCost = 4000.0
+	failureCost = 4000.0
 	// suspectCost is added for a target whose host did not answer of late, in milliseconds: less
 	// than finding out that it is gone, as much as reading a long prefix elsewhere.
 	suspectCost = 100.0
-	// tieCost breaks ties by hash, so that entries that place the same prefix for
+	// tieBreakCost breaks ties by hash, so that entries that place the same prefix for
 	// the first time at the same moment choose the same target.
-	tieCost = 3.0
+	tieBreakCost = 3.0
 )
 
 // Candidate is a target that may take the request.
@@ -65,42 +65,42 @@
 	// Limit is how many requests it may have so that one more begins in time; 0 for
 	// no limit.
 	Limit float64
-	// Reading is the prompt tokens that were sent and are not read yet.
-	Reading float64
-	// Held is the tokens of the request's leading parts in the cache.
-	Held int
-	// Failing is the share of recent requests that failed: 0 to 1.
-	Failing float64
+	// PendingTokens is the prompt tokens that were sent and are not read yet.
+	PendingTokens float64
+	// CachedTokens is the tokens of the request's leading parts in the cache.
+	CachedTokens int
+	// FailureRatio is the share of recent requests that failed: 0 to 1.
+	FailureRatio float64
 	// Suspected says that its host did not answer of late.
 	Suspected bool
-	// Far says that it is in another failure domain.
-	Far bool
+	// OtherDomain says that it is in another failure domain.
+	OtherDomain bool
 	// Cold targets take a request only while they have allowance left.
 	Cold bool
-	// Named is the target's place among those that the hash of the prefix names, from 1 to
+	// HashRank is the target's place among those that the hash of the prefix names, from 1 to
 	// Choices; 0 for the others.
-	Named int
+	HashRank int
 }
 
-// free says that one more request would begin in time.
-func (c *Candidate) free() bool { return c.Limit <= 0 || c.Running+c.Unreported < c.Limit }
+// hasCapacity says that one more request would begin in time.
+func (c *Candidate) hasCapacity() bool { return c.Limit <= 0 || c.Running+c.Unreported < c.Limit }
 
 // Fits reports whether one more request would begin in time and keep the target below a ceiling.
-func (c *Candidate) Fits(ceiling float64) bool { return c.free() && c.Running+1 <= ceiling }
+func (c *Candidate) Fits(ceiling float64) bool { return c.hasCapacity() && c.Running+1 <= ceiling }
 
 // Totals sum up the targets that may take a request.
 type Totals struct {
 	// Targets is how many there are, and Warm how many of them are not cold.
 	Targets, Warm int
 	// Running is the requests in progress at all of them, Busy those at the warm ones.
-	Running, Busy float64
+	Running, WarmRunning float64
 	// Unreported is the requests, estimated, that other entries have not reported.
 	Unreported float64
-	// Places is the sum of their limits.
-	Places float64
-	// Open reports that a target has no limit, or that a cold one has a place for a request
+	// Capacity is the sum of their limits.
+	Capacity float64
+	// Unlimited reports that a target has no limit, or that a cold one has a place for a request
 	// now: it carries little by intention.
-	Open bool
+	Unlimited bool
 }
 
 // Add counts one target.
@@ -108,45 +108,45 @@
 	t.Targets++
 	t.Running += c.Running
 	t.Unreported += c.Unreported
-	t.Places += c.Limit
-	t.Open = t.Open || c.Limit <= 0 || c.Cold && c.free()
+	t.Capacity += c.Limit
+	t.Unlimited = t.Unlimited || c.Limit <= 0 || c.Cold && c.hasCapacity()
 	if !c.Cold {
 		t.Warm++
-		t.Busy += c.Running
+		t.WarmRunning += c.Running
 	}
 }
 
 // Taken is the part of all places that is taken, 1 and more where no target has one left.
 func (t *Totals) Taken() float64 {
-	if t.Open || t.Targets == 0 {
+	if t.Unlimited || t.Targets == 0 {
 		return 0
 	}
-	return (t.Running + t.Unreported) / max(t.Places, 1)
+	return (t.Running + t.Unreported) / max(t.Capacity, 1)
 }
 
 // Ceiling is the load that no target should exceed, where none may carry more than a multiple
 // of the mean. Cold targets carry little by intention; counted, they would lower the mean.
-func (t *Totals) Ceiling(most float64) float64 {
+func (t *Totals) Ceiling(capFactor float64) float64 {
 	if t.Warm == 0 {
 		return math.Inf(1)
 	}
-	if most <= 0 {
-		most = CapDefault
+	if capFactor <= 0 {
+		capFactor = DefaultCapFactor
 	}
-	return max(Spread*most, 1)*t.Busy/float64(t.Warm) + spreadSlack
+	return max(SpreadRatio*capFactor, 1)*t.WarmRunning/float64(t.Warm) + spreadSlack
 }
 
 // Donor is a target to fetch cache from; the zero Donor is none.
 type Donor struct {
 	ID      string
 	Address string
-	// Held is the tokens of the request's leading parts that it can give.
-	Held    int
-	Running float64
+	// CachedTokens is the tokens of the request's leading parts that it can give.
+	CachedTokens int
+	Running      float64
 }
 
-// Ask is a request to be placed.
-type Ask struct {
+// Request is a request to be placed.
+type Request struct {
 	// Key of the prefix that the request shares with others, or of the request
 	// itself where it shares none.
 	Key uint64
@@ -167,60 +167,62 @@
 	Cost float64
 }
 
-// Choices is how many targets the hash of a request names. Entries know of each
+// HashCandidates is how many targets the hash of a request names. Entries know of each
 // other's requests some hundred milliseconds late, and all the same: had each of them
 // the choice among all targets, all would send to the one that was least loaded when
 // they last heard. Among a few, by a hash that differs from prefix to prefix, what one of
 // them takes too much the others don't.
-const Choices = 3
+const HashCandidates = 3
 
 // Pick returns the best candidate; false where there is none. It looks among targets
 // that hold some of the prefix and the one that the hash of the request names first, then
 // among a few that it names, then among all below the ceiling, then among all. Entries that
 // need a new prefix at the same moment so send it to the same target, where it is read once.
-func Pick(list []Candidate, donor Donor, ask Ask) (Choice, bool) {
-	passes := [...]func(c *Candidate, ask *Ask) bool{holderOrFirst, holderOrNamed, belowCeiling, hasPlace, anyTarget}
+func Pick(list []Candidate, donor Donor, req Request) (Choice, bool) {
+	passes := [...]func(c *Candidate, req *Request) bool{holderOrFirst, holderOrHashed, belowCeiling, withCapacity, anyTarget}
 	for _, allowed := range passes {
-		if best := cheapest(list, donor, &ask, allowed); best.Index >= 0 {
+		if best := cheapest(list, donor, &req, allowed); best.Index >= 0 {
 			return best, true
 		}
 	}
 	return Choice{Index: -1}, false
 }
 
-func holderOrFirst(c *Candidate, ask *Ask) bool {
-	return ask.Shared >= fetchLeast && belowCeiling(c, ask) && (holds(c, ask) || c.Named == 1)
+func holderOrFirst(c *Candidate, req *Request) bool {
+	return req.Shared >= minFetchTokens && belowCeiling(c, req) && (isHolder(c, req) || c.HashRank == 1)
 }
 
-func holderOrNamed(c *Candidate, ask *Ask) bool {
-	return belowCeiling(c, ask) && (holds(c, ask) || c.Named > 0)
+func holderOrHashed(c *Candidate, req *Request) bool {
+	return belowCeiling(c, req) && (isHolder(c, req) || c.HashRank > 0)
 }
 
-func belowCeiling(c *Candidate, ask *Ask) bool { return c.Fits(ask.Ceiling) }
+func belowCeiling(c *Candidate, req *Request) bool { return c.Fits(req.Ceiling) }
 
-func hasPlace(c *Candidate, _ *Ask) bool { return c.free() }
+func withCapacity(c *Candidate, _ *Request) bool { return c.hasCapacity() }
 
-func anyTarget(*Candidate, *Ask) bool { return true }
+func anyTarget(*Candidate, *Request) bool { return true }
 
-// holdsLeast is the part of a shared prefix that makes a target a holder of it. Many
+// minHolderRatio is the part of a shared prefix that makes a target a holder of it. Many
 // prompts begin with the same instructions: with any part of a prefix enough, all
 // entries that know no loads would send to the first targets that have read those.
-const holdsLeast = 0.5
+const minHolderRatio = 0.5
 
-// HolderTokens is how many leading tokens of a shared prefix make a target a holder of it.
-func HolderTokens(shared int) int { return max(int(math.Ceil(holdsLeast*float64(shared))), fetchLeast) }
+// MinHolderTokens is how many leading tokens of a shared prefix make a target a holder of it.
+func MinHolderTokens(shared int) int {
+	return max(int(math.Ceil(minHolderRatio*float64(shared))), minFetchTokens)
+}
 
-// holds reports whether a target holds enough of the request's prefix to be chosen for it.
-func holds(c *Candidate, ask *Ask) bool { return c.Held >= HolderTokens(ask.Shared) }
+// isHolder reports whether a target holds enough of the request's prefix to be chosen for it.
+func isHolder(c *Candidate, req *Request) bool { return c.CachedTokens >= MinHolderTokens(req.Shared) }
 
 // cheapest is the candidate of least cost among those that are allowed.
-func cheapest(list []Candidate, donor Donor, ask *Ask, allowed func(c *Candidate, ask *Ask) bool) Choice {
+func cheapest(list []Candidate, donor Donor, req *Request, allowed func(c *Candidate, req *Request) bool) Choice {
 	best := Choice{Index: -1, Cost: math.Inf(1)}
 	for i := range list {
-		if !allowed(&list[i], ask) {
+		if !allowed(&list[i], req) {
 			continue
 		}
-		cost, fetch := cost(&list[i], donor, ask)
+		cost, fetch := expectedCost(&list[i], donor, req)
 		if cost < best.Cost {
 			best = Choice{Index: i, Cost: cost, Fetch: fetch}
 		}
@@ -228,39 +230,39 @@
 	return best
 }
 
-// cost is the expected time to the first byte, and whether fetching shortens it.
-func cost(c *Candidate, donor Donor, ask *Ask) (float64, bool) {
-	ms := c.Running*Share + c.Reading/ReadRate + c.Failing*greyCost
+// expectedCost is the expected time to the first byte, and whether fetching shortens it.
+func expectedCost(c *Candidate, donor Donor, req *Request) (float64, bool) {
+	ms := c.Running*LoadCost + c.PendingTokens/PrefillRate + c.FailureRatio*failureCost
 	if c.Slots > 0 && c.Running >= float64(c.Slots) {
-		ms += (c.Running - float64(c.Slots) + 1) * slotCost
+		ms += (c.Running - float64(c.Slots) + 1) * queueCost
 	}
-	if c.Far {
-		ms += farCost
+	if c.OtherDomain {
+		ms += otherDomainCost
 	}
 	if c.Suspected {
 		ms += suspectCost
 	}
-	ms += tieCost * unit(c.ID, ask.Key)
-	missing := float64(max(ask.Tokens-c.Held, 0))
-	gain := donor.Held - c.Held
-	if donor.ID == c.ID || gain < fetchLeast {
-		return ms + missing/ReadRate, false
+	ms += tieBreakCost * unitHash(c.ID, req.Key)
+	missing := float64(max(req.Tokens-c.CachedTokens, 0))
+	gain := donor.CachedTokens - c.CachedTokens
+	if donor.ID == c.ID || gain < minFetchTokens {
+		return ms + missing/PrefillRate, false
 	}
-	return ms + float64(gain)/FetchRate + (missing-float64(gain))/ReadRate + fetchPrice, true
+	return ms + float64(gain)/FetchRate + (missing-float64(gain))/PrefillRate + fetchCost, true
 }
 
 const (
-	// slotCost is what each request beyond the slots adds: it waits for a whole
+	// queueCost is what each request beyond the slots adds: it waits for a whole
 	// request to end.
-	slotCost = 40.0
-	// fetchPrice stands for what a fetch costs beside time: both links, and the
+	queueCost = 40.0
+	// fetchCost stands for what a fetch costs beside time: both links, and the
 	// memory at the taker. It keeps a request with its prefix unless the load
 	// there is higher by several requests.
-	fetchPrice = 60.0
+	fetchCost = 60.0
 )
 
-// unit is a number from 0 to 1 that is fixed for a target and key.
-func unit(id string, key uint64) float64 {
+// unitHash is a number from 0 to 1 that is fixed for a target and key.
+func unitHash(id string, key uint64) float64 {
 	h := xxhash.Sum64String(id) ^ key*0x9e3779b97f4a7c15
 	h ^= h >> 29
 	h *= 0xbf58476d1ce4e5b9
--- a/place/ring.go
+++ b/place/ring.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pointsEach is how many points of the ring each target has: with fewer, the part of the keys
+// pointsPerTarget is how many points of the ring each target has: with fewer, the part of the keys
 // that it is first for differs too much from target to target.
-const pointsEach = 32
+const pointsPerTarget = 32
 
 // Ring orders targets by the hash of a key, the same for all who know the same targets: one
 // that joins or leaves changes the order for few keys. Targets are known by slots, which stay
@@ -18,26 +18,26 @@
 	points []point
 	slots  map[string]int
 	free   []int
-	// seen is the last walk that came to each slot.
-	seen []uint32
-	walk uint32
+	// lastWalk is the last walk that came to each slot.
+	lastWalk []uint32
+	walkSeq  uint32
 }
 
 // point is a place on the ring.
 type point struct {
-	at   uint32
-	slot uint32
+	position uint32
+	slot     uint32
 }
 
 func comparePoints(a, b point) int {
-	if a.at != b.at {
-		return cmp.Compare(a.at, b.at)
+	if a.position != b.position {
+		return cmp.Compare(a.position, b.position)
 	}
 	return cmp.Compare(a.slot, b.slot)
 }
 
-// Slots is the number of slots that were given out, those that are free again included.
-func (r *Ring) Slots() int { return len(r.seen) }
+// SlotCount is the number of slots that were given out, those that are free again included.
+func (r *Ring) SlotCount() int { return len(r.lastWalk) }
 
 // Slot returns the slot of a target; false where it is no member.
 func (r *Ring) Slot(id string) (int, bool) {
@@ -45,45 +45,45 @@
 	return slot, ok
 }
 
-// Change takes in targets that join and drops those that left. Its cost is that of one walk
+// Update takes in targets that join and drops those that left. Its cost is that of one walk
 // over the points, however few targets change.
-func (r *Ring) Change(join, left []string) {
-	if len(join)+len(left) == 0 {
+func (r *Ring) Update(joined, removed []string) {
+	if len(joined)+len(removed) == 0 {
 		return
 	}
-	gone := make([]bool, len(r.seen))
-	for _, id := range left {
+	isRemoved := make([]bool, len(r.lastWalk))
+	for _, id := range removed {
 		if slot, ok := r.slots[id]; ok {
-			gone[slot] = true
+			isRemoved[slot] = true
 			delete(r.slots, id)
 			r.free = append(r.free, slot)
 		}
 	}
 	kept := r.points[:0]
 	for _, p := range r.points {
-		if !gone[p.slot] {
+		if !isRemoved[p.slot] {
 			kept = append(kept, p)
 		}
 	}
-	r.points = merge(kept, r.join(join))
+	r.points = merge(kept, r.assignSlots(joined))
 }
 
-// join gives slots to targets and returns their points in order.
-func (r *Ring) join(ids []string) []point {
+// assignSlots gives slots to targets and returns their points in order.
+func (r *Ring) assignSlots(ids []string) []point {
 	if r.slots == nil {
 		r.slots = make(map[string]int, len(ids))
 	}
-	list := make([]point, 0, pointsEach*len(ids))
+	list := make([]point, 0, pointsPerTarget*len(ids))
 	for _, id := range ids {
-		slot := len(r.seen)
+		slot := len(r.lastWalk)
 		if n := len(r.free); n > 0 {
 			slot, r.free = r.free[n-1], r.free[:n-1]
 		} else {
-			r.seen = append(r.seen, 0)
+			r.lastWalk = append(r.lastWalk, 0)
 		}
 		r.slots[id] = slot
 		h := xxhash.Sum64String(id)
-		for range pointsEach {
+		for range pointsPerTarget {
 			h = mix(h)
 			list = append(list, point{uint32(h >> 32), uint32(slot)})
 		}
@@ -93,16 +93,16 @@
 }
 
 // merge puts points that are in order among others that are.
-func merge(list, more []point) []point {
-	a, b := len(list), len(more)
-	list = append(list, more...)
+func merge(list, added []point) []point {
+	a, b := len(list), len(added)
+	list = append(list, added...)
 	for b > 0 {
-		if a > 0 && comparePoints(list[a-1], more[b-1]) > 0 {
+		if a > 0 && comparePoints(list[a-1], added[b-1]) > 0 {
 			list[a+b-1] = list[a-1]
 			a--
 			continue
 		}
-		list[a+b-1] = more[b-1]
+		list[a+b-1] = added[b-1]
 		b--
 	}
 	return list
@@ -111,22 +111,22 @@
 // Walk calls f with the slot of each target, once, in the order of the key, until f returns
 // false.
 func (r *Ring) Walk(key uint64, f func(slot int) bool) {
-	r.walk++
+	r.walkSeq++
 	at := uint32(mix(key) >> 32)
-	first, _ := slices.BinarySearchFunc(r.points, at, func(p point, at uint32) int { return cmp.Compare(p.at, at) })
-	left := len(r.slots)
+	first, _ := slices.BinarySearchFunc(r.points, at, func(p point, at uint32) int { return cmp.Compare(p.position, at) })
+	remaining := len(r.slots)
 	for n := range r.points {
 		k := first + n
 		if k >= len(r.points) {
 			k -= len(r.points)
 		}
 		slot := r.points[k].slot
-		if r.seen[slot] == r.walk {
+		if r.lastWalk[slot] == r.walkSeq {
 			continue
 		}
-		r.seen[slot] = r.walk
-		left--
-		if !f(int(slot)) || left == 0 {
+		r.lastWalk[slot] = r.walkSeq
+		remaining--
+		if !f(int(slot)) || remaining == 0 {
 			return
 		}
 	}
--- a/place/wait.go
+++ b/place/wait.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// waitMost bounds Patience: an entry that starts knows within 100 ms what targets
+// maxPatience bounds Patience: an entry that starts knows within 100 ms what targets
 // hold, from a peer or from the targets; twice that is a start gone wrong.
-const waitMost = 200 * time.Millisecond
+const maxPatience = 200 * time.Millisecond
 
 // Patience is how long a request waits at an entry that has just started and does
 // not know yet what targets hold.
@@ -14,6 +14,6 @@
 // behind wait for that reading. So a request waits, but never longer than reading
 // its prefix would take: a short prefix is not worth waiting for.
 func Patience(shared int) time.Duration {
-	read := time.Duration(float64(shared) / ReadRate * float64(time.Millisecond))
-	return min(read, waitMost)
+	prefillTime := time.Duration(float64(shared) / PrefillRate * float64(time.Millisecond))
+	return min(prefillTime, maxPatience)
 }
--- a/price/plan.go
+++ b/price/plan.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// Spare is the part of the time left that a plan does not use: the last
+	// SpareRatio is the part of the time left that a plan does not use: the last
 	// exports must end before the target does, and a chat that is half exported
 	// is worth nothing.
-	Spare = 0.1
+	SpareRatio = 0.1
 	// MinTokens is the smallest prefix worth a move. A shorter one is rebuilt in
 	// about the time that Setup alone takes.
 	MinTokens = 256
@@ -25,12 +25,12 @@
 	Tokens float64
 	// Bytes of its KV cache.
 	Bytes float64
-	// Return is the probability that it comes back, 0 to 1.
-	Return float64
+	// ReturnProbability is the probability that it comes back, 0 to 1.
+	ReturnProbability float64
 }
 
-// worth is the tokens that a byte of the chat's KV cache is expected to save.
-func (c Chat) worth() float64 { return c.Return * c.Tokens / max(c.Bytes, 1) }
+// valuePerByte is the tokens that a byte of the chat's KV cache is expected to save.
+func (c Chat) valuePerByte() float64 { return c.ReturnProbability * c.Tokens / max(c.Bytes, 1) }
 
 // Plan picks the chats that a target exports before it leaves, in the order in
 // which to export them: the most work saved for each byte first, until the bytes
@@ -43,31 +43,31 @@
 //
 // What it saves falls short of the best possible plan by less than its most
 // valuable single chat.
-func Plan(chats []Chat, link float64, left time.Duration) []Chat {
-	room := link * left.Seconds() * (1 - Spare)
+func Plan(chats []Chat, linkRate float64, timeLeft time.Duration) []Chat {
+	budget := linkRate * timeLeft.Seconds() * (1 - SpareRatio)
 	order := slices.Clone(chats)
 	slices.SortStableFunc(order, func(a, b Chat) int {
-		return cmp.Compare(b.worth(), a.worth())
+		return cmp.Compare(b.valuePerByte(), a.valuePerByte())
 	})
 	var plan []Chat
 	for _, c := range order {
-		if c.Return <= 0 || c.Tokens < MinTokens || c.Bytes > room {
+		if c.ReturnProbability <= 0 || c.Tokens < MinTokens || c.Bytes > budget {
 			continue
 		}
-		room -= c.Bytes
+		budget -= c.Bytes
 		plan = append(plan, c)
 	}
 	return plan
 }
 
-// Return estimates the probability that a chat comes back after it was idle for a
+// ReturnProbability estimates the probability that a chat comes back after it was idle for a
 // time, where a share of chats comes back at all, after pauses of this mean. A
 // chat that has been quiet for several pauses has most likely ended, and its KV
 // cache should not take the place of a fresh one's.
-func Return(idle, pause time.Duration, share float64) float64 {
+func ReturnProbability(idle, pause time.Duration, share float64) float64 {
 	if pause <= 0 {
 		return 0
 	}
-	still := share * math.Exp(-idle.Seconds()/pause.Seconds())
-	return still / (still + 1 - share)
+	returning := share * math.Exp(-idle.Seconds()/pause.Seconds())
+	return returning / (returning + 1 - share)
 }
--- a/queue/heap.go
+++ b/queue/heap.go
@@ -1,15 +1,15 @@
 package queue
 
-// ranked is what a heap holds: it orders itself and knows its place.
-type ranked[T any] interface {
-	before(other T) bool
-	place() *int
+// heapItem is what a heap holds: it orders itself and knows its place.
+type heapItem[T any] interface {
+	less(other T) bool
+	heapIndex() *int
 }
 
 // heap is a binary heap whose members can be taken out from the middle, as
 // callers cancel most of what waits. container/heap would need five methods of
 // boilerplate for each of the three orders that a queue keeps.
-type heap[T ranked[T]] struct {
+type heap[T heapItem[T]] struct {
 	items []T
 }
 
@@ -17,19 +17,19 @@
 
 func (h *heap[T]) push(x T) {
 	h.items = append(h.items, x)
-	*x.place() = len(h.items) - 1
+	*x.heapIndex() = len(h.items) - 1
 	h.up(len(h.items) - 1)
 }
 
 // fix restores the order after x changed.
 func (h *heap[T]) fix(x T) {
-	i := *x.place()
+	i := *x.heapIndex()
 	h.up(i)
-	h.down(*x.place())
+	h.down(*x.heapIndex())
 }
 
 func (h *heap[T]) remove(x T) {
-	i, last := *x.place(), len(h.items)-1
+	i, last := *x.heapIndex(), len(h.items)-1
 	h.swap(i, last)
 	var zero T
 	h.items[last] = zero
@@ -41,14 +41,14 @@
 
 func (h *heap[T]) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	*h.items[i].place() = i
-	*h.items[j].place() = j
+	*h.items[i].heapIndex() = i
+	*h.items[j].heapIndex() = j
 }
 
 func (h *heap[T]) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !h.items[i].before(h.items[parent]) {
+		if !h.items[i].less(h.items[parent]) {
 			return
 		}
 		h.swap(i, parent)
@@ -62,10 +62,10 @@
 		if child >= len(h.items) {
 			return
 		}
-		if right := child + 1; right < len(h.items) && h.items[right].before(h.items[child]) {
+		if right := child + 1; right < len(h.items) && h.items[right].less(h.items[child]) {
 			child = right
 		}
-		if !h.items[child].before(h.items[i]) {
+		if !h.items[child].less(h.items[i]) {
 			return
 		}
 		h.swap(i, child)
--- a/queue/lane.go
+++ b/queue/lane.go
@@ -10,31 +10,31 @@
 type item struct {
 	work chestnutstep.Work
 	flow *flow
-	// key orders the requests of one workspace.
-	key time.Time
+	// orderKey orders the requests of one workspace.
+	orderKey time.Time
 	// seq orders equal keys by arrival.
 	seq uint64
 	// expiry is when the request leaves unserved.
-	expiry time.Time
-	inFlow int
-	inAges int
+	expiry      time.Time
+	flowIndex   int
+	expiryIndex int
 }
 
-func (x *item) place() *int { return &x.inFlow }
+func (x *item) heapIndex() *int { return &x.flowIndex }
 
-func (x *item) before(o *item) bool {
-	if !x.key.Equal(o.key) {
-		return x.key.Before(o.key)
+func (x *item) less(o *item) bool {
+	if !x.orderKey.Equal(o.orderKey) {
+		return x.orderKey.Before(o.orderKey)
 	}
 	return x.seq < o.seq
 }
 
-// aged orders the same items by expiry.
-type aged struct{ *item }
+// byExpiry orders the same items by expiry.
+type byExpiry struct{ *item }
 
-func (x aged) place() *int { return &x.inAges }
+func (x byExpiry) heapIndex() *int { return &x.expiryIndex }
 
-func (x aged) before(o aged) bool {
+func (x byExpiry) less(o byExpiry) bool {
 	if !x.expiry.Equal(o.expiry) {
 		return x.expiry.Before(o.expiry)
 	}
@@ -43,20 +43,20 @@
 
 // flow is what one workspace has waiting in one class.
 type flow struct {
-	lane      *lane
+	class     *classQueue
 	workspace string
 	weight    float64
 	// tag is the work that the workspace was served, divided by its weight, on
 	// the lane's scale: the lowest tag is served next.
-	tag    float64
-	cost   float64
-	items  heap[*item]
-	inLane int
+	tag        float64
+	cost       float64
+	items      heap[*item]
+	classIndex int
 }
 
-func (f *flow) place() *int { return &f.inLane }
+func (f *flow) heapIndex() *int { return &f.classIndex }
 
-func (f *flow) before(o *flow) bool {
+func (f *flow) less(o *flow) bool {
 	if f.tag != o.tag {
 		return f.tag < o.tag
 	}
@@ -67,42 +67,42 @@
 func (f *flow) last() *item {
 	worst := f.items.items[0]
 	for _, x := range f.items.items {
-		if worst.before(x) {
+		if worst.less(x) {
 			worst = x
 		}
 	}
 	return worst
 }
 
-// lane is one class. Workspaces share it by start-time fair queueing: deficit
+// classQueue is one class. Workspaces share it by start-time fair queueing: deficit
 // round robin without the rounds. Deficit round robin needs a quantum as large
 // as the longest plan, and then serves a hundred quick questions of one
 // workspace in a row before the next one's turn; with tags, turns are as fine
 // as the requests themselves.
-type lane struct {
+type classQueue struct {
 	flows  map[string]*flow
 	active heap[*flow]
-	// now is the tag of the flow served last: where a new flow joins.
-	now float64
+	// virtualTime is the tag of the flow served last: where a new flow joins.
+	virtualTime float64
 	// cost and weight sum what is active.
 	cost   float64
 	weight float64
 	count  int
-	// passed counts starts of more urgent work while this lane waited.
-	passed int
+	// bypassed counts starts of more urgent work while this lane waited.
+	bypassed int
 }
 
-// forget is how many idle flows a lane keeps before it looks for those whose
+// maxIdleFlows is how many idle flows a lane keeps before it looks for those whose
 // tag no longer matters. Sixty-four cost about 10 kB.
-const forget = 64
+const maxIdleFlows = 64
 
-func (l *lane) flow(workspace string, weight float64) *flow {
+func (l *classQueue) flow(workspace string, weight float64) *flow {
 	f := l.flows[workspace]
 	if f == nil {
 		if l.flows == nil {
 			l.flows = make(map[string]*flow)
 		}
-		f = &flow{lane: l, workspace: workspace}
+		f = &flow{class: l, workspace: workspace}
 		l.flows[workspace] = f
 	}
 	if f.items.len() == 0 {
@@ -111,10 +111,10 @@
 	return f
 }
 
-func (l *lane) push(x *item) {
+func (l *classQueue) push(x *item) {
 	f := x.flow
 	if f.items.len() == 0 {
-		f.tag = max(f.tag, l.now)
+		f.tag = max(f.tag, l.virtualTime)
 		l.active.push(f)
 		l.weight += f.weight
 	}
@@ -124,19 +124,19 @@
 	l.count++
 }
 
-// serve takes the next request and charges its workspace for it.
-func (l *lane) serve() *item {
+// pop takes the next request and charges its workspace for it.
+func (l *classQueue) pop() *item {
 	f := l.active.items[0]
 	x := f.items.items[0]
-	l.now = f.tag
+	l.virtualTime = f.tag
 	f.tag += x.work.Cost / f.weight
 	l.active.fix(f)
 	l.remove(x)
-	l.passed = 0
+	l.bypassed = 0
 	return x
 }
 
-func (l *lane) remove(x *item) {
+func (l *classQueue) remove(x *item) {
 	f := x.flow
 	f.items.remove(x)
 	f.cost -= x.work.Cost
@@ -148,41 +148,41 @@
 	f.cost = 0
 	l.weight -= f.weight
 	l.active.remove(f)
-	l.sweep()
+	l.pruneIdle()
 }
 
-// sweep forgets idle workspaces. One that has been served beyond the lane's
+// pruneIdle forgets idle workspaces. One that has been served beyond the lane's
 // present tag is kept: were it forgotten, it would rejoin without that debt,
 // and a caller that sends its next long plan the moment the last one started
 // would get more than its share.
-func (l *lane) sweep() {
+func (l *classQueue) pruneIdle() {
 	if l.count == 0 {
-		l.flows, l.now, l.cost, l.weight, l.passed = nil, 0, 0, 0, 0
+		l.flows, l.virtualTime, l.cost, l.weight, l.bypassed = nil, 0, 0, 0, 0
 		return
 	}
-	if len(l.flows) < l.active.len()+forget {
+	if len(l.flows) < l.active.len()+maxIdleFlows {
 		return
 	}
 	for name, f := range l.flows {
-		if f.items.len() == 0 && f.tag <= l.now {
+		if f.items.len() == 0 && f.tag <= l.virtualTime {
 			delete(l.flows, name)
 		}
 	}
 }
 
 // heaviest is the workspace with the most requests waiting for its weight.
-func (l *lane) heaviest() *flow {
-	var most *flow
+func (l *classQueue) heaviest() *flow {
+	var heaviest *flow
 	for _, f := range l.active.items {
-		if most == nil || f.load(0) > most.load(0) || f.load(0) == most.load(0) && f.workspace < most.workspace {
-			most = f
+		if heaviest == nil || f.load(0) > heaviest.load(0) || f.load(0) == heaviest.load(0) && f.workspace < heaviest.workspace {
+			heaviest = f
 		}
 	}
-	return most
+	return heaviest
 }
 
 // load is the places that the flow would take with more requests, divided by
 // its weight.
-func (f *flow) load(more int) float64 {
-	return float64(f.items.len()+more) / f.weight
+func (f *flow) load(extra int) float64 {
+	return float64(f.items.len()+extra) / f.weight
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// Turn is how many starts of more urgent work a class lets pass before its
+	// MaxBypassed is how many starts of more urgent work a class lets pass before its
 	// own next request starts. Under endless urgent work, the least urgent class
 	// then still gets one start in seventeen: enough that tagging advances and
 	// its callers' limits of minutes are met, and about 6% of what the urgent
 	// ones could have had.
-	Turn = 16
-	// Drag is how much later a request counts as having come for each token of
+	MaxBypassed = 16
+	// DelayPerToken is how much later a request counts as having come for each token of
 	// its cost, among the requests of its own workspace. A plan of 20,000 tokens
 	// lets questions of the next two seconds go first, and is then as old as
 	// they are: no request waits for ever, as nothing that comes later than that
 	// can overtake it.
-	Drag = 100 * time.Microsecond
+	DelayPerToken = 100 * time.Microsecond
 )
 
 // Queue is the bounded queue of one target: classes by urgency, within a class
@@ -34,19 +34,19 @@
 // operation takes time logarithmic in what waits, but for the push onto a full
 // queue, which looks at each workspace once.
 type Queue struct {
-	// Bound is the most requests that wait.
-	Bound int
+	// Capacity is the most requests that wait.
+	Capacity int
 	// Weights of workspaces; 1 where missing.
 	Weights map[string]float64
 
-	lanes [chestnutstep.ClassCount]lane
-	items map[string]*item
-	ages  heap[aged]
-	seq   uint64
+	classes  [chestnutstep.ClassCount]classQueue
+	items    map[string]*item
+	expiries heap[byExpiry]
+	seq      uint64
 }
 
-// Full is why a queue took no request.
-type Full struct {
+// Rejection is why a queue took no request.
+type Rejection struct {
 	// Reason is ReasonQueue when what waits is as urgent and as fairly shared
 	// as the request, ReasonShare when its own workspace takes the places.
 	Reason chestnutstep.Reason
@@ -56,90 +56,90 @@
 // request that has the least claim to one: of the least urgent class, the last
 // one of the workspace that takes most places for its weight. It is returned
 // as out. When the request itself has the least claim, full says why.
-func (q *Queue) Push(now time.Time, w chestnutstep.Work) (out *chestnutstep.Work, full *Full) {
-	w = clean(w)
-	l := &q.lanes[w.Class]
+func (q *Queue) Push(now time.Time, w chestnutstep.Work) (evicted *chestnutstep.Work, rejection *Rejection) {
+	w = normalize(w)
+	l := &q.classes[w.Class]
 	f := l.flow(w.Workspace, q.weight(w.Workspace))
-	if len(q.items) >= q.Bound {
-		x, why := q.victim(w.Class, f)
+	if len(q.items) >= q.Capacity {
+		x, refused := q.victim(w.Class, f)
 		if x == nil {
-			return nil, why
+			return nil, refused
 		}
 		q.remove(x)
-		out = &x.work
+		evicted = &x.work
 		f = l.flow(w.Workspace, q.weight(w.Workspace))
 	}
-	x := &item{work: w, flow: f, seq: q.seq, key: now.Add(time.Duration(w.Cost) * Drag)}
+	x := &item{work: w, flow: f, seq: q.seq, orderKey: now.Add(time.Duration(w.Cost) * DelayPerToken)}
 	x.expiry = earlier(w.WaitUntil, w.Deadline)
 	q.seq++
 	q.add(x)
-	return out, nil
+	return evicted, nil
 }
 
 // victim finds the request that has less claim to a place than one more of f.
-func (q *Queue) victim(class chestnutstep.Class, f *flow) (*item, *Full) {
-	for c := len(q.lanes) - 1; c > int(class); c-- {
-		if q.lanes[c].count > 0 {
-			return q.lanes[c].heaviest().last(), nil
+func (q *Queue) victim(class chestnutstep.Class, f *flow) (*item, *Rejection) {
+	for c := len(q.classes) - 1; c > int(class); c-- {
+		if q.classes[c].count > 0 {
+			return q.classes[c].heaviest().last(), nil
 		}
 	}
-	heavy := q.lanes[class].heaviest()
-	if heavy == f {
-		return nil, &Full{Reason: chestnutstep.ReasonShare}
+	heaviest := q.classes[class].heaviest()
+	if heaviest == f {
+		return nil, &Rejection{Reason: chestnutstep.ReasonShare}
 	}
-	if heavy == nil || heavy.load(-1) < f.load(1) {
-		return nil, &Full{Reason: chestnutstep.ReasonQueue}
+	if heaviest == nil || heaviest.load(-1) < f.load(1) {
+		return nil, &Rejection{Reason: chestnutstep.ReasonQueue}
 	}
-	return heavy.last(), nil
+	return heaviest.last(), nil
 }
 
 // Pop takes the request that starts next among the classes that may start.
-func (q *Queue) Pop(may func(c chestnutstep.Class) bool) (chestnutstep.Work, bool) {
-	c, ok := q.next(may)
+func (q *Queue) Pop(mayStart func(c chestnutstep.Class) bool) (chestnutstep.Work, bool) {
+	c, ok := q.nextClass(mayStart)
 	if !ok {
 		return chestnutstep.Work{}, false
 	}
-	x := q.lanes[c].serve()
-	q.forget(x)
-	q.Pass(c)
+	x := q.classes[c].pop()
+	q.untrack(x)
+	q.RecordStart(c)
 	return x.work, true
 }
 
-// next is the class whose turn it is.
-func (q *Queue) next(may func(c chestnutstep.Class) bool) (chestnutstep.Class, bool) {
-	for c := range q.lanes {
-		l := &q.lanes[c]
-		if l.count > 0 && l.passed >= Turn && may(chestnutstep.Class(c)) {
+// nextClass is the class whose turn it is.
+func (q *Queue) nextClass(mayStart func(c chestnutstep.Class) bool) (chestnutstep.Class, bool) {
+	for c := range q.classes {
+		l := &q.classes[c]
+		if l.count > 0 && l.bypassed >= MaxBypassed && mayStart(chestnutstep.Class(c)) {
 			return chestnutstep.Class(c), true
 		}
 	}
-	for c := range q.lanes {
-		if q.lanes[c].count > 0 && may(chestnutstep.Class(c)) {
+	for c := range q.classes {
+		if q.classes[c].count > 0 && mayStart(chestnutstep.Class(c)) {
 			return chestnutstep.Class(c), true
 		}
 	}
 	return 0, false
 }
 
-// Pass counts a start of a class against the less urgent ones that wait. Pop
+// RecordStart counts a start of a class against the less urgent ones that wait. Pop
 // does it by itself; work that started without waiting must be counted too, or
 // it could keep the others waiting for ever.
-func (q *Queue) Pass(class chestnutstep.Class) {
-	for c := int(class) + 1; c < len(q.lanes); c++ {
-		if q.lanes[c].count > 0 {
-			q.lanes[c].passed++
+func (q *Queue) RecordStart(class chestnutstep.Class) {
+	for c := int(class) + 1; c < len(q.classes); c++ {
+		if q.classes[c].count > 0 {
+			q.classes[c].bypassed++
 		}
 	}
 }
 
-// Behind says whether a new request of the class must wait its turn: something
+// MustWait says whether a new request of the class must wait its turn: something
 // as urgent waits already, or a class that has let enough pass. A class that may
 // not start now is nobody's reason to wait: otherwise a plan, for which no slot
 // is free, would have questions turned away from slots that are kept for them.
-func (q *Queue) Behind(class chestnutstep.Class, may func(c chestnutstep.Class) bool) bool {
-	for c := range q.lanes {
-		l := &q.lanes[c]
-		if l.count > 0 && (c <= int(class) || l.passed >= Turn) && may(chestnutstep.Class(c)) {
+func (q *Queue) MustWait(class chestnutstep.Class, mayStart func(c chestnutstep.Class) bool) bool {
+	for c := range q.classes {
+		l := &q.classes[c]
+		if l.count > 0 && (c <= int(class) || l.bypassed >= MaxBypassed) && mayStart(chestnutstep.Class(c)) {
 			return true
 		}
 	}
@@ -157,22 +157,22 @@
 	return true
 }
 
-// Has says whether a request waits here.
-func (q *Queue) Has(id string) bool { return q.items[id] != nil }
+// Contains says whether a request waits here.
+func (q *Queue) Contains(id string) bool { return q.items[id] != nil }
 
 // Expire takes out one request whose patience or time limit has passed.
 func (q *Queue) Expire(now time.Time) (chestnutstep.Work, bool) {
-	if q.ages.len() == 0 || q.ages.items[0].expiry.After(now) {
+	if q.expiries.len() == 0 || q.expiries.items[0].expiry.After(now) {
 		return chestnutstep.Work{}, false
 	}
-	x := q.ages.items[0].item
+	x := q.expiries.items[0].item
 	q.remove(x)
 	return x.work, true
 }
 
 // Shed takes out one request of the class, the last in order first.
 func (q *Queue) Shed(class chestnutstep.Class) (chestnutstep.Work, bool) {
-	l := &q.lanes[class]
+	l := &q.classes[class]
 	if l.count == 0 {
 		return chestnutstep.Work{}, false
 	}
@@ -184,16 +184,16 @@
 // Len is how many requests wait.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Ahead estimates the cost that is served before the request would be: all
+// CostAhead estimates the cost that is served before the request would be: all
 // that is more urgent, and of its own class what its workspace's share lets
 // pass.
-func (q *Queue) Ahead(w chestnutstep.Work) float64 {
-	w = clean(w)
+func (q *Queue) CostAhead(w chestnutstep.Work) float64 {
+	w = normalize(w)
 	var ahead float64
 	for c := range w.Class {
-		ahead += q.lanes[c].cost
+		ahead += q.classes[c].cost
 	}
-	l := &q.lanes[w.Class]
+	l := &q.classes[w.Class]
 	weight := q.weight(w.Workspace)
 	own, all := 0.0, l.weight+weight
 	if f := l.flows[w.Workspace]; f != nil && f.items.len() > 0 {
@@ -208,17 +208,17 @@
 		q.items = make(map[string]*item)
 	}
 	q.items[x.work.ID] = x
-	q.ages.push(aged{x})
-	x.flow.lane.push(x)
+	q.expiries.push(byExpiry{x})
+	x.flow.class.push(x)
 }
 
 func (q *Queue) remove(x *item) {
-	x.flow.lane.remove(x)
-	q.forget(x)
+	x.flow.class.remove(x)
+	q.untrack(x)
 }
 
-func (q *Queue) forget(x *item) {
-	q.ages.remove(aged{x})
+func (q *Queue) untrack(x *item) {
+	q.expiries.remove(byExpiry{x})
 	delete(q.items, x.work.ID)
 }
 
@@ -229,19 +229,19 @@
 	return 1
 }
 
-// clean makes an offer from outside safe to count: a class beyond the last one
+// normalize makes an offer from outside safe to count: a class beyond the last one
 // is the last one, and each request costs at least one token.
-func clean(w chestnutstep.Work) chestnutstep.Work {
+func normalize(w chestnutstep.Work) chestnutstep.Work {
 	w.Class = min(w.Class, chestnutstep.ClassCount-1)
 	if !(w.Cost >= 1) {
 		w.Cost = 1
 	}
-	w.Cost = min(w.Cost, most)
+	w.Cost = min(w.Cost, maxCost)
 	return w
 }
 
-// most is a cost beyond any answer's: it keeps the sums and the order finite.
-const most = 1e8
+// maxCost is a cost beyond any answer's: it keeps the sums and the order finite.
+const maxCost = 1e8
 
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -21,11 +21,11 @@
 	later = epoch.Add(time.Hour)
 )
 
-func any3(chestnutstep.Class) bool { return true }
+func anyClass(chestnutstep.Class) bool { return true }
 
-// waiter is what the scripts push: a queue, or first come first served.
-type waiter interface {
-	Push(now time.Time, w chestnutstep.Work) (*chestnutstep.Work, *Full)
+// workQueue is what the scripts push: a queue, or first come first served.
+type workQueue interface {
+	Push(now time.Time, w chestnutstep.Work) (*chestnutstep.Work, *Rejection)
 	Pop(may func(chestnutstep.Class) bool) (chestnutstep.Work, bool)
 }
 
@@ -35,9 +35,9 @@
 	works []chestnutstep.Work
 }
 
-func (f *fifo) Push(_ time.Time, w chestnutstep.Work) (*chestnutstep.Work, *Full) {
+func (f *fifo) Push(_ time.Time, w chestnutstep.Work) (*chestnutstep.Work, *Rejection) {
 	if len(f.works) >= f.bound {
-		return nil, &Full{Reason: chestnutstep.ReasonQueue}
+		return nil, &Rejection{Reason: chestnutstep.ReasonQueue}
 	}
 	f.works = append(f.works, w)
 	return nil, nil
@@ -56,7 +56,7 @@
 // the order in which a queue, or the naive one, serves them.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var q waiter
+		var q workQueue
 		n := 0
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
@@ -73,18 +73,18 @@
 	})
 }
 
-func scriptQueue(t *testing.T, d *datadriven.TestData) waiter {
+func scriptQueue(t *testing.T, d *datadriven.TestData) workQueue {
 	bound, heavy := 100, 1.0
 	d.MaybeScanArgs(t, "bound", &bound)
 	d.MaybeScanArgs(t, "big", &heavy)
 	if d.HasArg("fifo") {
 		return &fifo{bound: bound}
 	}
-	return &Queue{Bound: bound, Weights: map[string]float64{"big": heavy}}
+	return &Queue{Capacity: bound, Weights: map[string]float64{"big": heavy}}
 }
 
 // push reads lines of "workspace class cost times".
-func push(t *testing.T, q waiter, d *datadriven.TestData, now time.Time) string {
+func push(t *testing.T, q workQueue, d *datadriven.TestData, now time.Time) string {
 	var out strings.Builder
 	for _, line := range strings.Split(d.Input, "\n") {
 		var ws string
@@ -92,27 +92,27 @@
 		var cost float64
 		_, err := fmt.Sscan(line, &ws, &class, &cost, &times)
 		assert.NilError(t, err)
-		taken := 0
+		accepted := 0
 		for i := range times {
 			w := chestnutstep.Work{Workspace: ws, Class: chestnutstep.Class(class), Cost: cost, Deadline: later, WaitUntil: later}
 			w.ID = fmt.Sprint(ws, class, now.UnixMilli(), "-", i)
-			lost, full := q.Push(now, w)
-			if full != nil {
-				fmt.Fprintf(&out, "%s refused: %s\n", ws, full.Reason)
+			evicted, rejection := q.Push(now, w)
+			if rejection != nil {
+				fmt.Fprintf(&out, "%s refused: %s\n", ws, rejection.Reason)
 				break
 			}
-			taken++
-			if lost != nil {
-				fmt.Fprintf(&out, "%s pushed out by %s\n", lost.Workspace, ws)
+			accepted++
+			if evicted != nil {
+				fmt.Fprintf(&out, "%s pushed out by %s\n", evicted.Workspace, ws)
 			}
 		}
-		fmt.Fprintf(&out, "%s waits: %d\n", ws, taken)
+		fmt.Fprintf(&out, "%s waits: %d\n", ws, accepted)
 	}
 	return out.String()
 }
 
 // pop serves n and prints runs of the same workspace, class and cost.
-func pop(t *testing.T, q waiter, d *datadriven.TestData) string {
+func pop(t *testing.T, q workQueue, d *datadriven.TestData) string {
 	var n int
 	d.ScanArgs(t, "n", &n)
 	var runs []string
@@ -123,7 +123,7 @@
 		}
 	}
 	for range n {
-		w, ok := q.Pop(any3)
+		w, ok := q.Pop(anyClass)
 		if !ok {
 			break
 		}
@@ -141,10 +141,10 @@
 // is pushed, popped, cancelled, expired and pushed out.
 func TestQueueAgreesWithPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := &Queue{Bound: 12, Weights: map[string]float64{"a": 2, "b": 0.5}}
+		q := &Queue{Capacity: 12, Weights: map[string]float64{"a": 2, "b": 0.5}}
 		list := map[string]chestnutstep.Work{}
 		now, n := epoch, 0
-		leave := func(id string) {
+		remove := func(id string) {
 			_, ok := list[id]
 			assert.Assert(t, ok, "%s left twice or never waited", id)
 			delete(list, id)
@@ -157,11 +157,11 @@
 				w.Class = chestnutstep.Class(rapid.IntRange(0, 3).Draw(t, "class"))
 				w.Cost = float64(rapid.IntRange(0, 5000).Draw(t, "cost"))
 				w.WaitUntil = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "patience")) * time.Second)
-				out, full := q.Push(now, w)
-				if out != nil {
-					leave(out.ID)
+				evicted, rejection := q.Push(now, w)
+				if evicted != nil {
+					remove(evicted.ID)
 				}
-				if full == nil {
+				if rejection == nil {
 					list[w.ID] = w
 				}
 			},
@@ -169,7 +169,7 @@
 				limit := chestnutstep.Class(rapid.IntRange(0, 2).Draw(t, "limit"))
 				if w, ok := q.Pop(func(c chestnutstep.Class) bool { return c <= limit }); ok {
 					assert.Assert(t, w.Class <= limit)
-					leave(w.ID)
+					remove(w.ID)
 				}
 			},
 			"cancel": func(t *rapid.T) {
@@ -182,11 +182,11 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "s")) * time.Second)
 				for w, ok := q.Expire(now); ok; w, ok = q.Expire(now) {
 					assert.Assert(t, !w.WaitUntil.After(now))
-					leave(w.ID)
+					remove(w.ID)
 				}
 			},
 			"": func(t *rapid.T) {
-				checkBooks(t, q, list)
+				checkCounts(t, q, list)
 			},
 		})
 	})
@@ -199,7 +199,7 @@
 	weights := map[string]float64{"a": 1, "b": 2, "c": 5}
 	const longest = 5000
 	rapid.Check(t, func(t *rapid.T) {
-		q := &Queue{Bound: 1000, Weights: weights}
+		q := &Queue{Capacity: 1000, Weights: weights}
 		for i := range 240 {
 			w := chestnutstep.Work{ID: fmt.Sprint(i), Deadline: later, WaitUntil: later, Class: 1}
 			w.Workspace = string("abc"[i%3])
@@ -208,7 +208,7 @@
 		}
 		served := map[string]float64{}
 		for range rapid.IntRange(1, 70).Draw(t, "pops") {
-			w, _ := q.Pop(any3)
+			w, _ := q.Pop(anyClass)
 			served[w.Workspace] += w.Cost / weights[w.Workspace]
 		}
 		for a, wa := range weights {
@@ -219,19 +219,19 @@
 	})
 }
 
-func checkBooks(t *rapid.T, q *Queue, list map[string]chestnutstep.Work) {
+func checkCounts(t *rapid.T, q *Queue, list map[string]chestnutstep.Work) {
 	assert.Equal(t, q.Len(), len(list))
-	assert.Assert(t, q.Len() <= q.Bound)
+	assert.Assert(t, q.Len() <= q.Capacity)
 	var counts [chestnutstep.ClassCount]int
 	var costs [chestnutstep.ClassCount]float64
 	for _, w := range list {
-		w = clean(w)
+		w = normalize(w)
 		counts[w.Class]++
 		costs[w.Class] += w.Cost
 	}
-	for c := range q.lanes {
-		assert.Equal(t, q.lanes[c].count, counts[c])
-		diff := q.lanes[c].cost - costs[c]
+	for c := range q.classes {
+		assert.Equal(t, q.classes[c].count, counts[c])
+		diff := q.classes[c].cost - costs[c]
 		assert.Assert(t, diff < 1e-6 && diff > -1e-6)
 	}
 }
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -30,11 +30,11 @@
 	var r Ramp
 	r.Leave(at(0))
 	r.Leave(at(0.5))
-	assert.Assert(t, r.Shed(at(0.7), chestnutstep.ClassNormal), "leaving twice is leaving once")
+	assert.Assert(t, r.ShouldShed(at(0.7), chestnutstep.ClassNormal), "leaving twice is leaving once")
 	r.Return()
-	assert.Assert(t, !r.Shed(at(5), chestnutstep.ClassBatch))
+	assert.Assert(t, !r.ShouldShed(at(5), chestnutstep.ClassBatch))
 	r.Leave(at(10))
-	assert.Assert(t, !r.Shed(at(10.1), chestnutstep.ClassUrgent))
+	assert.Assert(t, !r.ShouldShed(at(10.1), chestnutstep.ClassUrgent))
 }
 
 // What waits at a whole failure domain is turned away in one instant, and its
@@ -50,7 +50,7 @@
 		{chestnutstep.ClassNormal, 0.7},
 		{chestnutstep.ClassUrgent, 1.4},
 	} {
-		assert.Assert(t, r.Shed(at(c.gone), c.class), "class %d", c.class)
-		assert.Assert(t, c.gone == 0 || !r.Shed(at(c.gone-0.001), c.class), "class %d too soon", c.class)
+		assert.Assert(t, r.ShouldShed(at(c.gone), c.class), "class %d", c.class)
+		assert.Assert(t, c.gone == 0 || !r.ShouldShed(at(c.gone-0.001), c.class), "class %d too soon", c.class)
 	}
 }
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -27,8 +27,8 @@
 // collect reads an answer to its end before the caller sees any of it. A broken
 // one can then still be replaced by another target's, or by a plain failure;
 // once its head is out, only a cut connection would be left.
-func (q *request) collect(run *board.Run, a *link.Response) error {
-	run.First(clock.Now())
+func (q *request) collect(run *board.Attempt, a *link.Response) error {
+	run.FirstByte(clock.Now())
 	var b bytes.Buffer
 	if a.Length > 0 {
 		b.Grow(int(min(a.Length, maxAnswerBytes)))
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -36,7 +36,7 @@
 			Instance: &chestnutstep.Instance{ID: name, Service: "llm", Address: "127.0.0.1:1", Domain: "d", Slots: 8},
 		})
 	}
-	ros.Learn(clock.Now(), chestnutstep.TopicTargets, list, true)
+	ros.Apply(clock.Now(), chestnutstep.TopicTargets, list, true)
 	c := &chestnutstep.Routing{
 		Version: 1, RequiresKey: true, Services: map[string]*chestnutstep.Service{"llm": {Name: "llm", IsEngine: true}},
 		Workspaces: []*chestnutstep.WorkspaceAccess{{Name: "ws", Keys: []string{key}}},
@@ -46,10 +46,10 @@
 		}},
 	}
 	c.BuildIndex()
-	ros.Learn(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
+	ros.Apply(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactRouting, Revision: 1, Routing: c,
 	}}}, false)
-	ros.Confirm(clock.Now())
+	ros.ConfirmVersion(clock.Now())
 	bounds := config.Bounds{MaxRevokeTime: time.Hour}
 	set, err := meter.NewSet()
 	assert.NilError(b, err)
@@ -57,7 +57,7 @@
 	x.Meters, x.Log = &set.Relay, &event.Log{Out: io.Discard}
 	now := clock.Now()
 	v, service := ros.View(), c.Services["llm"]
-	who := board.Who{Workspace: "ws", Objective: time.Second}
+	who := board.Caller{Workspace: "ws", Objective: time.Second}
 	for _, t := range v.Services["llm"] {
 		x.Board.Start(now.Add(-time.Second), t, service, nil, 0, who).End(now, board.Served)
 		for range 3 * t.Slots {
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -35,17 +35,17 @@
 	if wait := q.quarantineWait(now); wait > 0 {
 		return board.Choice{}, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonCondemned, wait}
 	}
-	need := board.Need{
-		Parts: q.ask.Parts, Domain: q.Domain, Skip: q.triedTargets, Allowed: q.allowsDomain, Cap: q.Bounds().CapFactor,
+	need := board.Criteria{
+		Parts: q.ask.Parts, Domain: q.Domain, Skip: q.triedTargets, DomainAllowed: q.allowsDomain, CapFactor: q.Bounds().CapFactor,
 		VerifyHost: !q.route.IsIdempotent() || q.attempts.Sent > 0,
 	}
 	if requester := q.requester(); q.attempts.Sent == 0 {
-		need.Who = &requester
+		need.Caller = &requester
 	}
 	c := q.Board.Choose(now, q.view, q.service, need, q.placement())
 	switch {
-	case !c.Room.Free:
-		return c, q.refuseFull(c.Room)
+	case !c.Admission.Admitted:
+		return c, q.refuseFull(c.Admission)
 	case c.Target == nil:
 		return c, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonTarget, busyRetryAfter}
 	}
@@ -63,7 +63,7 @@
 
 // refuseFull refuses a request for which the targets have no place left, with the time after
 // which it may find one.
-func (q *request) refuseFull(capacity board.Room) *refusal {
+func (q *request) refuseFull(capacity board.Admission) *refusal {
 	q.capacity = &capacity
 	q.Meters.Refused.Add(1, q.requester().Workspace, string(capacity.Reason))
 	return &refusal{http.StatusServiceUnavailable, capacity.Reason, admit.RetryAfter(q.ask.ID, q.route.LatencyObjective)}
@@ -80,8 +80,8 @@
 }
 
 // placement says what the request asks of its place.
-func (q *request) placement() place.Ask {
-	a := place.Ask{Key: xxhash.Sum64String(q.ask.ID)}
+func (q *request) placement() place.Request {
+	a := place.Request{Key: xxhash.Sum64String(q.ask.ID)}
 	for _, p := range q.ask.Parts {
 		a.Tokens += p.Tokens
 	}
@@ -93,8 +93,8 @@
 }
 
 // requester asks, for the places at targets.
-func (q *request) requester() board.Who {
-	w := board.Who{Urgency: q.urgency(), Objective: q.route.LatencyObjective}
+func (q *request) requester() board.Caller {
+	w := board.Caller{Urgency: q.urgency(), Objective: q.route.LatencyObjective}
 	if q.workspace != nil {
 		w.Workspace = q.workspace.Name
 	}
--- a/relay/deadly_test.go
+++ b/relay/deadly_test.go
@@ -313,7 +313,7 @@
 func (f *cluster) publishTarget(i int, born int64, leaving bool) {
 	x := f.targets[i]
 	f.revision++
-	f.roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: f.revision, Facts: []chestnutstep.Fact{{
+	f.roster.Apply(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: f.revision, Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactInstance, Name: x.Name, Revision: f.revision,
 		Instance: &chestnutstep.Instance{
 			ID: x.Name, Service: "shop", Address: x.Address(), Domain: "d", Slots: 8, StartedMs: born, Leaving: leaving,
--- a/relay/ended.go
+++ b/relay/ended.go
@@ -127,7 +127,7 @@
 // targetFor returns what is known of a target. The caller holds the lock.
 func (c *CrashTracker) targetFor(now clock.Stamp, t *roster.Target) *brokenTarget {
 	c.expire(now)
-	key := board.Key(&t.Instance)
+	key := board.CacheKey(&t.Instance)
 	x := c.targets[key]
 	if x == nil {
 		x = &brokenTarget{key: key, id: t.ID, born: t.StartedMs}
--- a/relay/full_test.go
+++ b/relay/full_test.go
@@ -19,9 +19,9 @@
 	g := newTestRelay(t)
 	v := g.roster.View()
 	service := v.Routing.Services["shop"]
-	who := board.Who{Workspace: "other", Objective: time.Second}
+	who := board.Caller{Workspace: "other", Objective: time.Second}
 	now := clock.Now()
-	var runs []*board.Run
+	var runs []*board.Attempt
 	for _, x := range v.Services["shop"] {
 		g.relay.Board.Start(now.Add(-time.Second), x, service, nil, 0, who).End(now, board.Served)
 		for range 3 * x.Slots {
--- a/relay/log.go
+++ b/relay/log.go
@@ -20,9 +20,9 @@
 func (q *request) logSend(c *board.Choice) {
 	q.log(event.RelaySent,
 		event.Str("target", c.ID), event.Str("service", q.service.Name), event.Int("try", int64(q.attempts.Sent+1)),
-		event.Float("running", c.Running), event.Int("own", int64(c.Held)), event.Int("held", int64(c.Cached())),
-		event.Int("shared", int64(c.Ask.Shared)), event.Uint("prefix", c.Ask.Key), event.Float("cost", c.Cost),
-		event.Int("of", int64(c.Of)), event.Bool("cold", c.Cold), event.Str("fetch", c.Donor.Address), event.Bool("fresh", c.Fresh),
+		event.Float("running", c.Running), event.Int("own", int64(c.CachedTokens)), event.Int("held", int64(c.ReusableTokens())),
+		event.Int("shared", int64(c.Request.Shared)), event.Uint("prefix", c.Request.Key), event.Float("cost", c.Cost),
+		event.Int("of", int64(c.Eligible)), event.Bool("cold", c.Cold), event.Str("fetch", c.Donor.Address), event.Bool("fresh", c.NewConnection),
 		event.Uint("version", q.view.Routing.Version), event.Dur("listed", clock.Now().Sub(q.Roster.Proof(chestnutstep.TopicTargets))))
 }
 
@@ -58,7 +58,7 @@
 	fields := []event.Field{
 		event.Int("status", int64(f.status)), event.Str("reason", string(f.reason)), event.Str("run", string(run)),
 		event.Int("tries", int64(q.attempts.Sent)), event.Dur("took", time.Since(q.startedAt)),
-		event.Dur("proof", clock.Now().Sub(q.Roster.Confirmed())),
+		event.Dur("proof", clock.Now().Sub(q.Roster.VersionConfirmedAt())),
 	}
 	if q.capacity != nil {
 		fields = append(fields, event.Str("workspace", q.requester().Workspace), event.Float("taken", q.capacity.Taken),
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -82,7 +82,7 @@
 	// may run it meanwhile.
 	isTrial bool
 	// capacity is what was known of the targets' places when none was left; nil before.
-	capacity *board.Room
+	capacity *board.Admission
 }
 
 // ServeHTTP answers one request of a caller.
@@ -198,7 +198,7 @@
 		return true
 	}
 	limit := time.Duration(revokeSafetyRatio * float64(revoke))
-	return clock.Now().Sub(q.Roster.Confirmed()) <= limit
+	return clock.Now().Sub(q.Roster.VersionConfirmedAt()) <= limit
 }
 
 // pickService picks a service of the route by its weights, the same one for all tries.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -74,9 +74,9 @@
 			Instance: &chestnutstep.Instance{ID: name, Service: "shop", Address: x.Address(), Domain: "d", Slots: 8},
 		})
 	}
-	g.roster.Learn(clock.Now(), chestnutstep.TopicTargets, b, true)
+	g.roster.Apply(clock.Now(), chestnutstep.TopicTargets, b, true)
 	g.publish(1, key)
-	g.roster.Confirm(clock.Now())
+	g.roster.ConfirmVersion(clock.Now())
 	bounds := config.Bounds{MaxRevokeTime: revokeTimeout}
 	g.relay = newRelay(g.roster, bounds, 1)
 	g.server = httptest.NewServer(g.relay)
@@ -132,7 +132,7 @@
 		c.Routes = append(c.Routes, r)
 	}
 	c.BuildIndex()
-	g.roster.Learn(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
+	g.roster.Apply(clock.Now(), chestnutstep.TopicRouting, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactRouting, Revision: version, Routing: c,
 	}}}, false)
 }
@@ -248,5 +248,5 @@
 			})
 		}
 	}
-	g.roster.Learn(clock.Now(), chestnutstep.TopicTargets, b, false)
+	g.roster.Apply(clock.Now(), chestnutstep.TopicTargets, b, false)
 }
--- a/relay/run.go
+++ b/relay/run.go
@@ -90,10 +90,10 @@
 		q.Budgets.Earn(time.Now(), q.service.Name)
 	}
 	q.stream.events = 0
-	run := q.Board.Start(now, t, q.service, q.ask.Parts, c.Cached(), q.requester())
+	run := q.Board.Start(now, t, q.service, q.ask.Parts, c.ReusableTokens(), q.requester())
 	q.logSend(c)
 	q.countTokens(c)
-	if c.Fresh {
+	if c.NewConnection {
 		q.Meters.Verified.Add(1, q.service.Name)
 	}
 	ctx, cancel := context.WithCancel(q.ctx)
@@ -127,12 +127,12 @@
 
 // countTokens counts where the prompt is expected to come from.
 func (q *request) countTokens(c *board.Choice) {
-	if c.Ask.Tokens == 0 {
+	if c.Request.Tokens == 0 {
 		return
 	}
-	q.Meters.PromptTokens.Add(int64(c.Held), "held")
-	q.Meters.PromptTokens.Add(int64(c.Cached()-c.Held), "fetched")
-	q.Meters.PromptTokens.Add(int64(max(c.Ask.Tokens-c.Cached(), 0)), "read")
+	q.Meters.PromptTokens.Add(int64(c.CachedTokens), "held")
+	q.Meters.PromptTokens.Add(int64(c.ReusableTokens()-c.CachedTokens), "fetched")
+	q.Meters.PromptTokens.Add(int64(max(c.Request.Tokens-c.ReusableTokens(), 0)), "read")
 }
 
 // buildCall builds the message for a target.
@@ -168,8 +168,8 @@
 		Header:         h,
 		Body:           q.body,
 		HasBody:        q.r.ContentLength != 0,
-		MaxIdle:        link.MaxIdle(q.service.MaxConnections, q.Board.Entries()),
-		NewConn:        c.Fresh,
+		MaxIdle:        link.MaxIdle(q.service.MaxConnections, q.Board.EntryCount()),
+		NewConn:        c.NewConnection,
 		DialTimeout:    q.dialTimeout(c),
 		OnUnresponsive: q.onUnresponsive(c.Target),
 	}
@@ -184,7 +184,7 @@
 
 // dialTimeout bounds the opening of a connection that verifies a host, in time for another one.
 func (q *request) dialTimeout(c *board.Choice) time.Duration {
-	if !c.Fresh || q.route.LatencyObjective <= 0 {
+	if !c.NewConnection || q.route.LatencyObjective <= 0 {
 		return 0
 	}
 	return max(time.Duration(verifyRatio*float64(q.route.LatencyObjective)), minVerifyTimeout)
@@ -196,7 +196,7 @@
 	canRepeat := q.route.IsIdempotent() && q.attempts.Sent+1 < q.route.MaxAttempts
 	return func() bool {
 		q.Meters.Silent.Add(1, q.service.Name)
-		known := q.Board.RecordSilence(clock.Now(), t)
+		known := q.Board.RecordUnresponsive(clock.Now(), t)
 		q.log(event.TargetSilent, event.Str("target", t.ID), event.Bool("link", known), event.Bool("again", known && canRepeat))
 		return known && canRepeat
 	}
--- a/relay/silent_test.go
+++ b/relay/silent_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(func() { l.Close() })
 	d := &unresponsiveHost{Listener: l}
 	go d.run(t)
-	g.roster.Learn(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
+	g.roster.Apply(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactInstance, Name: "i-deaf", Revision: 9,
 		Instance: &chestnutstep.Instance{ID: "i-deaf", Service: "shop", Address: l.Addr().String(), Domain: "d", Slots: 8},
 	}}}, false)
@@ -51,12 +51,12 @@
 func (g *testRelay) keepLinkActive(t *testing.T) {
 	v := g.roster.View()
 	x := v.ByID["i-a"]
-	run := g.relay.Board.Start(clock.Now(), x, v.Routing.Services["shop"], nil, 0, board.Who{})
+	run := g.relay.Board.Start(clock.Now(), x, v.Routing.Services["shop"], nil, 0, board.Caller{})
 	stop := time.NewTicker(20 * time.Millisecond)
 	t.Cleanup(stop.Stop)
 	go func() {
 		for range stop.C {
-			run.First(clock.Now())
+			run.FirstByte(clock.Now())
 		}
 	}()
 }
@@ -97,9 +97,9 @@
 	b := &board.Board{}
 	g := newTestRelay(t)
 	v := g.roster.View()
-	assert.Assert(t, !b.RecordSilence(clock.Now(), v.ByID["i-a"]), "nothing has answered here")
-	run := b.Start(clock.Now(), v.ByID["i-b"], v.Routing.Services["shop"], nil, 0, board.Who{})
-	run.First(clock.Now())
-	assert.Assert(t, b.RecordSilence(clock.Now(), v.ByID["i-a"]))
+	assert.Assert(t, !b.RecordUnresponsive(clock.Now(), v.ByID["i-a"]), "nothing has answered here")
+	run := b.Start(clock.Now(), v.ByID["i-b"], v.Routing.Services["shop"], nil, 0, board.Caller{})
+	run.FirstByte(clock.Now())
+	assert.Assert(t, b.RecordUnresponsive(clock.Now(), v.ByID["i-a"]))
 	assert.Equal(t, len(b.Suspicions()), 1)
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -29,7 +29,7 @@
 
 // forwardEvents passes events on as they come, each whole. A target may break off in
 // the middle of one: had the first half gone out, nothing could follow it.
-func (q *request) forwardEvents(run *board.Run, a *link.Response) error {
+func (q *request) forwardEvents(run *board.Attempt, a *link.Response) error {
 	flush := http.NewResponseController(q.w)
 	br := bufio.NewReaderSize(a, 1<<10)
 	for {
@@ -43,7 +43,7 @@
 			a.Close(false)
 			return q.truncatedErr(err)
 		}
-		run.First(clock.Now())
+		run.FirstByte(clock.Now())
 		q.stream.events++
 		if err := q.checkOrder(id); err != nil {
 			a.Close(false)
--- a/relay/validate.go
+++ b/relay/validate.go
@@ -36,7 +36,7 @@
 }
 
 // recordFailure takes note of a try without a usable answer.
-func (q *request) recordFailure(run *board.Run, t *roster.Target, err error) {
+func (q *request) recordFailure(run *board.Attempt, t *roster.Target, err error) {
 	now := clock.Now()
 	var e link.ErrCall
 	if !errors.As(err, &e) {
@@ -98,13 +98,13 @@
 	case e.Reason == chestnutstep.ReasonFull:
 		return board.Refused
 	case e.Unresponsive, e.Reason == chestnutstep.ReasonDown && isTimeout(e.Err):
-		return board.Unreached
+		return board.Unreachable
 	case e.Reason == chestnutstep.ReasonDown:
-		return board.Closed
+		return board.ConnRefused
 	case e.Reason == chestnutstep.ReasonDead:
 		return board.Replaced
 	case e.Reason == chestnutstep.ReasonLink && !e.Reused:
-		return board.Silent
+		return board.Broken
 	default:
 		return board.Failed
 	}
