--- a/roster/roster.go
+++ b/roster/roster.go
@@ -41,31 +41,31 @@
 
 // Roster takes facts. It is safe for concurrent use.
 type Roster struct {
-	// Wall is the time of day; time.Now if nil.
-	Wall func() time.Time
+	// WallClock is the time of day; time.Now if nil.
+	WallClock func() time.Time
 
 	mu   sync.Mutex
 	view atomic.Pointer[View]
-	// known is the revision of each entry, gone ones included.
-	known map[entry]uint64
-	// held are the entries as they were published, for peers.
-	held    map[entry]chestnutstep.Fact
+	// revisions is the revision of each entry, gone ones included.
+	revisions map[factKey]uint64
+	// facts are the entries as they were published, for peers.
+	facts   map[factKey]chestnutstep.Fact
 	topics  [chestnutstep.TopicCount]topic
 	targets map[string]*Target
 	out     map[string]bool
 	routing *chestnutstep.Routing
-	// doubt says that the source of targets has not answered since the last read, and
+	// sourceUnresponsive says that the source of targets has not answered since the last read, and
 	// settled until when targets that are missing are kept.
-	doubt   bool
-	settled clock.Stamp
+	sourceUnresponsive bool
+	keepMissingUntil   clock.Stamp
 	// confirmed is when a peer's report last proved the version in force.
-	confirmed stamp
+	confirmed latestStamp
 }
 
-// stamp is a moment that only moves forward.
-type stamp struct{ atomic.Int64 }
+// latestStamp is a moment that only moves forward.
+type latestStamp struct{ atomic.Int64 }
 
-func (s *stamp) advance(at clock.Stamp) {
+func (s *latestStamp) advance(at clock.Stamp) {
 	for {
 		old := s.Load()
 		if int64(at) <= old || s.CompareAndSwap(old, int64(at)) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// entry names a published entry.
-type entry struct {
+// factKey names a published entry.
+type factKey struct {
 	kind chestnutstep.FactKind
 	name string
 }
@@ -84,20 +84,20 @@
 type Change struct {
 	Version uint64
 	Joined  []string
-	Left    []string
+	Removed []string
 	Leaving []string
 	// Kept are targets that are no longer listed and stay usable while the source settles.
 	Kept []string
-	// Back are targets that can be used again.
-	Back []string
+	// Recovered are targets that can be used again.
+	Recovered []string
 	// Out and In are failure domains that were taken out of service and back.
-	Out []string
-	In  []string
+	Out      []string
+	Restored []string
 }
 
 // Empty says that nothing changed.
 func (c Change) Empty() bool {
-	return c.Version == 0 && len(c.Joined)+len(c.Left)+len(c.Leaving)+len(c.Kept)+len(c.Back)+len(c.Out)+len(c.In) == 0
+	return c.Version == 0 && len(c.Joined)+len(c.Removed)+len(c.Leaving)+len(c.Kept)+len(c.Recovered)+len(c.Out)+len(c.Restored) == 0
 }
 
 // View returns what is known now; nil before the configuration is known.
@@ -108,16 +108,16 @@
 	return clock.Stamp(r.topics[t].proof.Load())
 }
 
-// Prove says that all facts of a topic as of a moment are known.
-func (r *Roster) Prove(t chestnutstep.Topic, at clock.Stamp) { r.topics[t].proof.advance(at) }
+// RecordProof says that all facts of a topic as of a moment are known.
+func (r *Roster) RecordProof(t chestnutstep.Topic, at clock.Stamp) { r.topics[t].proof.advance(at) }
 
-// Confirm says that the version in force was the newest at a moment. It proves nothing about
+// ConfirmVersion says that the version in force was the newest at a moment. It proves nothing about
 // failure domains or targets.
-func (r *Roster) Confirm(at clock.Stamp) { r.confirmed.advance(at) }
+func (r *Roster) ConfirmVersion(at clock.Stamp) { r.confirmed.advance(at) }
 
-// Confirmed is the moment as of which the version in force is known to be the newest; 0 for
+// VersionConfirmedAt is the moment as of which the version in force is known to be the newest; 0 for
 // never.
-func (r *Roster) Confirmed() clock.Stamp {
+func (r *Roster) VersionConfirmedAt() clock.Stamp {
 	return max(clock.Stamp(r.confirmed.Load()), r.Proof(chestnutstep.TopicRouting))
 }
 
@@ -129,19 +129,19 @@
 	return 0
 }
 
-// Doubt records that the source of targets does not answer.
-func (r *Roster) Doubt() {
+// MarkSourceUnresponsive records that the source of targets does not answer.
+func (r *Roster) MarkSourceUnresponsive() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doubt = true
+	r.sourceUnresponsive = true
 }
 
-func (r *Roster) begin() {
-	if r.known != nil {
+func (r *Roster) initMaps() {
+	if r.revisions != nil {
 		return
 	}
-	r.known = make(map[entry]uint64)
-	r.held = make(map[entry]chestnutstep.Fact)
+	r.revisions = make(map[factKey]uint64)
+	r.facts = make(map[factKey]chestnutstep.Fact)
 	for i := range r.topics {
 		r.topics[i].changed = make(chan struct{})
 	}
@@ -149,29 +149,29 @@
 	r.out = make(map[string]bool)
 }
 
-// Learn takes the facts of one read of a topic that was asked at a moment. With full they
+// Apply takes the facts of one read of a topic that was asked at a moment. With full they
 // are all that there are: what is not among them is gone.
-func (r *Roster) Learn(now clock.Stamp, topic chestnutstep.Topic, b chestnutstep.Batch, full bool) Change {
+func (r *Roster) Apply(now clock.Stamp, topic chestnutstep.Topic, b chestnutstep.Batch, full bool) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begin()
+	r.initMaps()
 	t := &r.topics[topic]
 	if topic == chestnutstep.TopicTargets {
-		r.extendSettled(now, b, t.read)
+		r.extendKeepMissing(now, b, t.readAt)
 	}
 	var c Change
-	seen := make(map[entry]bool, len(b.Facts))
+	seen := make(map[factKey]bool, len(b.Facts))
 	for _, f := range b.Facts {
-		seen[entry{f.Kind, f.Name}] = true
-		r.take(now, f, &c)
+		seen[factKey{f.Kind, f.Name}] = true
+		r.applyFact(now, f, &c)
 	}
 	if full {
-		r.retire(now, topic, seen, b.Revision, &c)
+		r.removeUnlisted(now, topic, seen, b.Revision, &c)
 	}
 	r.expire(now, &c)
-	first := full && topic == chestnutstep.TopicTargets && !t.listed
-	t.learn(now, b, full)
-	r.publish(c, first)
+	isFirstList := full && topic == chestnutstep.TopicTargets && !t.listed
+	t.recordRead(now, b, full)
+	r.publish(c, isFirstList)
 	return c
 }
 
@@ -179,49 +179,49 @@
 func (r *Roster) Tick(now clock.Stamp) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begin()
+	r.initMaps()
 	var c Change
 	r.expire(now, &c)
 	r.publish(c, false)
 	return c
 }
 
-// take applies a fact unless a later one about the same entry is known: an
+// applyFact applies a fact unless a later one about the same entry is known: an
 // answer that was held up may come after a newer one.
-func (r *Roster) take(now clock.Stamp, f chestnutstep.Fact, c *Change) {
-	key := entry{f.Kind, f.Name}
+func (r *Roster) applyFact(now clock.Stamp, f chestnutstep.Fact, c *Change) {
+	key := factKey{f.Kind, f.Name}
 	if r.supersedes(key, f.Revision) {
 		return
 	}
-	r.known[key] = f.Revision
-	r.keep(key, f)
+	r.revisions[key] = f.Revision
+	r.storeFact(key, f)
 	switch f.Kind {
 	case chestnutstep.FactRouting:
-		r.takeRouting(f, c)
+		r.applyRouting(f, c)
 	case chestnutstep.FactDomainOut:
-		r.takeOut(f.Name, !f.Deleted, c)
+		r.applyOut(f.Name, !f.Deleted, c)
 	case chestnutstep.FactInstance:
 		if f.Deleted {
-			r.miss(now, f.Name, c)
+			r.markMissing(now, f.Name, c)
 			return
 		}
-		r.takeInstance(now, f.Instance, c)
+		r.applyInstance(now, f.Instance, c)
 	}
 }
 
 // supersedes says whether something newer than a revision is known of an entry. One that a full
 // read did not list was removed before it.
-func (r *Roster) supersedes(key entry, revision uint64) bool {
-	known := r.known[key]
-	if _, ok := r.held[key]; ok {
+func (r *Roster) supersedes(key factKey, revision uint64) bool {
+	known := r.revisions[key]
+	if _, ok := r.facts[key]; ok {
 		return revision < known
 	}
-	return revision <= max(known, r.topics[key.kind.Topic()].floor)
+	return revision <= max(known, r.topics[key.kind.Topic()].fullRevision)
 }
 
-// takeRouting never goes back: a request that was handled under a version must
+// applyRouting never goes back: a request that was handled under a version must
 // not be followed by one under an older version.
-func (r *Roster) takeRouting(f chestnutstep.Fact, c *Change) {
+func (r *Roster) applyRouting(f chestnutstep.Fact, c *Change) {
 	if f.Deleted || r.routing != nil && f.Routing.Version <= r.routing.Version {
 		return
 	}
@@ -229,7 +229,7 @@
 	c.Version = f.Routing.Version
 }
 
-func (r *Roster) takeOut(domain string, out bool, c *Change) {
+func (r *Roster) applyOut(domain string, out bool, c *Change) {
 	if r.out[domain] == out {
 		return
 	}
@@ -239,46 +239,46 @@
 		return
 	}
 	delete(r.out, domain)
-	c.In = append(c.In, domain)
+	c.Restored = append(c.Restored, domain)
 }
 
-func (r *Roster) takeInstance(now clock.Stamp, in *chestnutstep.Instance, c *Change) {
+func (r *Roster) applyInstance(now clock.Stamp, in *chestnutstep.Instance, c *Change) {
 	old := r.targets[in.ID]
 	t := &Target{Instance: *in, ColdUntil: now.Add(in.ColdRemaining)}
-	fresh := old == nil || old.StartedMs != in.StartedMs || old.Address != in.Address
-	if fresh && r.topics[chestnutstep.TopicTargets].listed && !r.aged(in) {
+	isNew := old == nil || old.StartedMs != in.StartedMs || old.Address != in.Address
+	if isNew && r.topics[chestnutstep.TopicTargets].listed && !r.startedEarlier(in) {
 		// One that appears while we watch has just started, whatever it says.
 		t.ColdUntil = max(t.ColdUntil, now.Add(r.coldStart(in.Service)))
 	}
-	if !fresh {
+	if !isNew {
 		t.ColdUntil = max(t.ColdUntil, old.ColdUntil)
 	}
 	r.targets[in.ID] = t
 	switch {
-	case fresh:
+	case isNew:
 		c.Joined = append(c.Joined, in.ID)
 	case in.Leaving && !old.Leaving:
 		c.Leaving = append(c.Leaving, in.ID)
 	case old.missing || old.Leaving != in.Leaving || old.ColdUntil < t.ColdUntil:
-		c.Back = append(c.Back, in.ID)
+		c.Recovered = append(c.Recovered, in.ID)
 	}
 }
 
-// bornMargin is by how much the time of day may differ between hosts, jumps
+// clockSkewMargin is by how much the time of day may differ between hosts, jumps
 // included.
-const bornMargin = 10 * time.Second
+const clockSkewMargin = 10 * time.Second
 
-// aged says that an instance was born long before it appeared: it was there, and
+// startedEarlier says that an instance was born long before it appeared: it was there, and
 // the list has lost it for a while.
-func (r *Roster) aged(in *chestnutstep.Instance) bool {
+func (r *Roster) startedEarlier(in *chestnutstep.Instance) bool {
 	if in.StartedMs == 0 {
 		return false
 	}
-	wall := time.Now
-	if r.Wall != nil {
-		wall = r.Wall
+	now := time.Now
+	if r.WallClock != nil {
+		now = r.WallClock
 	}
-	return wall().Sub(time.UnixMilli(in.StartedMs)) > r.coldStart(in.Service)+bornMargin
+	return now().Sub(time.UnixMilli(in.StartedMs)) > r.coldStart(in.Service)+clockSkewMargin
 }
 
 func (r *Roster) coldStart(service string) time.Duration {
@@ -293,8 +293,8 @@
 }
 
 // publish makes a new view, if anything changed or always.
-func (r *Roster) publish(c Change, always bool) {
-	if r.routing == nil || !always && c.Empty() && r.view.Load() != nil {
+func (r *Roster) publish(c Change, force bool) {
+	if r.routing == nil || !force && c.Empty() && r.view.Load() != nil {
 		return
 	}
 	v := &View{
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -27,7 +27,7 @@
 func TestFacts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &script{now: clock.Stamp(time.Hour)}
-		s.roster = &roster.Roster{Wall: func() time.Time { return time.Unix(0, int64(s.now)) }}
+		s.roster = &roster.Roster{WallClock: func() time.Time { return time.Unix(0, int64(s.now)) }}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var after string
 			if d.HasArg("after") {
@@ -46,7 +46,7 @@
 func (s *script) play(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "doubt":
-		s.roster.Doubt()
+		s.roster.MarkSourceUnresponsive()
 	case "tick":
 		s.roster.Tick(s.now)
 	case "read", "full":
@@ -67,15 +67,15 @@
 				b.SettleTime = value
 			}
 		}
-		s.learn(b, d.Cmd == "full")
+		s.apply(b, d.Cmd == "full")
 	default:
 		d.Fatalf(t, "unknown command %s", d.Cmd)
 	}
 	return s.view()
 }
 
-// learn gives the roster the facts of both topics, the configuration first.
-func (s *script) learn(b chestnutstep.Batch, full bool) {
+// apply gives the roster the facts of both topics, the configuration first.
+func (s *script) apply(b chestnutstep.Batch, full bool) {
 	for _, topic := range []chestnutstep.Topic{chestnutstep.TopicRouting, chestnutstep.TopicTargets} {
 		part := b
 		part.Facts = nil
@@ -84,7 +84,7 @@
 				part.Facts = append(part.Facts, f)
 			}
 		}
-		s.roster.Learn(s.now, topic, part, full)
+		s.roster.Apply(s.now, topic, part, full)
 	}
 }
 
@@ -93,13 +93,13 @@
 func batch(t *testing.T, d *datadriven.TestData) chestnutstep.Batch {
 	var b chestnutstep.Batch
 	for _, line := range strings.Split(d.Input, "\n") {
-		w := strings.Fields(line)
-		if len(w) < 2 {
+		words := strings.Fields(line)
+		if len(words) < 2 {
 			continue
 		}
-		f := chestnutstep.Fact{Name: w[1]}
-		in := &chestnutstep.Instance{ID: w[1], Service: "s", Address: w[1] + ":1", Domain: "d"}
-		for _, word := range w[2:] {
+		f := chestnutstep.Fact{Name: words[1]}
+		in := &chestnutstep.Instance{ID: words[1], Service: "s", Address: words[1] + ":1", Domain: "d"}
+		for _, word := range words[2:] {
 			name, value, _ := strings.Cut(word, "=")
 			switch name {
 			case "rev":
@@ -116,17 +116,17 @@
 				d.Fatalf(t, "unknown word %s", word)
 			}
 		}
-		switch w[0] {
+		switch words[0] {
 		case "target", "gone":
-			f.Kind, f.Instance, f.Deleted = chestnutstep.FactInstance, in, w[0] == "gone"
+			f.Kind, f.Instance, f.Deleted = chestnutstep.FactInstance, in, words[0] == "gone"
 		case "out", "back":
-			f.Kind, f.Deleted = chestnutstep.FactDomainOut, w[0] == "back"
+			f.Kind, f.Deleted = chestnutstep.FactDomainOut, words[0] == "back"
 		case "version":
 			f.Kind, f.Name = chestnutstep.FactRouting, ""
 			f.Routing = &chestnutstep.Routing{Services: map[string]*chestnutstep.Service{
 				"s": {Name: "s", ColdStart: 3 * time.Second, ColdRate: 10},
 			}}
-			_, _ = fmt.Sscan(w[1], &f.Routing.Version)
+			_, _ = fmt.Sscan(words[1], &f.Routing.Version)
 		}
 		b.Revision = max(b.Revision, f.Revision)
 		b.Facts = append(b.Facts, f)
@@ -161,13 +161,13 @@
 	return out + "\n"
 }
 
-// TestDomainBackInServiceIsNotHandedOnAsOut guards against an entry that starts and sends nothing to a failure domain which came
+// TestRestoredDomainIsNotSharedAsOut guards against an entry that starts and sends nothing to a failure domain which came
 // back while the entry that it copies from had a gap.
-func TestDomainBackInServiceIsNotHandedOnAsOut(t *testing.T) {
+func TestRestoredDomainIsNotSharedAsOut(t *testing.T) {
 	r := &roster.Roster{}
 	out := chestnutstep.Fact{Kind: chestnutstep.FactDomainOut, Name: "z", Revision: 2}
-	r.Learn(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 2, Facts: []chestnutstep.Fact{out}}, true)
-	r.Learn(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 5}, true)
+	r.Apply(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 2, Facts: []chestnutstep.Fact{out}}, true)
+	r.Apply(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 5}, true)
 	b, ok := r.Since(0, chestnutstep.TopicRouting, 0)
 	assert.Assert(t, ok && len(b.Facts) == 0, "%v", b.Facts)
 }
--- a/roster/since.go
+++ b/roster/since.go
@@ -13,27 +13,27 @@
 func (r *Roster) Since(now clock.Stamp, topic chestnutstep.Topic, after uint64) (chestnutstep.Batch, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begin()
+	r.initMaps()
 	t := &r.topics[topic]
 	b := chestnutstep.Batch{Revision: t.revision}
 	if topic == chestnutstep.TopicTargets {
-		b.SettleTime = max(r.settled.Sub(now), 0)
+		b.SettleTime = max(r.keepMissingUntil.Sub(now), 0)
 	}
 	if after == 0 {
-		b.Facts = r.all(topic)
+		b.Facts = r.factsInForce(topic)
 		return b, true
 	}
-	if after < t.floor {
+	if after < t.fullRevision {
 		return b, false
 	}
 	if after >= t.revision {
 		return b, true
 	}
-	for key, revision := range r.known {
+	for key, revision := range r.revisions {
 		if revision <= after || key.kind == chestnutstep.FactUnknown || key.kind.Topic() != topic {
 			continue
 		}
-		f, ok := r.held[key]
+		f, ok := r.facts[key]
 		if !ok {
 			f = chestnutstep.Fact{Kind: key.kind, Name: key.name, Revision: revision, Deleted: true}
 		}
@@ -42,11 +42,11 @@
 	return b, true
 }
 
-// all lists the facts of a topic in force, as the source would: without instances that it no
+// factsInForce lists the facts of a topic in force, as the source would: without instances that it no
 // longer lists. The caller holds the lock.
-func (r *Roster) all(topic chestnutstep.Topic) []chestnutstep.Fact {
+func (r *Roster) factsInForce(topic chestnutstep.Topic) []chestnutstep.Fact {
 	var list []chestnutstep.Fact
-	for key, f := range r.held {
+	for key, f := range r.facts {
 		if key.kind.Topic() != topic {
 			continue
 		}
@@ -58,15 +58,15 @@
 	return list
 }
 
-// Await returns once facts of a topic were read up to a later revision, none can be expected,
+// WaitForUpdate returns once facts of a topic were read up to a later revision, none can be expected,
 // or the wait is over.
-func (r *Roster) Await(topic chestnutstep.Topic, after uint64, wait time.Duration, done <-chan struct{}) {
+func (r *Roster) WaitForUpdate(topic chestnutstep.Topic, after uint64, wait time.Duration, done <-chan struct{}) {
 	r.mu.Lock()
-	r.begin()
+	r.initMaps()
 	t := &r.topics[topic]
-	changed, now := t.changed, t.revision > after || t.lost
+	changed, ready := t.changed, t.revision > after || t.lost
 	r.mu.Unlock()
-	if now || wait <= 0 {
+	if ready || wait <= 0 {
 		return
 	}
 	timer := time.NewTimer(wait)
@@ -78,14 +78,14 @@
 	}
 }
 
-// keep remembers a fact as it was published, while it is in force.
-func (r *Roster) keep(key entry, f chestnutstep.Fact) {
+// storeFact remembers a fact as it was published, while it is in force.
+func (r *Roster) storeFact(key factKey, f chestnutstep.Fact) {
 	switch {
 	case f.Deleted && f.Kind != chestnutstep.FactRouting:
-		delete(r.held, key)
+		delete(r.facts, key)
 	case f.Kind == chestnutstep.FactUnknown:
 	case f.Kind == chestnutstep.FactRouting && (f.Deleted || r.routing != nil && f.Routing.Version <= r.routing.Version):
 	default:
-		r.held[key] = chestnutstep.Fact{Kind: f.Kind, Name: f.Name, Revision: f.Revision, Raw: f.Raw}
+		r.facts[key] = chestnutstep.Fact{Kind: f.Kind, Name: f.Name, Revision: f.Revision, Raw: f.Raw}
 	}
 }
--- a/roster/topic.go
+++ b/roster/topic.go
@@ -9,10 +9,10 @@
 type topic struct {
 	// revision up to which facts were read, and floor that of the last full read: of what
 	// was removed before it nothing is known.
-	revision, floor uint64
-	// read is when the last answer came, and proof as of when all facts are known.
-	read  clock.Stamp
-	proof stamp
+	revision, fullRevision uint64
+	// readAt is when the last answer came, and proof as of when all facts are known.
+	readAt clock.Stamp
+	proof  latestStamp
 	// listed says that all facts were read once, direct that the last answer was the
 	// source's own, lost that none comes at present.
 	listed, direct, lost bool
@@ -20,36 +20,36 @@
 	changed chan struct{}
 }
 
-func (t *topic) learn(now clock.Stamp, b chestnutstep.Batch, full bool) {
-	t.read, t.direct, t.lost = now, b.IsDirect(), false
+func (t *topic) recordRead(now clock.Stamp, b chestnutstep.Batch, full bool) {
+	t.readAt, t.direct, t.lost = now, b.IsDirect(), false
 	if full {
-		t.floor, t.listed = max(t.floor, b.Revision), true
+		t.fullRevision, t.listed = max(t.fullRevision, b.Revision), true
 	}
 	if b.Revision > t.revision {
 		t.revision = b.Revision
-		t.wake()
+		t.notify()
 	}
 }
 
-// wake ends the waits of those who follow this entry.
-func (t *topic) wake() {
+// notify ends the waits of those who follow this entry.
+func (t *topic) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Lose records that a topic can't be read at present, from the source or from peers.
-func (r *Roster) Lose(topic chestnutstep.Topic) {
+// MarkLost records that a topic can't be read at present, from the source or from peers.
+func (r *Roster) MarkLost(topic chestnutstep.Topic) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begin()
+	r.initMaps()
 	if t := &r.topics[topic]; !t.lost {
 		t.lost, t.direct = true, false
-		t.wake()
+		t.notify()
 	}
 }
 
-// Newer says whether facts of a topic were read up to a later revision.
-func (r *Roster) Newer(topic chestnutstep.Topic, after uint64) bool {
+// HasNewer says whether facts of a topic were read up to a later revision.
+func (r *Roster) HasNewer(topic chestnutstep.Topic, after uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.topics[topic].revision > after
@@ -62,9 +62,9 @@
 	return r.topics[topic].listed
 }
 
-// Follows says whether changes of a topic reach this entry at present: with direct, from the
+// IsFollowing says whether changes of a topic reach this entry at present: with direct, from the
 // source itself.
-func (r *Roster) Follows(topic chestnutstep.Topic, direct bool) bool {
+func (r *Roster) IsFollowing(topic chestnutstep.Topic, direct bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := &r.topics[topic]
--- a/roster/whole_test.go
+++ b/roster/whole_test.go
@@ -24,9 +24,9 @@
 
 // modelStore is the source of targets: each change is an event, and events may be forgotten.
 type modelStore struct {
-	revision, since uint64
-	now             map[string]int
-	events          []chestnutstep.Fact
+	revision, compactedAt uint64
+	states                map[string]int
+	events                []chestnutstep.Fact
 	// history of each target's states: the revision from which on each holds.
 	history map[string][]change
 }
@@ -38,7 +38,7 @@
 
 func (s *modelStore) set(id string, state int) {
 	s.revision++
-	s.now[id] = state
+	s.states[id] = state
 	s.history[id] = append(s.history[id], change{s.revision, state})
 	s.events = append(s.events, s.fact(id))
 }
@@ -54,17 +54,17 @@
 	return f
 }
 
-// isOrWas says whether a target has had a state at a revision or at a later one.
-func (s *modelStore) isOrWas(id string, state int, revision uint64) bool {
-	at := absent
+// hasHadState says whether a target has had a state at a revision or at a later one.
+func (s *modelStore) hasHadState(id string, state int, revision uint64) bool {
+	held := absent
 	for _, c := range s.history[id] {
 		if c.revision <= revision {
-			at = c.state
+			held = c.state
 		} else if c.state == state {
 			return true
 		}
 	}
-	return at == state
+	return held == state
 }
 
 // modelEntry is an entry that reads the store or another entry.
@@ -73,14 +73,14 @@
 	revision uint64
 }
 
-func (e *modelEntry) learn(now clock.Stamp, b chestnutstep.Batch) {
+func (e *modelEntry) apply(now clock.Stamp, b chestnutstep.Batch) {
 	full := e.revision == 0
 	e.revision = max(b.Revision, e.revision)
-	e.roster.Learn(now, chestnutstep.TopicTargets, b, full)
+	e.roster.Apply(now, chestnutstep.TopicTargets, b, full)
 }
 
-// wholeModel is a fleet in which facts travel every way that they can.
-type wholeModel struct {
+// fleetModel is a fleet in which facts travel every way that they can.
+type fleetModel struct {
 	store   *modelStore
 	entries []*modelEntry
 	now     clock.Stamp
@@ -89,22 +89,22 @@
 func newEntry() *modelEntry {
 	e := &modelEntry{roster: &roster.Roster{}}
 	routing := chestnutstep.Fact{Kind: chestnutstep.FactRouting, Revision: 1, Routing: &chestnutstep.Routing{Version: 1}}
-	e.roster.Learn(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 1, Facts: []chestnutstep.Fact{routing}}, true)
+	e.roster.Apply(0, chestnutstep.TopicRouting, chestnutstep.Batch{Revision: 1, Facts: []chestnutstep.Fact{routing}}, true)
 	return e
 }
 
-func (m *wholeModel) draw(t *rapid.T, label string) *modelEntry {
+func (m *fleetModel) draw(t *rapid.T, label string) *modelEntry {
 	return m.entries[rapid.IntRange(0, len(m.entries)-1).Draw(t, label)]
 }
 
 // change lets a target go one state on, or leave without notice.
-func (m *wholeModel) change(t *rapid.T) {
+func (m *fleetModel) change(t *rapid.T) {
 	id := fmt.Sprint("t", rapid.IntRange(0, 5).Draw(t, "target"))
 	m.store.set(id, rapid.SampledFrom([]int{absent, ready, draining}).Draw(t, "state"))
 }
 
 // list reads all from the store, with changes between its pages.
-func (m *wholeModel) list(t *rapid.T) {
+func (m *fleetModel) list(t *rapid.T) {
 	e := m.draw(t, "entry")
 	e.revision = 0
 	b := chestnutstep.Batch{Revision: m.store.revision}
@@ -113,17 +113,17 @@
 		if rapid.IntRange(0, 4).Draw(t, "meanwhile") == 0 {
 			m.change(t)
 		}
-		if m.store.now[id] != absent {
+		if m.store.states[id] != absent {
 			b.Facts = append(b.Facts, m.store.fact(id))
 		}
 	}
-	e.learn(m.now, b)
+	e.apply(m.now, b)
 }
 
 // watch reads changes from the store, or finds that they are forgotten.
-func (m *wholeModel) watch(t *rapid.T) {
+func (m *fleetModel) watch(t *rapid.T) {
 	e := m.draw(t, "entry")
-	if e.revision == 0 || e.revision < m.store.since {
+	if e.revision == 0 || e.revision < m.store.compactedAt {
 		e.revision = 0
 		return
 	}
@@ -133,16 +133,16 @@
 			b.Facts = append(b.Facts, f)
 		}
 	}
-	e.learn(m.now, b)
+	e.apply(m.now, b)
 }
 
 // follow reads from another entry, whatever that one has read last.
-func (m *wholeModel) follow(t *rapid.T) {
-	e, giver := m.draw(t, "entry"), m.draw(t, "giver")
-	if e == giver || !giver.roster.Listed(chestnutstep.TopicTargets) {
+func (m *fleetModel) follow(t *rapid.T) {
+	e, source := m.draw(t, "entry"), m.draw(t, "giver")
+	if e == source || !source.roster.Listed(chestnutstep.TopicTargets) {
 		return
 	}
-	b, ok := giver.roster.Since(m.now, chestnutstep.TopicTargets, e.revision)
+	b, ok := source.roster.Since(m.now, chestnutstep.TopicTargets, e.revision)
 	if !ok {
 		return
 	}
@@ -152,11 +152,11 @@
 			b.Facts[i] = m.decode(f)
 		}
 	}
-	e.learn(m.now, b)
+	e.apply(m.now, b)
 }
 
 // decode stands in for reading what was published.
-func (m *wholeModel) decode(f chestnutstep.Fact) chestnutstep.Fact {
+func (m *fleetModel) decode(f chestnutstep.Fact) chestnutstep.Fact {
 	for _, c := range m.store.history[f.Name] {
 		if c.revision == f.Revision {
 			f.Instance = &chestnutstep.Instance{ID: f.Name, Service: "s", Address: f.Name + ":1", Leaving: c.state == draining}
@@ -167,7 +167,7 @@
 
 // check compares each entry with the store as of the revision up to which the entry claims to
 // know all.
-func (m *wholeModel) check(t *rapid.T) {
+func (m *fleetModel) check(t *rapid.T) {
 	for i, e := range m.entries {
 		if !e.roster.Listed(chestnutstep.TopicTargets) || e.revision == 0 {
 			continue
@@ -179,17 +179,17 @@
 			} else if x != nil {
 				state = ready
 			}
-			if !m.store.isOrWas(id, state, e.revision) {
+			if !m.store.hasHadState(id, state, e.revision) {
 				t.Fatalf("entry %d has %s in state %d at revision %d: %v", i, id, state, e.revision, m.store.history[id])
 			}
 		}
 	}
 }
 
-// TestStateIsWhole guards against a change that is missing from a state which counts as complete, whoever handed it on.
-func TestStateIsWhole(t *testing.T) {
+// TestStateIsComplete guards against a change that is missing from a state which counts as complete, whoever handed it on.
+func TestStateIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &wholeModel{store: &modelStore{now: map[string]int{}, history: map[string][]change{}}, now: clock.Stamp(time.Hour)}
+		m := &fleetModel{store: &modelStore{states: map[string]int{}, history: map[string][]change{}}, now: clock.Stamp(time.Hour)}
 		for range 4 {
 			m.entries = append(m.entries, newEntry())
 		}
@@ -200,7 +200,7 @@
 			"list":   m.list,
 			"watch":  m.watch,
 			"follow": m.follow,
-			"forget": func(*rapid.T) { m.store.since, m.store.events = m.store.revision, nil },
+			"forget": func(*rapid.T) { m.store.compactedAt, m.store.events = m.store.revision, nil },
 			"tick": func(t *rapid.T) {
 				m.now = m.now.Add(rapid.SampledFrom([]time.Duration{time.Millisecond, 3 * time.Second}).Draw(t, "time"))
 			},
--- a/route/drift.go
+++ b/route/drift.go
@@ -6,7 +6,7 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// driftOneIn is how many requests of a chat that lives away from its first
+// returnHomeOneIn is how many requests of a chat that lives away from its first
 // target go to that target first, on average one. It answers a failure domain
 // that returns: its chats were served elsewhere meanwhile, their callers hold
 // hints to there, and without this the domain stays idle while the others
@@ -14,15 +14,15 @@
 // all). One in 8 moves a chat home after 8 of its requests on average, so that
 // the domain's load grows from an eighth of its share and not in one wave, and
 // each chat pays for one import or rebuilding of its prefix, not several.
-const driftOneIn = 8
+const returnHomeOneIn = 8
 
-// Drift says whether this request of a chat that lives away goes to its home
+// ReturnsHome says whether this request of a chat that lives away goes to its home
 // first: the target that ranks first without the hint. The part is drawn from
 // the request's id, so that a repeat of the request takes the same way through
 // any entry.
-func Drift(home *chestnutstep.Target, hint, id string) bool {
+func ReturnsHome(home *chestnutstep.Target, hint, id string) bool {
 	if hint == "" || home.Name == hint {
 		return false
 	}
-	return xxhash.Sum64String(id)%driftOneIn == 0
+	return xxhash.Sum64String(id)%returnHomeOneIn == 0
 }
--- a/route/drift_test.go
+++ b/route/drift_test.go
@@ -12,12 +12,12 @@
 // A failure domain is taken out and brought back. All its chats were served
 // elsewhere in between and come back with hints to there. Operators would see
 // the returned domain idle for hours while the others carry its load.
-func TestDriftBringsChatsHomeBitByBit(t *testing.T) {
+func TestReturnsHomeGradually(t *testing.T) {
 	home := &chestnutstep.Target{Name: "home"}
 	const requests = 8000
 	moved := 0
 	for i := range requests {
-		if Drift(home, "away", fmt.Sprint("request", i)) {
+		if ReturnsHome(home, "away", fmt.Sprint("request", i)) {
 			moved++
 		}
 	}
@@ -26,10 +26,10 @@
 
 // A chat that is at home has nowhere to go: sending a part of its requests
 // elsewhere would rebuild its prefix there for nothing.
-func TestDriftLeavesChatsAtHomeAlone(t *testing.T) {
+func TestReturnsHomeIgnoresChatsAtHome(t *testing.T) {
 	home := &chestnutstep.Target{Name: "home"}
 	for i := range 100 {
-		assert.Assert(t, !Drift(home, "", fmt.Sprint(i)))
-		assert.Assert(t, !Drift(home, "home", fmt.Sprint(i)))
+		assert.Assert(t, !ReturnsHome(home, "", fmt.Sprint(i)))
+		assert.Assert(t, !ReturnsHome(home, "home", fmt.Sprint(i)))
 	}
 }
--- a/route/example_test.go
+++ b/route/example_test.go
@@ -17,9 +17,9 @@
 	table := &route.Table{View: chestnutstep.NewView(p)}
 	table.Build()
 	for _, hint := range []string{"t1", "t2", "t3"} {
-		ask := chestnutstep.RankQuery{Workspace: "desk", Chat: "c7", Hint: hint}
+		req := chestnutstep.RankQuery{Workspace: "desk", Chat: "c7", Hint: hint}
 		fmt.Print(hint, ":")
-		for _, t := range table.Rank(nil, ask, 3) {
+		for _, t := range table.Rank(nil, req, 3) {
 			fmt.Print(" ", t.Name)
 		}
 		fmt.Println()
--- a/route/rank.go
+++ b/route/rank.go
@@ -8,42 +8,42 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Most is the longest ranking that Rank gives, whatever the caller asks for.
+// MaxTargets is the longest ranking that Rank gives, whatever the caller asks for.
 // A request is offered to a handful of targets; the bound lets the best ones
 // be kept on the stack.
-const Most = 64
-
-// best keeps the targets with the smallest keys seen so far, in order.
-type best struct {
-	keys  [Most]float64
-	seats [Most]*seat
-	n     int
-	limit int
+const MaxTargets = 64
+
+// topTargets keeps the targets with the smallest keys seen so far, in order.
+type topTargets struct {
+	keys       [MaxTargets]float64
+	candidates [MaxTargets]*candidate
+	n          int
+	limit      int
 }
 
 // Rank appends at most n targets (and at most Most) to dst, best first: the
 // hint while it qualifies, then the targets of the caller's region, then those
 // of other regions. It allocates nothing when dst has room.
-func (t *Table) Rank(dst []*chestnutstep.Target, ask chestnutstep.RankQuery, n int) []*chestnutstep.Target {
-	p := t.pools[ask.Model]
+func (t *Table) Rank(dst []*chestnutstep.Target, req chestnutstep.RankQuery, n int) []*chestnutstep.Target {
+	p := t.pools[req.Model]
 	if p == nil || n <= 0 {
 		return dst
 	}
-	n = min(n, Most)
-	hint := t.hint(ask)
+	n = min(n, MaxTargets)
+	hint := t.hint(req)
 	if hint != nil {
 		dst = append(dst, hint)
 		n--
 	}
-	chat := chatHash(ask.Workspace, ask.Chat)
-	near := best{limit: n}
-	p.near(&near, ask.Region, chat, hint)
+	chat := chatHash(req.Workspace, req.Chat)
+	near := topTargets{limit: n}
+	p.scanRegion(&near, req.Region, chat, hint)
 	dst = near.appendTo(dst)
 	if near.n == n {
 		return dst
 	}
-	far := best{limit: n - near.n}
-	p.far(&far, ask.Region, chat, hint)
+	far := topTargets{limit: n - near.n}
+	p.scanOtherRegions(&far, req.Region, chat, hint)
 	return far.appendTo(dst)
 }
 
@@ -51,29 +51,29 @@
 // worth a first try. A hint is text from outside: one that names a target of
 // another model, or one that left, is ignored rather than refused, as callers
 // keep hints for as long as their chats pause.
-func (t *Table) hint(ask chestnutstep.RankQuery) *chestnutstep.Target {
-	if ask.Hint == "" {
+func (t *Table) hint(req chestnutstep.RankQuery) *chestnutstep.Target {
+	if req.Hint == "" {
 		return nil
 	}
-	target := t.byName[ask.Hint]
-	if target == nil || target.Model != ask.Model {
+	target := t.byName[req.Hint]
+	if target == nil || target.Model != req.Model {
 		return nil
 	}
 	return target
 }
 
-func (p *pool) near(b *best, region string, chat uint64, hint *chestnutstep.Target) {
+func (p *pool) scanRegion(b *topTargets, region string, chat uint64, hint *chestnutstep.Target) {
 	for _, s := range p.spans {
 		if s.region == region {
-			b.scan(p.seats[s.first:s.last], chat, hint)
+			b.scan(p.candidates[s.first:s.last], chat, hint)
 		}
 	}
 }
 
-func (p *pool) far(b *best, region string, chat uint64, hint *chestnutstep.Target) {
+func (p *pool) scanOtherRegions(b *topTargets, region string, chat uint64, hint *chestnutstep.Target) {
 	for _, s := range p.spans {
 		if s.region != region {
-			b.scan(p.seats[s.first:s.last], chat, hint)
+			b.scan(p.candidates[s.first:s.last], chat, hint)
 		}
 	}
 }
@@ -81,67 +81,67 @@
 // scan offers each seat to the best so far. A logarithm for each of thousands
 // of targets would cost most of the time that a ranking may take. As -ln(u) is
 // never below 1-u, the cheap 1-u rules nearly all seats out.
-func (b *best) scan(seats []seat, chat uint64, hint *chestnutstep.Target) {
+func (b *topTargets) scan(candidates []candidate, chat uint64, hint *chestnutstep.Target) {
 	if b.limit == 0 {
 		return
 	}
 	worst := b.worst()
-	for i := range seats {
-		s := &seats[i]
+	for i := range candidates {
+		s := &candidates[i]
 		u := uniform(s.hash, chat)
-		if (1-u)*s.low > worst || s.target == hint {
+		if (1-u)*s.lowerBound > worst || s.target == hint {
 			continue
 		}
-		b.add(s, key(u, s.inv))
+		b.add(s, rankKey(u, s.inverseWeight))
 		worst = b.worst()
 	}
 }
 
 // worst is the key that a seat must not exceed to be kept.
-func (b *best) worst() float64 {
+func (b *topTargets) worst() float64 {
 	if b.n < b.limit {
 		return math.Inf(1)
 	}
 	return b.keys[b.n-1]
 }
 
-func (b *best) add(s *seat, k float64) {
+func (b *topTargets) add(s *candidate, k float64) {
 	i := b.n
 	if b.n == b.limit {
 		i--
-		if !before(k, s, b.keys[i], b.seats[i]) {
+		if !less(k, s, b.keys[i], b.candidates[i]) {
 			return
 		}
 	} else {
 		b.n++
 	}
-	for i > 0 && before(k, s, b.keys[i-1], b.seats[i-1]) {
-		b.keys[i], b.seats[i] = b.keys[i-1], b.seats[i-1]
+	for i > 0 && less(k, s, b.keys[i-1], b.candidates[i-1]) {
+		b.keys[i], b.candidates[i] = b.keys[i-1], b.candidates[i-1]
 		i--
 	}
-	b.keys[i], b.seats[i] = k, s
+	b.keys[i], b.candidates[i] = k, s
 }
 
-func (b *best) appendTo(dst []*chestnutstep.Target) []*chestnutstep.Target {
-	for _, s := range b.seats[:b.n] {
+func (b *topTargets) appendTo(dst []*chestnutstep.Target) []*chestnutstep.Target {
+	for _, s := range b.candidates[:b.n] {
 		dst = append(dst, s.target)
 	}
 	return dst
 }
 
-// before orders two seats by key and, should two keys be equal, by name, so
+// less orders two seats by key and, should two keys be equal, by name, so
 // that no entry's order depends on how its list was sorted.
-func before(k float64, s *seat, other float64, o *seat) bool {
+func less(k float64, s *candidate, other float64, o *candidate) bool {
 	if k != other {
 		return k < other
 	}
 	return s.target.Name < o.target.Name
 }
 
-// key is the rank of a target for a chat: the smallest goes first. With u
+// rankKey is the rank of a target for a chat: the smallest goes first. With u
 // uniform, -ln(u)/w is exponential with rate w, so that each target comes
 // first for a share of chats that is exactly its share of the weights.
-func key(u, inv float64) float64 {
+func rankKey(u, inv float64) float64 {
 	return -math.Log(u) * inv
 }
 
--- a/route/rank_test.go
+++ b/route/rank_test.go
@@ -52,30 +52,30 @@
 }
 
 // naive sorts all targets that qualify, with a logarithm for each.
-func naive(v *chestnutstep.View, skip func(*chestnutstep.Target) bool, ask chestnutstep.RankQuery, n int) []string {
+func naive(v *chestnutstep.View, skip func(*chestnutstep.Target) bool, req chestnutstep.RankQuery, n int) []string {
 	var all []*chestnutstep.Target
-	for _, target := range v.TargetsByModel[ask.Model] {
+	for _, target := range v.TargetsByModel[req.Model] {
 		if !v.IsOut(target) && !skip(target) {
 			all = append(all, target)
 		}
 	}
 	rank := func(target *chestnutstep.Target) int {
 		switch {
-		case target.Name == ask.Hint:
+		case target.Name == req.Hint:
 			return 0
-		case v.Region(target.Host) == ask.Region:
+		case v.Region(target.Host) == req.Region:
 			return 1
 		}
 		return 2
 	}
 	score := func(target *chestnutstep.Target) float64 {
-		s := newSeat(target)
-		return key(uniform(s.hash, chatHash(ask.Workspace, ask.Chat)), s.inv)
+		s := newCandidate(target)
+		return rankKey(uniform(s.hash, chatHash(req.Workspace, req.Chat)), s.inverseWeight)
 	}
 	slices.SortFunc(all, func(a, b *chestnutstep.Target) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(score(a), score(b)), cmp.Compare(a.Name, b.Name))
 	})
-	return names(all[:min(n, len(all), Most)])
+	return names(all[:min(n, len(all), MaxTargets)])
 }
 
 func names(targets []*chestnutstep.Target) []string {
@@ -94,9 +94,9 @@
 		table := &Table{View: v, Skip: skip}
 		table.Build()
 		for range 8 {
-			ask := drawPlace(t)
+			req := drawPlace(t)
 			n := rapid.IntRange(0, 90).Draw(t, "n")
-			assert.DeepEqual(t, names(table.Rank(nil, ask, n)), naive(v, skip, ask, n))
+			assert.DeepEqual(t, names(table.Rank(nil, req, n)), naive(v, skip, req, n))
 		}
 	})
 }
@@ -105,10 +105,10 @@
 // two entries both see not the same, a chat would lose its prompt cache
 // whenever the balancer handed it to another entry, and its user would wait for
 // the whole booking history to be read again.
-func TestEntriesAgreeOnTargetsBothSee(t *testing.T) {
+func TestEntriesAgreeOnCommonTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := chestnutstep.NewView(drawFleet(t))
-		blind := func(label string) *Table {
+		newPartialTable := func(label string) *Table {
 			hidden := map[string]bool{}
 			for _, i := range rapid.SliceOfN(rapid.IntRange(0, 79), 0, 20).Draw(t, label) {
 				hidden[fmt.Sprint("t", i)] = true
@@ -117,15 +117,15 @@
 			table.Build()
 			return table
 		}
-		a, b := blind("a"), blind("b")
-		ask := drawPlace(t)
-		ask.Hint = ""
-		both := func(from, other *Table) []string {
-			return slices.DeleteFunc(names(from.Rank(nil, ask, Most)), func(name string) bool {
+		a, b := newPartialTable("a"), newPartialTable("b")
+		req := drawPlace(t)
+		req.Hint = ""
+		rankCommon := func(from, other *Table) []string {
+			return slices.DeleteFunc(names(from.Rank(nil, req, MaxTargets)), func(name string) bool {
 				return other.byName[name] == nil
 			})
 		}
-		assert.DeepEqual(t, both(a, b), both(b, a))
+		assert.DeepEqual(t, rankCommon(a, b), rankCommon(b, a))
 	})
 }
 
@@ -164,8 +164,8 @@
 func TestRankAllocatesNothing(t *testing.T) {
 	table := bigTable(2700)
 	dst := make([]*chestnutstep.Target, 0, 8)
-	ask := chestnutstep.RankQuery{Workspace: "desk", Chat: "c1", Model: "chat", Region: "east", Hint: "t9"}
-	allocs := testing.AllocsPerRun(100, func() { dst = table.Rank(dst[:0], ask, 4) })
+	req := chestnutstep.RankQuery{Workspace: "desk", Chat: "c1", Model: "chat", Region: "east", Hint: "t9"}
+	allocs := testing.AllocsPerRun(100, func() { dst = table.Rank(dst[:0], req, 4) })
 	assert.Equal(t, allocs, 0.0)
 }
 
@@ -175,11 +175,11 @@
 			table := bigTable(n)
 			dst := make([]*chestnutstep.Target, 0, 8)
 			chats := []string{"a", "b", "c", "d", "e", "f", "g"}
-			ask := chestnutstep.RankQuery{Workspace: "desk", Model: "chat", Region: "east"}
+			req := chestnutstep.RankQuery{Workspace: "desk", Model: "chat", Region: "east"}
 			b.ReportAllocs()
 			for i := range b.N {
-				ask.Chat = chats[i%len(chats)]
-				dst = table.Rank(dst[:0], ask, 4)
+				req.Chat = chats[i%len(chats)]
+				dst = table.Rank(dst[:0], req, 4)
 			}
 		})
 	}
--- a/route/table.go
+++ b/route/table.go
@@ -37,30 +37,30 @@
 
 // pool is the targets in service of one model, the regions one after another.
 type pool struct {
-	seats []seat
-	spans []span
+	candidates []candidate
+	spans      []regionSpan
 }
 
-// span is the part of a pool that lies in one region.
-type span struct {
+// regionSpan is the part of a pool that lies in one region.
+type regionSpan struct {
 	region      string
 	first, last int
 }
 
-// seat is what ranking needs of one target. It is kept flat, so that a pass
+// candidate is what ranking needs of one target. It is kept flat, so that a pass
 // over all targets reads memory in order.
-type seat struct {
+type candidate struct {
 	hash uint64
-	// inv is one over the weight.
-	inv float64
-	// low is a trifle under inv, for the bound that spares most logarithms.
-	low    float64
-	target *chestnutstep.Target
+	// inverseWeight is one over the weight.
+	inverseWeight float64
+	// lowerBound is a trifle under inv, for the bound that spares most logarithms.
+	lowerBound float64
+	target     *chestnutstep.Target
 }
 
-// slack keeps the cheap bound under the exact key whatever the rounding of
+// boundSlack keeps the cheap bound under the exact key whatever the rounding of
 // the logarithm: its error is below 2^-50, this is far above it.
-const slack = 1 - 1.0/(1<<40)
+const boundSlack = 1 - 1.0/(1<<40)
 
 // Build computes the look-ups. Call it before the first Rank, and not again.
 func (t *Table) Build() {
@@ -85,9 +85,9 @@
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
-	p := &pool{seats: make([]seat, 0, len(serving))}
+	p := &pool{candidates: make([]candidate, 0, len(serving))}
 	for _, target := range serving {
-		p.add(t.View.Region(target.Host), newSeat(target))
+		p.add(t.View.Region(target.Host), newCandidate(target))
 	}
 	return p
 }
@@ -99,20 +99,20 @@
 	return t.Skip == nil || !t.Skip(target)
 }
 
-func (p *pool) add(region string, s seat) {
+func (p *pool) add(region string, s candidate) {
 	if n := len(p.spans); n == 0 || p.spans[n-1].region != region {
-		p.spans = append(p.spans, span{region: region, first: len(p.seats)})
+		p.spans = append(p.spans, regionSpan{region: region, first: len(p.candidates)})
 	}
-	p.seats = append(p.seats, s)
-	p.spans[len(p.spans)-1].last = len(p.seats)
+	p.candidates = append(p.candidates, s)
+	p.spans[len(p.spans)-1].last = len(p.candidates)
 }
 
-func newSeat(target *chestnutstep.Target) seat {
+func newCandidate(target *chestnutstep.Target) candidate {
 	inv := 1 / target.EffectiveWeight()
-	return seat{
-		hash:   xxhash.Sum64String(target.Name),
-		inv:    inv,
-		low:    inv * slack,
-		target: target,
+	return candidate{
+		hash:          xxhash.Sum64String(target.Name),
+		inverseWeight: inv,
+		lowerBound:    inv * boundSlack,
+		target:        target,
 	}
 }
--- a/trial/direct.go
+++ b/trial/direct.go
@@ -78,7 +78,7 @@
 	}
 	d.view = v
 	for _, b := range d.entries {
-		b.Keep(v)
+		b.Prune(v)
 	}
 }
 
@@ -92,7 +92,7 @@
 func (d *direct) talk() {
 	now := d.now()
 	for i, from := range d.entries {
-		r := &share.Report{From: d.addrs[i], Loads: from.Loads(), CachedParts: from.Holds()}
+		r := &share.Report{From: d.addrs[i], Loads: from.Loads(), CachedParts: from.CacheChanges()}
 		for j, to := range d.entries {
 			if j != i {
 				to.MergeReport(now, r)
@@ -117,17 +117,17 @@
 func (d *direct) try(entry *board.Board, r *request, skip *[]string) bool {
 	now := d.now()
 	parts := d.parts(r)
-	ask := place.Ask{Key: parts[0].ID, Tokens: parts[0].Tokens + parts[1].Tokens, Shared: parts[0].Tokens}
-	c := entry.Choose(now, d.view, d.service, board.Need{Parts: parts, Skip: *skip}, ask)
+	ask := place.Request{Key: parts[0].ID, Tokens: parts[0].Tokens + parts[1].Tokens, Shared: parts[0].Tokens}
+	c := entry.Choose(now, d.view, d.service, board.Criteria{Parts: parts, Skip: *skip}, ask)
 	if c.Target == nil {
 		return false
 	}
 	*skip = append(*skip, c.ID)
 	r.source = d.trial.byName[c.Donor.ID]
-	r.run = entry.Start(now, c.Target, d.service, parts, c.Cached(), board.Who{})
+	r.run = entry.Start(now, c.Target, d.service, parts, c.ReusableTokens(), board.Caller{})
 	g := d.trial.byName[c.ID]
 	if g.down {
-		r.run.End(now, board.Unreached)
+		r.run.End(now, board.Unreachable)
 		r.run = nil
 		return false
 	}
@@ -138,7 +138,7 @@
 // parts of a request's prompt: its chat's prefix, and what is its own.
 func (d *direct) parts(r *request) []chestnutstep.PromptPart {
 	s := d.trial.cfg.Streams[r.stream]
-	tokens := int(s.Prefill.Seconds() * 1000 * place.ReadRate)
+	tokens := int(s.Prefill.Seconds() * 1000 * place.PrefillRate)
 	return []chestnutstep.PromptPart{
 		{ID: xxhash.Sum64String(r.chat), Tokens: tokens},
 		{ID: xxhash.Sum64String(r.work.ID), Tokens: ownTokens},
@@ -148,7 +148,7 @@
 // outcomes of the trial as boards know them.
 var outcomes = map[chestnutstep.Outcome]board.Outcome{
 	chestnutstep.OutcomeServed:    board.Served,
-	chestnutstep.OutcomeFailed:    board.Silent,
+	chestnutstep.OutcomeFailed:    board.Broken,
 	chestnutstep.OutcomeAbandoned: board.Canceled,
 }
 
@@ -169,7 +169,7 @@
 	}
 	d.trial.after(prefill, func() {
 		if r.run == run {
-			run.First(d.now())
+			run.FirstByte(d.now())
 		}
 	})
 }
--- a/trial/entry.go
+++ b/trial/entry.go
@@ -65,7 +65,7 @@
 	}
 	ask.Hint = ""
 	home := t.table.Rank(nil, ask, t.cfg.Tries)
-	if route.Drift(home[0], hinted.Name, r.work.ID) {
+	if route.ReturnsHome(home[0], hinted.Name, r.work.ID) {
 		r.ranks, r.source = home, t.byName[hinted.Name]
 	}
 }
--- a/trial/flood.go
+++ b/trial/flood.go
@@ -41,7 +41,7 @@
 	asked     time.Duration
 	hold      time.Duration
 	again     bool
-	run       *board.Run
+	run       *board.Attempt
 	seq       int
 }
 
@@ -150,13 +150,13 @@
 func (s *surge) send(r *surgeRequest) {
 	e := s.entries[s.rand.IntN(len(s.entries))]
 	objective := surgeKinds[r.kind].objective
-	who := board.Who{Workspace: r.workspace, Urgency: r.kind, Objective: objective}
-	var need board.Need
+	who := board.Caller{Workspace: r.workspace, Urgency: r.kind, Objective: objective}
+	var need board.Criteria
 	if s.cfg.Admit {
-		need.Who = &who
+		need.Caller = &who
 	}
-	c := e.Choose(s.clock(), s.view, s.service, need, place.Ask{Key: uint64(r.seq)})
-	if !c.Room.Free {
+	c := e.Choose(s.clock(), s.view, s.service, need, place.Request{Key: uint64(r.seq)})
+	if !c.Admission.Admitted {
 		s.refuse(r)
 		return
 	}
@@ -196,7 +196,7 @@
 
 // first is a request's first byte.
 func (s *surge) first(r *surgeRequest) {
-	r.run.First(s.clock())
+	r.run.FirstByte(s.clock())
 	took := s.now - r.asked
 	s.firsts = append(s.firsts, took)
 	if took <= surgeKinds[r.kind].objective {
--- a/trial/load.go
+++ b/trial/load.go
@@ -37,7 +37,7 @@
 	over  bool
 	began bool
 	// run is the request as its entry counts it, without agents.
-	run *board.Run
+	run *board.Attempt
 }
 
 // record draws the load. It depends on the seed and the streams alone, so that
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -85,8 +85,8 @@
 	if b.Revision > w.revision || full {
 		w.revision = b.Revision
 	}
-	c := w.Roster.Learn(clock.Now(), w.Topic, b, full)
-	w.Roster.Prove(w.Topic, requestedAt.Add(-b.Age))
+	c := w.Roster.Apply(clock.Now(), w.Topic, b, full)
+	w.Roster.RecordProof(w.Topic, requestedAt.Add(-b.Age))
 	if !c.Empty() {
 		w.Observer.OnChange(c, requestedAt)
 	}
@@ -126,11 +126,11 @@
 
 // handleFailure records a failure, and pauses.
 func (w *Watcher) handleFailure(ctx context.Context, err error) {
-	w.Roster.Lose(w.Topic)
+	w.Roster.MarkLost(w.Topic)
 	var e chestnutstep.ErrSource
 	isSource := errors.As(err, &e)
 	if isSource && w.Topic == chestnutstep.TopicTargets {
-		w.Roster.Doubt()
+		w.Roster.MarkSourceUnresponsive()
 	}
 	if isSource && e.Compacted {
 		w.revision = 0
