--- a/agent/agent.go
+++ b/agent/agent.go
@@ -23,18 +23,18 @@
 	// balancer needs a few seconds to send the caller's repeat to another
 	// entry; much longer and a dead entry's runs crowd out live ones.
 	DefaultLinger = 10 * time.Second
-	// bodyStall is how long an accepted request may go without a piece of its
+	// bodyIdleTimeout is how long an accepted request may go without a piece of its
 	// body. A frozen entry would otherwise hold a place at the target for as
 	// long as it sleeps, seen as load that never generates a token.
-	bodyStall = 2 * time.Second
-	// tickEvery is how often waiting work is looked at when nothing else
+	bodyIdleTimeout = 2 * time.Second
+	// pollInterval is how often waiting work is looked at when nothing else
 	// happens; it bounds how late a refusal for lateness may come.
-	tickEvery = 50 * time.Millisecond
-	// ticksEach is how many of these pass between two looks at everything else
+	pollInterval = 50 * time.Millisecond
+	// pollsPerTick is how many of these pass between two looks at everything else
 	// that time alone changes. It is a quarter of a second: the shortest limit
 	// there is a body's two seconds, and at every tick an idle agent spent 1.3%
 	// of a core.
-	ticksEach = 5
+	pollsPerTick = 5
 )
 
 // Agent serves the target beside it. Set the exported fields before Run.
@@ -53,22 +53,22 @@
 	Sampler  chestnutstep.Sampler
 	Answers  *answer.Store
 
-	// Reuse is the client of requests that may be sent again; Single opens a
+	// PooledClient is the client of requests that may be sent again; Single opens a
 	// connection for each request. See Clients for why there are two.
-	Reuse  *http.Client
-	Single *http.Client
+	PooledClient   *http.Client
+	UnpooledClient *http.Client
 	// Dial reaches another agent and Ranker the next target of a chat, both to
 	// move KV cache; nil switches it off.
 	Dial   func(addr string) (wire.AgentClient, error)
 	Ranker func(*chestnutstep.View) chestnutstep.Ranker
 
 	Linger time.Duration
-	// Leaving says whether the platform's list shows this host as leaving; nil
+	// HostLeaving says whether the platform's list shows this host as leaving; nil
 	// if nobody knows.
-	Leaving func() bool
-	// Uptime is the host's at this process's start: with the publication's
+	HostLeaving func() bool
+	// HostUptime is the host's at this process's start: with the publication's
 	// version it makes fencing numbers that rise without a disk.
-	Uptime time.Duration
+	HostUptime time.Duration
 	// Clock is time.Now, but for tests.
 	Clock func() time.Time
 	// Notify is told of what operators should see; it must not block.
@@ -77,42 +77,42 @@
 	// mu guards the decisions and all jobs: they are short and never block.
 	mu   sync.Mutex
 	jobs map[string]*job
-	// taken counts the offers that became jobs.
-	taken uint64
-	// moved notes where requests run for which this agent would be asked next, so
+	// jobCount counts the offers that became jobs.
+	jobCount uint64
+	// movedTo notes where requests run for which this agent would be asked next, so
 	// that a repeat through another entry finds the run.
-	moved notes
-	// ran notes the job that was the last to run under an id: the target tells
+	movedTo recentMap
+	// lastRuns notes the job that was the last to run under an id: the target tells
 	// answers apart by their id alone, and two workspaces may use the same.
-	ran   notes
-	chats chatCache
-	// view is the publication that was applied last, version its version. Two
+	lastRuns recentMap
+	chats    chatCache
+	// appliedView is the publication that was applied last, version its version. Two
 	// operators may publish different content under one version; the view tells
 	// them apart.
-	view    *chestnutstep.View
-	version uint64
-	health  health
-	// leaving is this process's own stop, away that of its host.
-	leaving bool
-	away    bool
-	probing sync.Mutex
-	runs    sync.WaitGroup
-	exports bucket
-	mover   mover
-	sender  sender
-	events  cacheLog
-	out     bool
-	// life is the state of the target's chart; it changes only by turn.
-	life string
+	appliedView    *chestnutstep.View
+	appliedVersion uint64
+	health         health
+	// draining is this process's own stop, away that of its host.
+	draining     bool
+	hostLeaving  bool
+	probeMu      sync.Mutex
+	runs         sync.WaitGroup
+	exportBudget tokenBucket
+	migrator     cacheMigrator
+	orderSender  orderSender
+	cacheEvents  cacheEventReader
+	outOfService bool
+	// targetState is the state of the target's chart; it changes only by turn.
+	targetState string
 }
 
 // Run watches the target and the clock until ctx ends. It must run before the
 // gRPC service is served.
 func (a *Agent) Run(ctx context.Context) error {
 	a.init()
-	go a.mover.loop(ctx, a)
-	go a.sender.loop(ctx, a)
-	go a.events.loop(ctx, a)
+	go a.migrator.loop(ctx, a)
+	go a.orderSender.loop(ctx, a)
+	go a.cacheEvents.loop(ctx, a)
 	go a.health.loop(ctx, a)
 	a.loop(ctx)
 	return ctx.Err()
@@ -126,28 +126,28 @@
 		return
 	}
 	a.jobs = make(map[string]*job)
-	a.life = chart.Target.Start()
-	a.mover.wake = make(chan struct{}, 1)
+	a.targetState = chart.Target.Start()
+	a.migrator.wake = make(chan struct{}, 1)
 	if a.Clock == nil {
 		a.Clock = time.Now
 	}
-	a.sender.permits.Target = a.Name
-	a.sender.desk.Began = a.Clock()
-	a.sender.desk.Uptime = a.Uptime
+	a.orderSender.permits.Target = a.Name
+	a.orderSender.scheduler.StartedAt = a.Clock()
+	a.orderSender.scheduler.HostUptime = a.HostUptime
 	if a.Linger == 0 {
 		a.Linger = DefaultLinger
 	}
 	if a.Notify == nil {
 		a.Notify = func(Notice) {}
 	}
-	a.refresh(a.Clock())
+	a.applyPublication(a.Clock())
 	// An agent that starts knows nothing of its target: it may have restarted
 	// with the host, so it counts as cold until it proves warm.
 	a.Gate.MarkCold(a.Clock())
 }
 
 func (a *Agent) loop(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for n := 1; ; n++ {
 		select {
@@ -155,21 +155,21 @@
 			return
 		case <-tick.C:
 		}
-		if n%ticksEach == 0 {
+		if n%pollsPerTick == 0 {
 			a.tick()
 			continue
 		}
-		a.hurry()
+		a.pollQueue()
 	}
 }
 
-// hurry starts or refuses waiting work whose time has come.
-func (a *Agent) hurry() {
+// pollQueue starts or refuses waiting work whose time has come.
+func (a *Agent) pollQueue() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock()
 	if a.Gate.Load(now).Waiting > 0 {
-		a.advance(now)
+		a.dispatchQueue(now)
 	}
 }
 
@@ -179,69 +179,69 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock()
-	a.refresh(now)
+	a.applyPublication(now)
 	a.exchangeLoad(now)
-	a.followHost(now)
+	a.updateHostLeaving(now)
 	for _, j := range a.jobs {
-		a.expire(now, j)
+		a.expireJob(now, j)
 	}
-	a.advance(now)
+	a.dispatchQueue(now)
 	a.Answers.Sweep(now)
-	a.forget()
+	a.removeExpired()
 }
 
-// followHost leaves with the host, and comes back if the list was wrong.
-func (a *Agent) followHost(now time.Time) {
-	if a.Leaving == nil || a.leaving {
+// updateHostLeaving leaves with the host, and comes back if the list was wrong.
+func (a *Agent) updateHostLeaving(now time.Time) {
+	if a.HostLeaving == nil || a.draining {
 		return
 	}
-	if away := a.Leaving(); away != a.away {
-		a.away = away
-		a.turn(awayEvent(away))
-		a.Gate.SetLeaving(now, away)
-		a.Notify(Notice{Kind: NoticeLeaving, Subject: a.Name, After: strconv.FormatBool(away)})
+	if leaving := a.HostLeaving(); leaving != a.hostLeaving {
+		a.hostLeaving = leaving
+		a.applyEvent(hostLeavingEvent(leaving))
+		a.Gate.SetLeaving(now, leaving)
+		a.Notify(Notice{Kind: NoticeLeaving, Subject: a.Name, After: strconv.FormatBool(leaving)})
 	}
 }
 
-func awayEvent(away bool) string {
-	if away {
+func hostLeavingEvent(leaving bool) string {
+	if leaving {
 		return eventLeave
 	}
 	return eventStay
 }
 
-// advance starts or drops what the gate decided on waiting work.
-func (a *Agent) advance(now time.Time) {
+// dispatchQueue starts or drops what the gate decided on waiting work.
+func (a *Agent) dispatchQueue(now time.Time) {
 	next := a.Gate.AdvanceQueue(now)
 	for _, id := range next.Started {
 		if j := a.jobs[id]; j != nil {
-			a.place(now, j)
+			a.acceptJob(now, j)
 		}
 	}
 	for _, d := range next.Dropped {
 		if j := a.jobs[d.ID]; j != nil {
-			a.refuse(now, j, d.Decision)
+			a.refuseJob(now, j, d.Decision)
 		}
 	}
 }
 
-// Leave stops new work for good and returns when nothing runs any more or ctx
+// Drain stops new work for good and returns when nothing runs any more or ctx
 // ends: a planned stop cuts no request in progress.
-func (a *Agent) Leave(ctx context.Context) error {
+func (a *Agent) Drain(ctx context.Context) error {
 	a.mu.Lock()
-	a.leaving = true
-	a.turn(eventLeave)
+	a.draining = true
+	a.applyEvent(eventLeave)
 	a.Gate.SetLeaving(a.Clock(), true)
 	a.mu.Unlock()
 	a.Notify(Notice{Kind: NoticeLeaving, Subject: a.Name})
-	return a.idle(ctx)
+	return a.waitIdle(ctx)
 }
 
-func (a *Agent) idle(ctx context.Context) error {
-	tick := time.NewTicker(tickEvery)
+func (a *Agent) waitIdle(ctx context.Context) error {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if a.busy() == 0 {
+		if a.busyJobs() == 0 {
 			return nil
 		}
 		select {
@@ -252,13 +252,13 @@
 	}
 }
 
-// busy counts the jobs that are not over, or whose answer a link still reads.
-func (a *Agent) busy() int {
+// busyJobs counts the jobs that are not over, or whose answer a link still reads.
+func (a *Agent) busyJobs() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
 	for _, j := range a.jobs {
-		if j.state != over || j.links > 0 {
+		if j.state != jobFinished || j.linkCount > 0 {
 			n++
 		}
 	}
@@ -272,6 +272,6 @@
 	return a.Gate.Load(a.Clock())
 }
 
-// Lock returns the lock that guards Sampler and Detector, for the gossip that
+// Locker returns the lock that guards Sampler and Detector, for the gossip that
 // feeds them.
-func (a *Agent) Lock() sync.Locker { return &a.mu }
+func (a *Agent) Locker() sync.Locker { return &a.mu }
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -23,19 +23,19 @@
 	// chunkSize is one message of KV cache: large enough for the link, small
 	// enough not to hold up an answer's frames on the same connection.
 	chunkSize = 64 << 10
-	// cacheMost bounds what is held in memory of one chat's KV cache. Longer
+	// maxCacheSize bounds what is held in memory of one chat's KV cache. Longer
 	// ones are rebuilt: a process may use 64 MB.
-	cacheMost = 16 << 20
+	maxCacheSize = 16 << 20
 )
 
-// cached is a chat's KV cache as an engine exports it.
-type cached struct {
+// kvCache is a chat's KV cache as an engine exports it.
+type kvCache struct {
 	tokens int64
 	data   []byte
 }
 
 // cacheURL is where an engine exports and imports a chat's KV cache.
-func (a *Agent) cacheURL(c chat) string {
+func (a *Agent) cacheURL(c chatKey) string {
 	q := url.Values{"workspace": {c.workspace}, "chat": {c.name}}
 	return a.URL + "/control/kv?" + q.Encode()
 }
@@ -43,7 +43,7 @@
 // Export sends a chat's KV cache to the agent that asks for it.
 func (s *service) Export(rq *wire.ExportRequest, st grpc.ServerStreamingServer[wire.Chunk]) error {
 	a := s.Agent
-	kv, err := a.readCache(st.Context(), chat{rq.Workspace, rq.Chat}, rq.Most)
+	kv, err := a.readCache(st.Context(), chatKey{rq.Workspace, rq.Chat}, rq.Most)
 	if err != nil {
 		return status.Error(codes.NotFound, err.Error())
 	}
@@ -74,64 +74,64 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.exports.spend(a.Clock(), float64(n), float64(v.Publication.Budget.ExportRate))
+	return a.exportBudget.spend(a.Clock(), float64(n), float64(v.Publication.Budget.ExportRate))
 }
 
-// bucket is a token bucket of bytes. It may go below zero by one chat: refusing
+// tokenBucket is a token bucket of bytes. It may go below zero by one chat: refusing
 // any chat that is larger than a second's worth would leave the longest, and so
 // the dearest, to be rebuilt.
-type bucket struct {
-	left float64
-	seen time.Time
+type tokenBucket struct {
+	tokens    float64
+	updatedAt time.Time
 }
 
-func (b *bucket) spend(now time.Time, n, rate float64) bool {
+func (b *tokenBucket) spend(now time.Time, n, rate float64) bool {
 	if rate <= 0 {
 		return false
 	}
-	b.left = min(rate, b.left+rate*now.Sub(b.seen).Seconds())
-	b.seen = now
-	if b.left <= 0 {
+	b.tokens = min(rate, b.tokens+rate*now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
+	if b.tokens <= 0 {
 		return false
 	}
-	b.left -= n
+	b.tokens -= n
 	return true
 }
 
 // readCache exports a chat's KV cache out of the target.
-func (a *Agent) readCache(ctx context.Context, c chat, most int64) (cached, error) {
+func (a *Agent) readCache(ctx context.Context, c chatKey, maxBytes int64) (kvCache, error) {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, a.cacheURL(c), nil)
 	if err != nil {
-		return cached{}, errors.Wrap(err, "export")
+		return kvCache{}, errors.Wrap(err, "export")
 	}
-	rs, err := a.Reuse.Do(rq)
+	rs, err := a.PooledClient.Do(rq)
 	if err != nil {
-		return cached{}, errors.Wrap(err, "export")
+		return kvCache{}, errors.Wrap(err, "export")
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode != http.StatusOK {
-		return cached{}, errors.Newf("export: the target answered %d", rs.StatusCode)
+		return kvCache{}, errors.Newf("export: the target answered %d", rs.StatusCode)
 	}
-	limit := min(most, cacheMost)
+	limit := min(maxBytes, maxCacheSize)
 	data, err := io.ReadAll(io.LimitReader(rs.Body, limit+1))
 	if err != nil {
-		return cached{}, errors.Wrap(err, "export")
+		return kvCache{}, errors.Wrap(err, "export")
 	}
 	if int64(len(data)) > limit {
-		return cached{}, errors.Newf("export: larger than %d bytes", limit)
+		return kvCache{}, errors.Newf("export: larger than %d bytes", limit)
 	}
 	tokens, err := strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCachedTokens), 10, 64)
-	return cached{tokens: tokens, data: data}, errors.Wrap(err, "export")
+	return kvCache{tokens: tokens, data: data}, errors.Wrap(err, "export")
 }
 
 // writeCache imports a chat's KV cache into the target.
-func (a *Agent) writeCache(ctx context.Context, c chat, kv cached) error {
+func (a *Agent) writeCache(ctx context.Context, c chatKey, kv kvCache) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPut, a.cacheURL(c), bytes.NewReader(kv.data))
 	if err != nil {
 		return errors.Wrap(err, "import")
 	}
 	rq.Header.Set(chestnutstep.HeaderCachedTokens, strconv.FormatInt(kv.tokens, 10))
-	rs, err := a.Reuse.Do(rq)
+	rs, err := a.PooledClient.Do(rq)
 	if err != nil {
 		return errors.Wrap(err, "import")
 	}
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// fetch imports a chat's KV cache from another agent where that is cheaper than
+// importCache imports a chat's KV cache from another agent where that is cheaper than
 // rebuilding, and gives up as soon as it has cost as much.
-func (a *Agent) fetch(ctx context.Context, source string, c chat) (int64, error) {
+func (a *Agent) importCache(ctx context.Context, source string, c chatKey) (int64, error) {
 	if a.Dial == nil {
 		return 0, errors.New("import: no way to other agents")
 	}
@@ -154,7 +154,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	st, err := peer.Export(ctx, &wire.ExportRequest{Workspace: c.workspace, Chat: c.name, Most: cacheMost})
+	st, err := peer.Export(ctx, &wire.ExportRequest{Workspace: c.workspace, Chat: c.name, Most: maxCacheSize})
 	if err != nil {
 		return 0, errors.Wrap(err, "import")
 	}
@@ -162,27 +162,27 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "import")
 	}
-	p := price.Choose(a.quote(first))
+	p := price.Choose(a.importQuote(first))
 	if p.Choice != price.Import {
 		return 0, errors.New("import: rebuilding is cheaper")
 	}
 	defer time.AfterFunc(p.ImportTimeout, cancel).Stop()
-	data, err := receive(st, first.Size)
+	data, err := receiveCache(st, first.Size)
 	if err != nil {
 		return 0, errors.Wrap(err, "import")
 	}
-	if err := a.writeCache(ctx, c, cached{tokens: first.Tokens, data: data}); err != nil {
+	if err := a.writeCache(ctx, c, kvCache{tokens: first.Tokens, data: data}); err != nil {
 		return 0, err
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.chats.hold(c, first.Tokens, a.Clock())
+	a.chats.setTokens(c, first.Tokens, a.Clock())
 	a.Notify(Notice{Kind: NoticeImported, Subject: c.name, Before: source, After: a.Name, Workspace: c.workspace, Bytes: first.Size})
 	return int64(len(data)), nil
 }
 
-// quote is what an import is weighed by.
-func (a *Agent) quote(first *wire.Chunk) price.Inputs {
+// importQuote is what an import is weighed by.
+func (a *Agent) importQuote(first *wire.Chunk) price.Inputs {
 	q := price.Inputs{PromptTokens: float64(first.Tokens), HolderCached: float64(first.Tokens)}
 	// The holder has refused the request, or leaves: no patience is left for
 	// waiting there, which would otherwise be the cheapest way always.
@@ -199,9 +199,9 @@
 	return q
 }
 
-func receive(st grpc.ServerStreamingClient[wire.Chunk], size int64) ([]byte, error) {
-	if size <= 0 || size > cacheMost {
-		return nil, errors.Newf("size %d is not between 1 and %d", size, cacheMost)
+func receiveCache(st grpc.ServerStreamingClient[wire.Chunk], size int64) ([]byte, error) {
+	if size <= 0 || size > maxCacheSize {
+		return nil, errors.Newf("size %d is not between 1 and %d", size, maxCacheSize)
 	}
 	data := make([]byte, 0, size)
 	for {
@@ -222,8 +222,8 @@
 	}
 }
 
-// takes says whether this target has new work to come, and so a use for chats.
-func (a *Agent) takes() bool {
+// acceptsChats says whether this target has new work to come, and so a use for chats.
+func (a *Agent) acceptsChats() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.mintRefusal() == ""
@@ -232,10 +232,10 @@
 // Take imports a chat whose target is leaving, before its next request comes.
 func (s *service) Take(ctx context.Context, rq *wire.TakeRequest) (*wire.TakeReply, error) {
 	a := s.Agent
-	if !a.takes() {
+	if !a.acceptsChats() {
 		return &wire.TakeReply{}, nil
 	}
-	n, err := a.fetch(ctx, rq.Source, chat{rq.Workspace, rq.Chat})
+	n, err := a.importCache(ctx, rq.Source, chatKey{rq.Workspace, rq.Chat})
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
--- a/agent/cachelog.go
+++ b/agent/cachelog.go
@@ -12,9 +12,9 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// cacheEvery is how often an engine is asked for its cache events. They come
+// cacheEventInterval is how often an engine is asked for its cache events. They come
 // late anyway.
-const cacheEvery = time.Second
+const cacheEventInterval = time.Second
 
 // cacheEvent is one line of an engine's cache events, which come late and with
 // gaps.
@@ -28,19 +28,19 @@
 
 // Kinds of cache events. An engine that lost all is known by its boot id.
 const (
-	cacheStored  = "stored"
-	cacheEvicted = "evicted"
+	cacheEventStored  = "stored"
+	cacheEventEvicted = "evicted"
 )
 
-// cacheLog follows what an engine says of its prompt cache. What it says only
+// cacheEventReader follows what an engine says of its prompt cache. What it says only
 // corrects what the agent believes: a gap or a late event costs a wait at a
 // target that has lost the prefix, or a rebuild, and never an answer.
-type cacheLog struct {
-	seq uint64
+type cacheEventReader struct {
+	lastSeq uint64
 }
 
-func (c *cacheLog) loop(ctx context.Context, a *Agent) {
-	tick := time.NewTicker(cacheEvery)
+func (c *cacheEventReader) loop(ctx context.Context, a *Agent) {
+	tick := time.NewTicker(cacheEventInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -48,7 +48,7 @@
 			return
 		case <-tick.C:
 		}
-		if a.kind() != chestnutstep.KindEngine {
+		if a.modelKind() != chestnutstep.KindEngine {
 			continue
 		}
 		events, err := c.read(ctx, a)
@@ -59,15 +59,15 @@
 	}
 }
 
-func (c *cacheLog) read(ctx context.Context, a *Agent) ([]cacheEvent, error) {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+func (c *cacheEventReader) read(ctx context.Context, a *Agent) ([]cacheEvent, error) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	at := a.URL + "/control/events?after=" + strconv.FormatUint(c.seq, 10)
+	at := a.URL + "/control/events?after=" + strconv.FormatUint(c.lastSeq, 10)
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "cache events")
 	}
-	rs, err := a.Reuse.Do(rq)
+	rs, err := a.PooledClient.Do(rq)
 	if err != nil {
 		return nil, errors.Wrap(err, "cache events")
 	}
@@ -81,17 +81,17 @@
 	return list.Events, nil
 }
 
-func (c *cacheLog) apply(a *Agent, events []cacheEvent) {
+func (c *cacheEventReader) apply(a *Agent, events []cacheEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock()
 	for _, e := range events {
-		c.seq = max(c.seq, e.Seq)
-		key := chat{e.Workspace, e.Chat}
+		c.lastSeq = max(c.lastSeq, e.Seq)
+		key := chatKey{e.Workspace, e.Chat}
 		switch e.Kind {
-		case cacheStored:
-			a.chats.hold(key, e.Tokens, now)
-		case cacheEvicted:
+		case cacheEventStored:
+			a.chats.setTokens(key, e.Tokens, now)
+		case cacheEventEvicted:
 			a.chats.remove(key)
 		}
 	}
--- a/agent/call_test.go
+++ b/agent/call_test.go
@@ -16,15 +16,15 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// dyingTarget answers its first request and dies with the second one in hand.
-type dyingTarget struct {
+// closingTarget answers its first request and dies with the second one in hand.
+type closingTarget struct {
 	l net.Listener
 
-	mu  sync.Mutex
-	got []string
+	mu       sync.Mutex
+	received []string
 }
 
-func (d *dyingTarget) run() {
+func (d *closingTarget) run() {
 	c, err := d.l.Accept()
 	if err != nil {
 		return
@@ -39,7 +39,7 @@
 		_, _ = io.Copy(io.Discard, rq.Body)
 		id := rq.Header.Get(chestnutstep.HeaderRequestID)
 		d.mu.Lock()
-		d.got = append(d.got, id)
+		d.received = append(d.received, id)
 		d.mu.Unlock()
 		if n == 2 {
 			d.l.Close()
@@ -49,17 +49,17 @@
 	}
 }
 
-// TestRepeatedByTheClientIsNotUnsent guards against a "not run" for a request that a target had in hand when it died:
+// TestRetryByHTTPClientIsNotUnsent guards against a "not run" for a request that a target had in hand when it died:
 // net/http sends it again by itself, and only that second connection is refused.
-func TestRepeatedByTheClientIsNotUnsent(t *testing.T) {
+func TestRetryByHTTPClientIsNotUnsent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	d := &dyingTarget{l: l}
+	d := &closingTarget{l: l}
 	go d.run()
-	s := newScripted(t)
+	s := newHarness(t)
 	s.agent.URL = "http://" + l.Addr().String()
-	s.agent.Reuse, _ = Clients()
-	call := func(id string) result {
+	s.agent.PooledClient, _ = Clients()
+	call := func(id string) callResult {
 		j := newJob(s.agent, s.now, &wire.Offer{
 			Id: id, Workspace: "w", Method: http.MethodPost, Path: "/v1", Remain: int64(time.Minute), Idempotent: true,
 			Headers: []*wire.Header{{Name: chestnutstep.HeaderIdempotencyKey, Value: id}},
@@ -70,7 +70,7 @@
 	res := call("b")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	assert.DeepEqual(t, d.got, []string{"a", "b"})
+	assert.DeepEqual(t, d.received, []string{"a", "b"})
 	assert.Equal(t, res.outcome, chestnutstep.OutcomeFailed)
 	assert.Assert(t, !res.unsent, "%+v", res)
 	assert.Equal(t, res.run, chestnutstep.RunMaybe)
@@ -96,13 +96,13 @@
 		{"", "data: a\n\n", false},
 	} {
 		for _, piece := range []int{1, 7, len(c.text) + 1} {
-			tail := tail{wanted: c.wanted}
+			tail := tail{terminator: c.wanted}
 			for rest := []byte(c.text); len(rest) > 0; {
 				n := min(piece, len(rest))
 				tail.add(rest[:n])
 				rest = rest[n:]
 			}
-			assert.Equal(t, tail.ended(), c.ended, "%q in pieces of %d", c.text, piece)
+			assert.Equal(t, tail.isEnded(), c.ended, "%q in pieces of %d", c.text, piece)
 		}
 	}
 }
--- a/agent/chats.go
+++ b/agent/chats.go
@@ -6,93 +6,93 @@
 )
 
 const (
-	// chatsKept bounds the chats whose prompt prefix is thought to be at the
+	// maxChats bounds the chats whose prompt prefix is thought to be at the
 	// target. 10 million chats over 2,700 targets are 3,700 each.
-	chatsKept = 8192
+	maxChats = 8192
 )
 
-// chat names a chat of a workspace.
-type chat struct {
+// chatKey names a chat of a workspace.
+type chatKey struct {
 	workspace string
 	name      string
 }
 
-// held is what is thought to be of a chat at the target.
-type held struct {
-	chat
+// chatEntry is what is thought to be of a chat at the target.
+type chatEntry struct {
+	chatKey
 	// tokens of its prefix as the engine said, 0 if it has not said yet.
 	tokens int64
-	// served is when the chat's last request ended.
-	served time.Time
+	// lastServed is when the chat's last request ended.
+	lastServed time.Time
 }
 
 // chatCache remembers which chats were served here lately, corrected by what
 // the engine says late and with gaps. An error costs a wait or a rebuild, never
 // an answer.
 type chatCache struct {
-	at    map[chat]*list.Element
-	order list.List
+	elements map[chatKey]*list.Element
+	order    list.List
 }
 
-func (c *chatCache) has(key chat) bool {
-	_, ok := c.at[key]
+func (c *chatCache) has(key chatKey) bool {
+	_, ok := c.elements[key]
 	return ok
 }
 
-// put notes that a chat was served here.
-func (c *chatCache) put(key chat, now time.Time) {
-	h := c.get(key)
-	h.served = now
-	if c.order.Len() <= chatsKept {
+// recordServed notes that a chat was served here.
+func (c *chatCache) recordServed(key chatKey, now time.Time) {
+	h := c.touch(key)
+	h.lastServed = now
+	if c.order.Len() <= maxChats {
 		return
 	}
-	last := c.order.Back().Value.(*held)
-	c.remove(last.chat)
+	last := c.order.Back().Value.(*chatEntry)
+	c.remove(last.chatKey)
 }
 
-// hold notes the size of a chat's prefix. A chat that is not known was served
+// setTokens notes the size of a chat's prefix. A chat that is not known was served
 // before this agent's start.
-func (c *chatCache) hold(key chat, tokens int64, now time.Time) {
+func (c *chatCache) setTokens(key chatKey, tokens int64, now time.Time) {
 	if !c.has(key) {
-		c.put(key, now)
+		c.recordServed(key, now)
 	}
-	c.get(key).tokens = tokens
+	c.touch(key).tokens = tokens
 }
 
-// get finds or adds a chat and moves it to the front.
-func (c *chatCache) get(key chat) *held {
-	if c.at == nil {
-		c.at = make(map[chat]*list.Element)
+// touch finds or adds a chat and moves it to the front.
+func (c *chatCache) touch(key chatKey) *chatEntry {
+	if c.elements == nil {
+		c.elements = make(map[chatKey]*list.Element)
 	}
-	if e, ok := c.at[key]; ok {
+	if e, ok := c.elements[key]; ok {
 		c.order.MoveToFront(e)
-		return e.Value.(*held)
+		return e.Value.(*chatEntry)
 	}
-	h := &held{chat: key}
-	c.at[key] = c.order.PushFront(h)
+	h := &chatEntry{chatKey: key}
+	c.elements[key] = c.order.PushFront(h)
 	return h
 }
 
-func (c *chatCache) remove(key chat) {
-	e, ok := c.at[key]
+func (c *chatCache) remove(key chatKey) {
+	e, ok := c.elements[key]
 	if !ok {
 		return
 	}
 	c.order.Remove(e)
-	delete(c.at, key)
+	delete(c.elements, key)
 }
 
-// all lists the chats, the last served first.
-func (c *chatCache) all() []held {
-	out := make([]held, 0, c.order.Len())
+// list lists the chats, the last served first.
+func (c *chatCache) list() []chatEntry {
+	out := make([]chatEntry, 0, c.order.Len())
 	for e := c.order.Front(); e != nil; e = e.Next() {
-		out = append(out, *e.Value.(*held))
+		out = append(out, *e.Value.(*chatEntry))
 	}
 	return out
 }
 
 // clear forgets all chats: the target restarted and lost its cache.
 func (c *chatCache) clear() {
-	c.at = nil
+	c.elements = nil
 	c.order.Init()
 }
--- a/agent/head.go
+++ b/agent/head.go
@@ -8,13 +8,13 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// head is what the caller gets before the body. The answer's length goes along
+// answerHead is what the caller gets before the body. The answer's length goes along
 // where the target gave it, so that a caller can tell a short answer.
-func head(rs *http.Response) *wire.Head {
+func answerHead(rs *http.Response) *wire.Head {
 	h := &wire.Head{Status: uint32(rs.StatusCode)}
 	h.Cached, _ = strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCachedTokens), 10, 64)
 	for name, values := range rs.Header {
-		if chestnutstep.IsHopHeader(name) || isControl(name) {
+		if chestnutstep.IsHopHeader(name) || isAgentOnlyHeader(name) {
 			continue
 		}
 		for _, v := range values {
@@ -30,7 +30,7 @@
 	return h
 }
 
-// isControl keeps what a target says to its agent from callers.
-func isControl(name string) bool {
+// isAgentOnlyHeader keeps what a target says to its agent from callers.
+func isAgentOnlyHeader(name string) bool {
 	return name == chestnutstep.HeaderBootID || chestnutstep.IsChestnutHeader(name)
 }
--- a/agent/job.go
+++ b/agent/job.go
@@ -10,14 +10,14 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// state of a job at this agent.
-type state uint8
+// jobState of a job at this agent.
+type jobState uint8
 
 const (
-	waiting state = iota // in the gate's queue
-	placed               // counts as running, the body is still coming
-	running              // handed to the target
-	over                 // has an answer, or never ran
+	jobQueued   jobState = iota // in the gate's queue
+	jobAccepted                 // counts as running, the body is still coming
+	jobRunning                  // handed to the target
+	jobFinished                 // has an answer, or never ran
 )
 
 // job is one request at this agent, from its offer to its answer. Its fields
@@ -25,66 +25,66 @@
 type job struct {
 	agent *Agent
 	key   string
-	// number counts the offers that the agent took.
-	number uint64
-	offer  *wire.Offer
-	log    *answer.Log
+	// seq counts the offers that the agent took.
+	seq   uint64
+	offer *wire.Offer
+	log   *answer.Log
 
-	state    state
-	deadline time.Time
-	body     []byte
-	whole    bool
-	// moved is when the body last grew.
-	moved time.Time
+	state        jobState
+	deadline     time.Time
+	body         []byte
+	bodyComplete bool
+	// bodyUpdatedAt is when the body last grew.
+	bodyUpdatedAt time.Time
 	// offered, begun and answered are when the offer came, the target was
 	// called, and its answer started.
-	offered  time.Time
-	begun    time.Time
-	answered time.Time
-	cached   int64
-	// links counts the entries that read the answer; lost is when the last
+	offeredAt    time.Time
+	startedAt    time.Time
+	answeredAt   time.Time
+	cachedTokens int64
+	// linkCount counts the entries that read the answer; lost is when the last
 	// one went.
-	links int
-	lost  time.Time
+	linkCount  int
+	detachedAt time.Time
 
-	// placed is closed when the job leaves the queue, by start or refusal.
-	placed chan struct{}
+	// dequeued is closed when the job leaves the queue, by start or refusal.
+	dequeued chan struct{}
 	// refusal is set before placed is closed if the job never ran.
 	refusal *wire.Refuse
-	// failed is how an idempotent run ended without a whole answer: a repeat
+	// failure is how an idempotent run ended without a whole answer: a repeat
 	// runs anew instead of hearing of the failure again.
-	failed *wire.Broken
-	// again says that the target may still have the answer of an earlier run.
-	again bool
-	// crashes is the target's count when the job started.
-	crashes int
-	// abort ends the call to the target.
-	abort context.CancelFunc
+	failure *wire.Broken
+	// mayReplay says that the target may still have the answer of an earlier run.
+	mayReplay bool
+	// crashesAtStart is the target's count when the job started.
+	crashesAtStart int
+	// cancelCall ends the call to the target.
+	cancelCall context.CancelFunc
 }
 
 func jobKey(workspace, id string) string { return workspace + "\x00" + id }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
 func newJob(a *Agent, now time.Time, o *wire.Offer, log *answer.Log) *job {
-	a.taken++
+	a.jobCount++
 	return &job{
-		agent:    a,
-		key:      jobKey(o.Workspace, o.Id),
-		number:   a.taken,
-		offer:    o,
-		log:      log,
-		deadline: now.Add(time.Duration(o.Remain)),
-		body:     o.Small,
-		whole:    carriesBody(o),
-		moved:    now,
-		offered:  now,
-		placed:   make(chan struct{}),
-		abort:    func() {},
+		agent:         a,
+		key:           jobKey(o.Workspace, o.Id),
+		seq:           a.jobCount,
+		offer:         o,
+		log:           log,
+		deadline:      now.Add(time.Duration(o.Remain)),
+		body:          o.Small,
+		bodyComplete:  carriesBody(o),
+		bodyUpdatedAt: now,
+		offeredAt:     now,
+		dequeued:      make(chan struct{}),
+		cancelCall:    func() {},
 	}
 }
 
-func (j *job) work(now time.Time, home, alone bool) chestnutstep.Work {
+func (j *job) gateWork(now time.Time, hasCachedPrefix, exclusive bool) chestnutstep.Work {
 	return chestnutstep.Work{
 		ID:              j.key,
 		Workspace:       j.offer.Workspace,
@@ -92,24 +92,24 @@
 		Cost:            j.offer.Cost,
 		Deadline:        j.deadline,
 		WaitUntil:       now.Add(time.Duration(j.offer.Patience)),
-		HasCachedPrefix: home,
-		Exclusive:       alone,
+		HasCachedPrefix: hasCachedPrefix,
+		Exclusive:       exclusive,
 	}
 }
 
-// once says that the request must run at most once.
-func (j *job) once() bool { return !j.offer.Idempotent }
+// atMostOnce says that the request must run at most once.
+func (j *job) atMostOnce() bool { return !j.offer.Idempotent }
 
-// place lets the body come, and runs the job when the body is whole.
-func (a *Agent) place(now time.Time, j *job) {
-	if j.state != waiting {
+// acceptJob lets the body come, and runs the job when the body is whole.
+func (a *Agent) acceptJob(now time.Time, j *job) {
+	if j.state != jobQueued {
 		return
 	}
-	j.state = placed
-	j.moved = now
-	close(j.placed)
-	if j.whole {
-		a.start(now, j)
+	j.state = jobAccepted
+	j.bodyUpdatedAt = now
+	close(j.dequeued)
+	if j.bodyComplete {
+		a.startJob(now, j)
 	}
 }
 
@@ -118,97 +118,97 @@
 	return !o.Confirms && int64(len(o.Small)) == o.Size
 }
 
-// grow adds a piece of the body. Each link that joined before the body was whole
+// appendBody adds a piece of the body. Each link that joined before the body was whole
 // sends it, and the first whole one counts: the link that made the offer may be
 // the one that is cut off.
-func (l *link) grow(b *wire.Body) {
+func (l *link) appendBody(b *wire.Body) {
 	a, j := l.agent, l.job
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if j.whole || j.state > placed {
+	if j.bodyComplete || j.state > jobAccepted {
 		return
 	}
 	now := a.Clock()
 	l.body = append(l.body, b.Data...)
-	j.moved = now
+	j.bodyUpdatedAt = now
 	if int64(len(l.body)) > j.offer.Size {
-		a.drop(now, j, chestnutstep.ReasonLarge)
+		a.refuseWithReason(now, j, chestnutstep.ReasonLarge)
 		return
 	}
 	if b.Last {
-		a.supply(now, j, l.body)
+		a.setBody(now, j, l.body)
 	}
 }
 
-// supply gives a job its body and starts it, if its turn has come.
-func (a *Agent) supply(now time.Time, j *job, body []byte) {
-	j.body, j.whole = body, true
-	if j.state == placed {
-		a.start(now, j)
+// setBody gives a job its body and starts it, if its turn has come.
+func (a *Agent) setBody(now time.Time, j *job, body []byte) {
+	j.body, j.bodyComplete = body, true
+	if j.state == jobAccepted {
+		a.startJob(now, j)
 	}
 }
 
 func (a *Agent) hasBody(j *job) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return j.whole
+	return j.bodyComplete
 }
 
-// start hands the job to the target, unless what was true at the offer is no
+// startJob hands the job to the target, unless what was true at the offer is no
 // longer: this process may have slept since, and the caller may have given up.
-func (a *Agent) start(now time.Time, j *job) {
+func (a *Agent) startJob(now time.Time, j *job) {
 	if !now.Before(j.deadline) {
-		a.drop(now, j, chestnutstep.ReasonTimeout)
+		a.refuseWithReason(now, j, chestnutstep.ReasonTimeout)
 		return
 	}
 	if j.offer.Ticket != "" && !a.Issuer.Start(now, j.offer.Ticket) {
-		a.drop(now, j, chestnutstep.ReasonSpent)
+		a.refuseWithReason(now, j, chestnutstep.ReasonSpent)
 		return
 	}
-	j.state = running
-	j.begun = now
-	j.again = j.again && a.ranLast(now, j)
-	a.ran.put(j.offer.Id, j.key, now)
-	j.crashes = a.health.crashes
+	j.state = jobRunning
+	j.startedAt = now
+	j.mayReplay = j.mayReplay && a.isLastRun(now, j)
+	a.lastRuns.put(j.offer.Id, j.key, now)
+	j.crashesAtStart = a.health.crashCount
 	a.Detector.Start(now, j.offer.Fingerprint)
-	a.Notify(j.notice(NoticeStarted, ""))
-	ctx, cancel := context.WithDeadline(context.Background(), j.limit())
-	j.abort = cancel
+	a.Notify(j.newNotice(NoticeStarted, ""))
+	ctx, cancel := context.WithDeadline(context.Background(), j.callDeadline())
+	j.cancelCall = cancel
 	a.runs.Add(1)
 	go j.run(ctx)
 }
 
-// limit is when the call to the target is cut. A non-idempotent request gets
+// callDeadline is when the call to the target is cut. A non-idempotent request gets
 // longer than its caller waits: cutting it leaves an outcome that nobody knows,
 // while a repeat of its ticket can still fetch the answer.
-func (j *job) limit() time.Time {
-	if j.once() {
+func (j *job) callDeadline() time.Time {
+	if j.atMostOnce() {
 		return j.deadline.Add(j.agent.Linger)
 	}
 	return j.deadline
 }
 
-// expire ends a job that nobody feeds or reads any more.
-func (a *Agent) expire(now time.Time, j *job) {
+// expireJob ends a job that nobody feeds or reads any more.
+func (a *Agent) expireJob(now time.Time, j *job) {
 	switch {
-	case j.state == placed && now.Sub(j.moved) > bodyStall:
-		a.drop(now, j, chestnutstep.ReasonLink)
-	case j.state < running && !now.Before(j.deadline):
-		a.drop(now, j, chestnutstep.ReasonTimeout)
-	case j.state == running && j.links == 0 && now.Sub(j.lost) > a.Linger && !j.once():
-		j.abort()
+	case j.state == jobAccepted && now.Sub(j.bodyUpdatedAt) > bodyIdleTimeout:
+		a.refuseWithReason(now, j, chestnutstep.ReasonLink)
+	case j.state < jobRunning && !now.Before(j.deadline):
+		a.refuseWithReason(now, j, chestnutstep.ReasonTimeout)
+	case j.state == jobRunning && j.linkCount == 0 && now.Sub(j.detachedAt) > a.Linger && !j.atMostOnce():
+		j.cancelCall()
 	}
 }
 
-// drop ends a job that has not run, with a true "not run".
-func (a *Agent) drop(now time.Time, j *job, reason chestnutstep.Reason) {
-	a.refuse(now, j, chestnutstep.Decision{Reason: reason})
+// refuseWithReason ends a job that has not run, with a true "not run".
+func (a *Agent) refuseWithReason(now time.Time, j *job, reason chestnutstep.Reason) {
+	a.refuseJob(now, j, chestnutstep.Decision{Reason: reason})
 }
 
-// refuse ends a job that has not run. A ticket gets a tombstone first: only
+// refuseJob ends a job that has not run. A ticket gets a tombstone first: only
 // then is "not run" true for ever, also for repeats that are still on the way.
-func (a *Agent) refuse(now time.Time, j *job, d chestnutstep.Decision) {
-	if j.state >= running {
+func (a *Agent) refuseJob(now time.Time, j *job, d chestnutstep.Decision) {
+	if j.state >= jobRunning {
 		return
 	}
 	j.refusal = refusal(d.Reason, chestnutstep.RunNo)
@@ -216,14 +216,14 @@
 	if j.offer.Ticket != "" {
 		a.dropTicket(now, j.offer, j.refusal)
 	}
-	a.withdraw(now, j, d)
-	a.Notify(j.notice(NoticeWithdrawn, d.Reason))
+	a.withdrawJob(now, j, d)
+	a.Notify(j.newNotice(NoticeWithdrawn, d.Reason))
 }
 
-// abandon ends a job that has not run and that no entry follows. No caller gets
+// abandonJob ends a job that has not run and that no entry follows. No caller gets
 // a "not run" for it, so its ticket stays valid for a retry.
-func (a *Agent) abandon(now time.Time, j *job) {
-	if j.state >= running {
+func (a *Agent) abandonJob(now time.Time, j *job) {
+	if j.state >= jobRunning {
 		return
 	}
 	j.refusal = refusal(chestnutstep.ReasonLink, chestnutstep.RunNo)
@@ -231,38 +231,38 @@
 		a.Issuer.Release(now, j.offer.Ticket)
 		j.refusal.Run = string(chestnutstep.RunMaybe)
 	}
-	a.withdraw(now, j, chestnutstep.Decision{Reason: chestnutstep.ReasonLink})
-	a.Notify(j.notice(NoticeAbandoned, chestnutstep.ReasonLink))
+	a.withdrawJob(now, j, chestnutstep.Decision{Reason: chestnutstep.ReasonLink})
+	a.Notify(j.newNotice(NoticeAbandoned, chestnutstep.ReasonLink))
 }
 
-// withdraw takes a job that has not run out of the gate; its refusal is set.
-func (a *Agent) withdraw(now time.Time, j *job, d chestnutstep.Decision) {
-	if j.state == waiting {
-		close(j.placed)
+// withdrawJob takes a job that has not run out of the gate; its refusal is set.
+func (a *Agent) withdrawJob(now time.Time, j *job, d chestnutstep.Decision) {
+	if j.state == jobQueued {
+		close(j.dequeued)
 	}
-	j.state = over
+	j.state = jobFinished
 	j.log.Break(d.Reason, chestnutstep.RunStatus(j.refusal.Run), d.RetryAfter)
 	a.Gate.End(now, j.key, chestnutstep.OutcomeAbandoned)
-	a.remove(j)
-	a.advance(now)
+	a.removeJob(j)
+	a.dispatchQueue(now)
 }
 
-// remove forgets a job that never ran, so that a repeat is decided afresh.
-func (a *Agent) remove(j *job) {
+// removeJob forgets a job that never ran, so that a repeat is decided afresh.
+func (a *Agent) removeJob(j *job) {
 	delete(a.jobs, j.key)
 	a.Answers.Remove(j.offer.Workspace, j.offer.Id)
 }
 
-// finish ends a job that ran.
-func (a *Agent) finish(j *job, res result) {
+// finishJob ends a job that ran.
+func (a *Agent) finishJob(j *job, res callResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock()
-	j.state = over
-	if res.outcome != chestnutstep.OutcomeServed && !j.once() {
-		j.failed = &wire.Broken{Reason: string(res.reason), Run: string(res.run)}
+	j.state = jobFinished
+	if res.outcome != chestnutstep.OutcomeServed && !j.atMostOnce() {
+		j.failure = &wire.Broken{Reason: string(res.reason), Run: string(res.run)}
 	}
-	j.abort()
+	j.cancelCall()
 	if !res.unsent {
 		a.Detector.End(now, j.offer.Fingerprint, res.outcome == chestnutstep.OutcomeServed)
 	}
@@ -270,47 +270,47 @@
 		a.Issuer.Finish(now, j.offer.Ticket, res.outcome == chestnutstep.OutcomeServed)
 	}
 	if res.outcome == chestnutstep.OutcomeServed && j.offer.Chat != "" {
-		a.chats.put(chat{j.offer.Workspace, j.offer.Chat}, now)
+		a.chats.recordServed(chatKey{j.offer.Workspace, j.offer.Chat}, now)
 	}
 	a.Gate.End(now, j.key, res.outcome)
 	if res.outcome == chestnutstep.OutcomeServed {
-		a.earned(a.Gate.Load(now).Cold)
+		a.recordAnswer(a.Gate.Load(now).Cold)
 	}
-	a.advance(now)
-	a.Notify(j.ended(res))
+	a.dispatchQueue(now)
+	a.Notify(j.endedNotice(res))
 }
 
-// ended is what is told of a run.
-func (j *job) ended(res result) Notice {
-	n := j.notice(NoticeEnded, res.reason)
-	n.Wait = j.begun.Sub(j.offered)
-	n.Cached = j.cached
-	if !j.answered.IsZero() {
-		n.First = j.answered.Sub(j.begun)
+// endedNotice is what is told of a run.
+func (j *job) endedNotice(res callResult) Notice {
+	n := j.newNotice(NoticeEnded, res.reason)
+	n.Wait = j.startedAt.Sub(j.offeredAt)
+	n.CachedTokens = j.cachedTokens
+	if !j.answeredAt.IsZero() {
+		n.FirstByte = j.answeredAt.Sub(j.startedAt)
 	}
 	return n
 }
 
-// seeHead notes when the answer started and what was found in the target's cache.
-func (j *job) seeHead(h *wire.Head) {
+// recordHead notes when the answer started and what was found in the target's cache.
+func (j *job) recordHead(h *wire.Head) {
 	j.agent.mu.Lock()
 	defer j.agent.mu.Unlock()
-	j.answered = j.agent.Clock()
-	j.cached = h.Cached
+	j.answeredAt = j.agent.Clock()
+	j.cachedTokens = h.Cached
 }
 
-func (j *job) notice(kind NoticeKind, reason chestnutstep.Reason) Notice {
+func (j *job) newNotice(kind NoticeKind, reason chestnutstep.Reason) Notice {
 	return Notice{
 		Kind: kind, Subject: j.offer.Id, Reason: reason,
-		Workspace: j.offer.Workspace, Profile: j.offer.Profile, Cost: j.offer.Cost, Ticket: j.offer.Ticket != "",
-		Offer: j.number, Age: j.agent.Clock().Sub(j.offered),
+		Workspace: j.offer.Workspace, Profile: j.offer.Profile, Cost: j.offer.Cost, HasTicket: j.offer.Ticket != "",
+		OfferNumber: j.seq, Age: j.agent.Clock().Sub(j.offeredAt),
 	}
 }
 
-// forget drops jobs whose answer the store no longer keeps.
-func (a *Agent) forget() {
+// removeExpired drops jobs whose answer the store no longer keeps.
+func (a *Agent) removeExpired() {
 	for key, j := range a.jobs {
-		if j.state == over && j.links == 0 && a.Answers.Get(j.offer.Workspace, j.offer.Id) == nil {
+		if j.state == jobFinished && j.linkCount == 0 && a.Answers.Get(j.offer.Workspace, j.offer.Id) == nil {
 			delete(a.jobs, key)
 		}
 	}
--- a/agent/limits.go
+++ b/agent/limits.go
@@ -7,43 +7,43 @@
 	"chestnutstep.example/chestnutstep/order"
 )
 
-// refresh puts the limits of a new publication in force.
-func (a *Agent) refresh(now time.Time) {
+// applyPublication puts the limits of a new publication in force.
+func (a *Agent) applyPublication(now time.Time) {
 	v := a.View()
-	if v == nil || v == a.view {
+	if v == nil || v == a.appliedView {
 		return
 	}
-	a.view = v
-	a.sender.permits.Limit(now, targetNames(v), v.Publication.Budget.LoadRate, order.DefaultWardens)
+	a.appliedView = v
+	a.orderSender.permits.Configure(now, targetNames(v), v.Publication.Budget.LoadRate, order.DefaultPermitServers)
 	t := v.Targets[a.Name]
 	if t == nil {
 		// Operators removed the target: it takes no new work.
-		a.version = v.Publication.Version
-		a.out = true
-		a.turn(eventOut)
+		a.appliedVersion = v.Publication.Version
+		a.outOfService = true
+		a.applyEvent(eventOut)
 		a.Gate.SetLimits(now, chestnutstep.Limits{Out: true})
 		return
 	}
-	before := a.version
-	a.version = v.Publication.Version
-	a.Gate.SetLimits(now, limits(v, t))
-	if out := v.IsOut(t); out != a.out {
-		a.out = out
-		a.turn(outEvent(out))
-		a.mover.notify(out)
+	before := a.appliedVersion
+	a.appliedVersion = v.Publication.Version
+	a.Gate.SetLimits(now, newLimits(v, t))
+	if out := v.IsOut(t); out != a.outOfService {
+		a.outOfService = out
+		a.applyEvent(serviceEvent(out))
+		a.migrator.notify(out)
 	}
-	a.Notify(Notice{Kind: NoticeLimits, Subject: a.Name, Before: number(before), After: number(a.version)})
+	a.Notify(Notice{Kind: NoticeLimits, Subject: a.Name, Before: formatUint(before), After: formatUint(a.appliedVersion)})
 }
 
-func outEvent(out bool) string {
+func serviceEvent(out bool) string {
 	if out {
 		return eventOut
 	}
 	return eventBack
 }
 
-func limits(v *chestnutstep.View, t *chestnutstep.Target) chestnutstep.Limits {
-	l := chestnutstep.Limits{Weight: t.EffectiveWeight(), Out: v.IsOut(t), IsOnlyTarget: single(v, t.Model)}
+func newLimits(v *chestnutstep.View, t *chestnutstep.Target) chestnutstep.Limits {
+	l := chestnutstep.Limits{Weight: t.EffectiveWeight(), Out: v.IsOut(t), IsOnlyTarget: hasSingleTarget(v, t.Model)}
 	if m := v.Models[t.Model]; m != nil {
 		l.Model = *m
 	}
@@ -54,8 +54,8 @@
 	return l
 }
 
-// single says that at most one target in service serves the model.
-func single(v *chestnutstep.View, model string) bool {
+// hasSingleTarget says that at most one target in service serves the model.
+func hasSingleTarget(v *chestnutstep.View, model string) bool {
 	n := 0
 	for _, t := range v.TargetsByModel[model] {
 		if !v.IsOut(t) {
@@ -72,7 +72,7 @@
 		return
 	}
 	t := v.Targets[a.Name]
-	if a.closed() == "" {
+	if a.rejectReason() == "" {
 		a.Sampler.SetLocal(now, a.sample(now, t))
 	}
 	a.Gate.SetMean(now, a.Sampler.Mean(now))
@@ -98,8 +98,8 @@
 	return v.Models[v.Targets[a.Name].Model]
 }
 
-// kind of the model that this target serves.
-func (a *Agent) kind() string {
+// modelKind of the model that this target serves.
+func (a *Agent) modelKind() string {
 	m := a.model()
 	if m == nil {
 		return ""
--- a/agent/link.go
+++ b/agent/link.go
@@ -52,7 +52,7 @@
 		case *wire.Up_Attach:
 			return s.serveAttach(st, k.Attach)
 		case *wire.Up_Moved:
-			s.noteMoved(k.Moved)
+			s.recordMoved(k.Moved)
 		default:
 			return nil
 		}
@@ -66,7 +66,7 @@
 	}
 	l := &link{agent: a, job: adm.job, stream: st}
 	defer l.close()
-	go l.loop()
+	go l.receiveLoop()
 	return l.serve(0)
 }
 
@@ -74,7 +74,7 @@
 	a.mu.Lock()
 	j := a.jobs[jobKey(at.Workspace, at.Id)]
 	if j != nil {
-		j.links++
+		j.linkCount++
 	}
 	a.mu.Unlock()
 	if j == nil {
@@ -84,21 +84,21 @@
 	}
 	l := &link{agent: a, job: j, stream: st}
 	defer l.close()
-	go l.loop()
+	go l.receiveLoop()
 	return l.serve(at.Offset)
 }
 
 // serve follows the job to its end: queue, accept, answer.
 func (l *link) serve(offset int64) error {
-	if refused, err := l.await(); refused || err != nil {
+	if refused, err := l.awaitStart(); refused || err != nil {
 		return err
 	}
 	accept := &wire.Accept{Target: l.agent.Name, Incarnation: l.agent.Incarnation, Joined: l.agent.hasBody(l.job)}
 	if err := l.stream.Send(&wire.Down{Kind: &wire.Down_Accept{Accept: accept}}); err != nil {
 		return err
 	}
-	l.agent.Notify(l.job.notice(NoticeSent, ""))
-	return l.relay(offset)
+	l.agent.Notify(l.job.newNotice(NoticeSent, ""))
+	return l.sendAnswer(offset)
 }
 
 // sendRefusal refuses, then waits for a note of where the request went. The
@@ -112,36 +112,36 @@
 		return nil
 	}
 	if m := up.GetMoved(); m != nil {
-		a.noteMoved(m)
+		a.recordMoved(m)
 	}
 	return nil
 }
 
-// noteMoved notes the target that runs a request; a note that names this one
+// recordMoved notes the target that runs a request; a note that names this one
 // ends the note before.
-func (a *Agent) noteMoved(m *wire.Moved) {
+func (a *Agent) recordMoved(m *wire.Moved) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	key := jobKey(m.Workspace, m.Id)
 	if m.Target == a.Name {
-		a.moved.end(key)
+		a.movedTo.remove(key)
 	} else {
-		a.moved.put(key, m.Target, a.Clock())
+		a.movedTo.put(key, m.Target, a.Clock())
 	}
 	a.Notify(Notice{Kind: NoticeMoved, Subject: m.Id, Before: a.Name, After: m.Target})
 }
 
-// await follows a job through the queue; refused says that it never ran.
-func (l *link) await() (refused bool, err error) {
+// awaitStart follows a job through the queue; refused says that it never ran.
+func (l *link) awaitStart() (refused bool, err error) {
 	select {
-	case <-l.job.placed:
+	case <-l.job.dequeued:
 	default:
 		if err := l.stream.Send(&wire.Down{Kind: &wire.Down_Wait{Wait: &wire.Wait{}}}); err != nil {
 			return false, err
 		}
 	}
 	select {
-	case <-l.job.placed:
+	case <-l.job.dequeued:
 	case <-l.stream.Context().Done():
 		return false, l.stream.Context().Err()
 	}
@@ -154,19 +154,19 @@
 	return true, l.agent.sendRefusal(l.stream, r)
 }
 
-// relay sends the answer from an offset on, to its last frame.
-func (l *link) relay(offset int64) error {
-	reader, err := l.job.log.Attach(offset)
+// sendAnswer sends the answer from an offset on, to its last frame.
+func (l *link) sendAnswer(offset int64) error {
+	reader, err := l.job.log.NewReader(offset)
 	if err != nil {
-		return l.relayError(err)
+		return l.sendAnswerError(err)
 	}
 	defer reader.Close()
 	for {
 		p, err := reader.Next(l.stream.Context())
 		if err != nil {
-			return l.relayError(err)
+			return l.sendAnswerError(err)
 		}
-		if err := l.stream.Send(down(p)); err != nil {
+		if err := l.stream.Send(pieceMessage(p)); err != nil {
 			return err
 		}
 		if p.Last != nil || p.Broken != nil {
@@ -175,8 +175,8 @@
 	}
 }
 
-// down turns a piece of an answer into its message.
-func down(p answer.Piece) *wire.Down {
+// pieceMessage turns a piece of an answer into its message.
+func pieceMessage(p answer.Piece) *wire.Down {
 	switch {
 	case p.Head != nil:
 		return &wire.Down{Kind: &wire.Down_Head{Head: p.Head}}
@@ -188,33 +188,33 @@
 	return &wire.Down{Kind: &wire.Down_Frame{Frame: &wire.Frame{Offset: p.Offset, Data: p.Data}}}
 }
 
-// relayError tells the entry that bytes it asked for are gone: a short answer
+// sendAnswerError tells the entry that bytes it asked for are gone: a short answer
 // must never look whole.
-func (l *link) relayError(err error) error {
+func (l *link) sendAnswerError(err error) error {
 	if !answer.IsErrGone(err) {
 		return err
 	}
-	return l.stream.Send(&wire.Down{Kind: &wire.Down_Broken{Broken: l.gone()}})
+	return l.stream.Send(&wire.Down{Kind: &wire.Down_Broken{Broken: l.goneMessage()}})
 }
 
-// gone is the last word on a job whose answer is not kept. If it never ran, its
+// goneMessage is the last word on a job whose answer is not kept. If it never ran, its
 // answer was dropped for that, and the caller must hear "not run": told that it
 // ran, it would not send it again.
-func (l *link) gone() *wire.Broken {
+func (l *link) goneMessage() *wire.Broken {
 	l.agent.mu.Lock()
 	defer l.agent.mu.Unlock()
 	if r := l.job.refusal; r != nil {
 		return &wire.Broken{Reason: r.Reason, Run: r.Run, Retry: r.Retry}
 	}
-	if l.job.failed != nil {
-		return l.job.failed
+	if l.job.failure != nil {
+		return l.job.failure
 	}
 	return &wire.Broken{Reason: string(chestnutstep.ReasonGone), Run: string(chestnutstep.RunYes)}
 }
 
-// loop takes what the entry sends: pieces of the body, or that its caller gave
+// receiveLoop takes what the entry sends: pieces of the body, or that its caller gave
 // up. A stream that ends without a word is a lost link, not a cancel.
-func (l *link) loop() {
+func (l *link) receiveLoop() {
 	for {
 		up, err := l.stream.Recv()
 		if err != nil {
@@ -222,11 +222,11 @@
 		}
 		switch k := up.Kind.(type) {
 		case *wire.Up_Body:
-			l.grow(k.Body)
+			l.appendBody(k.Body)
 		case *wire.Up_Cancel:
-			l.agent.cancel(l.job)
+			l.agent.cancelJob(l.job)
 		case *wire.Up_Moved:
-			l.agent.noteMoved(k.Moved)
+			l.agent.recordMoved(k.Moved)
 		}
 	}
 }
@@ -237,27 +237,27 @@
 	a := l.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l.job.links--
+	l.job.linkCount--
 	now := a.Clock()
-	l.job.lost = now
-	if l.job.links == 0 {
-		a.abandon(now, l.job)
+	l.job.detachedAt = now
+	if l.job.linkCount == 0 {
+		a.abandonJob(now, l.job)
 	}
 }
 
-// cancel ends a job whose caller gave up, at once: most callers cancel, and
+// cancelJob ends a job whose caller gave up, at once: most callers cancel, and
 // what they leave behind would otherwise fill the target. A non-idempotent
 // request that runs goes on, as cutting it leaves its outcome unknown.
-func (a *Agent) cancel(j *job) {
+func (a *Agent) cancelJob(j *job) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if j.links > 1 {
+	if j.linkCount > 1 {
 		return
 	}
 	switch {
-	case j.state < running:
-		a.drop(a.Clock(), j, chestnutstep.ReasonCanceled)
-	case j.state == running && !j.once():
-		j.abort()
+	case j.state < jobRunning:
+		a.refuseWithReason(a.Clock(), j, chestnutstep.ReasonCanceled)
+	case j.state == jobRunning && !j.atMostOnce():
+		j.cancelCall()
 	}
 }
--- a/agent/mint.go
+++ b/agent/mint.go
@@ -10,14 +10,14 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// mintMost bounds one batch of tickets, as callers ask for batches.
-const mintMost = 1000
+// maxMintCount bounds one batch of tickets, as callers ask for batches.
+const maxMintCount = 1000
 
 // Mint hands out tickets that only this incarnation of this agent honours.
 func (s *service) Mint(_ context.Context, rq *wire.MintRequest) (*wire.MintReply, error) {
 	a := s.Agent
-	if rq.Count == 0 || rq.Count > mintMost {
-		return nil, status.Errorf(codes.InvalidArgument, "count: 1 to %d, not %d", mintMost, rq.Count)
+	if rq.Count == 0 || rq.Count > maxMintCount {
+		return nil, status.Errorf(codes.InvalidArgument, "count: 1 to %d, not %d", maxMintCount, rq.Count)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -37,8 +37,8 @@
 	if a.View() == nil {
 		return chestnutstep.ReasonVersion
 	}
-	a.refresh(a.Clock())
-	return a.closed()
+	a.applyPublication(a.Clock())
+	return a.rejectReason()
 }
 
 // Drop writes a tombstone for a ticket that has not run, and says the truth.
@@ -46,6 +46,6 @@
 	a := s.Agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	stub := a.Issuer.Drop(a.Clock(), rq.Ticket, rq.Workspace)
-	return &wire.DropReply{Run: string(stub.Run)}, nil
+	ticketStatus := a.Issuer.Drop(a.Clock(), rq.Ticket, rq.Workspace)
+	return &wire.DropReply{Run: string(ticketStatus.Run)}, nil
 }
--- a/agent/mover.go
+++ b/agent/mover.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// chatPause and chatShare describe returning chats, for the price of moving
+	// meanReturnDelay and chatShare describe returning chats, for the price of moving
 	// one: nine in ten come back, after two minutes on average. Where they come
 	// back less or later, too many chats are moved, which costs the link alone.
-	chatPause = 2 * time.Minute
-	chatShare = 0.9
-	// shiftLimit is how long handing over may take: an operator who takes a
+	meanReturnDelay = 2 * time.Minute
+	returnRatio     = 0.9
+	// migrationTimeout is how long handing over may take: an operator who takes a
 	// failure domain out at short notice gives it seconds, not minutes.
-	shiftLimit = 30 * time.Second
-	// takeLimit bounds one chat.
-	takeLimit = 2 * time.Second
+	migrationTimeout = 30 * time.Second
+	// takeTimeout bounds one chat.
+	takeTimeout = 2 * time.Second
 )
 
-// mover hands the KV cache of the latest chats to the targets that rank next
+// cacheMigrator hands the KV cache of the latest chats to the targets that rank next
 // for them, where their callers' next requests go. It answers a failure domain
 // that leaves: without it, all its chats rebuild their prefixes at once at
 // targets that just got more load. One chat at a time, the most valuable first.
-type mover struct {
+type cacheMigrator struct {
 	wake chan struct{}
 }
 
 // notify starts a hand-over when operators took the target out of service. It
 // never blocks.
-func (m *mover) notify(out bool) {
+func (m *cacheMigrator) notify(out bool) {
 	if !out {
 		return
 	}
@@ -42,39 +42,39 @@
 	}
 }
 
-func (m *mover) loop(ctx context.Context, a *Agent) {
+func (m *cacheMigrator) loop(ctx context.Context, a *Agent) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-m.wake:
-			a.shift(ctx)
+			a.migrateChats(ctx)
 		}
 	}
 }
 
-func (a *Agent) shift(ctx context.Context) {
+func (a *Agent) migrateChats(ctx context.Context) {
 	if a.Dial == nil || a.Ranker == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, shiftLimit)
+	ctx, cancel := context.WithTimeout(ctx, migrationTimeout)
 	defer cancel()
-	for _, c := range a.valuable() {
+	for _, c := range a.chatsToMigrate() {
 		if ctx.Err() != nil {
 			return
 		}
-		a.handOver(ctx, chat{c.Workspace, c.Name})
+		a.migrateChat(ctx, chatKey{c.Workspace, c.Name})
 	}
 }
 
-// valuable lists the chats worth handing over, the most valuable first.
-func (a *Agent) valuable() []price.Chat {
+// chatsToMigrate lists the chats worth handing over, the most valuable first.
+func (a *Agent) chatsToMigrate() []price.Chat {
 	m, v := a.model(), a.View()
 	if m == nil || v == nil || m.CacheBytesPerToken <= 0 {
 		return nil
 	}
 	a.mu.Lock()
-	all := a.chats.all()
+	all := a.chats.list()
 	now := a.Clock()
 	a.mu.Unlock()
 	chats := make([]price.Chat, 0, len(all))
@@ -84,21 +84,21 @@
 			Name:              h.name,
 			Tokens:            float64(h.tokens),
 			Bytes:             float64(h.tokens * m.CacheBytesPerToken),
-			ReturnProbability: price.ReturnProbability(now.Sub(h.served), chatPause, chatShare),
+			ReturnProbability: price.ReturnProbability(now.Sub(h.lastServed), meanReturnDelay, returnRatio),
 		})
 	}
-	return price.Plan(chats, float64(v.Publication.Budget.ExportRate), shiftLimit)
+	return price.Plan(chats, float64(v.Publication.Budget.ExportRate), migrationTimeout)
 }
 
-// handOver asks the agent that ranks next for a chat to take its KV cache. A
+// migrateChat asks the agent that ranks next for a chat to take its KV cache. A
 // failure costs the chat a rebuild, as if nothing had been tried.
-func (a *Agent) handOver(ctx context.Context, c chat) {
+func (a *Agent) migrateChat(ctx context.Context, c chatKey) {
 	v := a.View()
 	if v == nil || v.Targets[a.Name] == nil {
 		return
 	}
 	self := v.Targets[a.Name]
-	next := a.next(v, self, c)
+	next := a.nextTarget(v, self, c)
 	if next == nil {
 		return
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, takeLimit)
+	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
 	reply, err := peer.Take(ctx, &wire.TakeRequest{
 		Workspace: c.workspace, Chat: c.name, Model: self.Model, Source: self.Agent,
@@ -114,11 +114,11 @@
 	if err != nil || reply.Bytes == 0 {
 		return
 	}
-	a.Notify(Notice{Kind: NoticeHanded, Subject: c.name, Before: a.Name, After: next.Name, Workspace: c.workspace, Bytes: reply.Bytes})
+	a.Notify(Notice{Kind: NoticeHandedOver, Subject: c.name, Before: a.Name, After: next.Name, Workspace: c.workspace, Bytes: reply.Bytes})
 }
 
-// next is the target that ranks first for a chat, this one left out.
-func (a *Agent) next(v *chestnutstep.View, self *chestnutstep.Target, c chat) *chestnutstep.Target {
+// nextTarget is the target that ranks first for a chat, this one left out.
+func (a *Agent) nextTarget(v *chestnutstep.View, self *chestnutstep.Target, c chatKey) *chestnutstep.Target {
 	place := chestnutstep.RankQuery{Workspace: c.workspace, Chat: c.name, Model: self.Model, Region: v.Region(self.Host)}
 	for _, t := range a.Ranker(v).Rank(nil, place, 2) {
 		if t.Name != self.Name {
--- a/agent/notes.go
+++ b/agent/notes.go
@@ -3,49 +3,49 @@
 import "time"
 
 const (
-	// notesKept bounds notes of requests, and noteLife is how long one helps: a
+	// maxRecentEntries bounds notes of requests, and noteLife is how long one helps: a
 	// caller whose entry died repeats within seconds.
-	notesKept = 4096
-	noteLife  = time.Minute
+	maxRecentEntries = 4096
+	recentEntryTTL   = time.Minute
 )
 
-// notes keep a name for each of the latest requests.
-type notes struct {
-	at    map[string]noted
-	order []string
+// recentMap keep a name for each of the latest requests.
+type recentMap struct {
+	entries map[string]recentEntry
+	order   []string
 }
 
-type noted struct {
-	name  string
-	until time.Time
+type recentEntry struct {
+	value     string
+	expiresAt time.Time
 }
 
-func (m *notes) put(key, name string, now time.Time) {
-	if m.at == nil {
-		m.at = make(map[string]noted)
+func (m *recentMap) put(key, value string, now time.Time) {
+	if m.entries == nil {
+		m.entries = make(map[string]recentEntry)
 	}
-	if _, known := m.at[key]; !known {
+	if _, known := m.entries[key]; !known {
 		m.order = append(m.order, key)
 	}
-	m.at[key] = noted{name: name, until: now.Add(noteLife)}
-	if len(m.order) > notesKept {
-		delete(m.at, m.order[0])
+	m.entries[key] = recentEntry{value: value, expiresAt: now.Add(recentEntryTTL)}
+	if len(m.order) > maxRecentEntries {
+		delete(m.entries, m.order[0])
 		m.order = m.order[1:]
 	}
 }
 
-// end forgets the name of a request. Its place in the order stays.
-func (m *notes) end(key string) {
-	if _, known := m.at[key]; known {
-		m.at[key] = noted{}
+// remove forgets the name of a request. Its place in the order stays.
+func (m *recentMap) remove(key string) {
+	if _, known := m.entries[key]; known {
+		m.entries[key] = recentEntry{}
 	}
 }
 
 // get returns the name, or "" when there is no note or it is too old.
-func (m *notes) get(key string, now time.Time) string {
-	n, ok := m.at[key]
-	if !ok || now.After(n.until) {
+func (m *recentMap) get(key string, now time.Time) string {
+	n, ok := m.entries[key]
+	if !ok || now.After(n.expiresAt) {
 		return ""
 	}
-	return n.name
+	return n.value
 }
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -15,99 +15,99 @@
 )
 
 const (
-	// orderEvery is how often the agent compares what its engine was told with
+	// orderInterval is how often the agent compares what its engine was told with
 	// what the publication says.
-	orderEvery = time.Second
-	// orderLimit bounds one order to the engine: it is an acknowledgement, the
+	orderInterval = time.Second
+	// orderTimeout bounds one order to the engine: it is an acknowledgement, the
 	// loading itself goes on behind it.
-	orderLimit = 10 * time.Second
+	orderTimeout = 10 * time.Second
 )
 
-// sender brings the engine to what the publication says: it sends the orders
+// orderSender brings the engine to what the publication says: it sends the orders
 // that are missing, one after the other, each with its fencing number. An
 // engine that restarts has forgotten what it was told, so all are sent again.
-type sender struct {
-	desk    order.Desk
-	permits order.PermitServer
-	// obeyed lists the orders that the engine's present life has followed.
-	obeyed map[chestnutstep.Order]bool
-	boot   string
+type orderSender struct {
+	scheduler order.Scheduler
+	permits   order.PermitServer
+	// applied lists the orders that the engine's present life has followed.
+	applied map[chestnutstep.Order]bool
+	bootID  string
 }
 
-func (c *sender) loop(ctx context.Context, a *Agent) {
-	tick := time.NewTicker(orderEvery)
+func (s *orderSender) loop(ctx context.Context, a *Agent) {
+	tick := time.NewTicker(orderInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			c.step(ctx, a)
+			s.sendNext(ctx, a)
 		}
 	}
 }
 
-// step sends at most one order. Whether the desk is ready is asked first: a
+// sendNext sends at most one order. Whether the desk is ready is asked first: a
 // permit that is taken and not used is lost to the targets that could use it.
-func (c *sender) step(ctx context.Context, a *Agent) {
-	o, ok := c.missing(a)
-	if !ok || !c.ready(a) {
+func (s *orderSender) sendNext(ctx context.Context, a *Agent) {
+	o, ok := s.nextOrder(a)
+	if !ok || !s.isReady(a) {
 		return
 	}
-	if o.LoadsWeights() && !a.permitted(ctx) {
+	if o.LoadsWeights() && !a.acquirePermit(ctx) {
 		return
 	}
-	c.send(ctx, a, o)
+	s.send(ctx, a, o)
 }
 
-// missing is the first published order that the engine has not followed.
-func (c *sender) missing(a *Agent) (chestnutstep.Order, bool) {
+// nextOrder is the first published order that the engine has not followed.
+func (s *orderSender) nextOrder(a *Agent) (chestnutstep.Order, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := a.View()
-	if v == nil || v.Targets[a.Name] == nil || a.health.down || a.health.boot == "" {
+	if v == nil || v.Targets[a.Name] == nil || a.health.isDown || a.health.bootID == "" {
 		return chestnutstep.Order{}, false
 	}
 	t := v.Targets[a.Name]
-	c.desk.Fenced = t.Fenced
-	if c.boot != a.health.boot {
-		c.boot = a.health.boot
-		c.obeyed = make(map[chestnutstep.Order]bool)
-		c.desk.Restart(a.Clock())
+	s.scheduler.Fenced = t.Fenced
+	if s.bootID != a.health.bootID {
+		s.bootID = a.health.bootID
+		s.applied = make(map[chestnutstep.Order]bool)
+		s.scheduler.EngineRestarted(a.Clock())
 	}
 	for _, o := range t.Orders {
-		if !c.obeyed[o] {
+		if !s.applied[o] {
 			return o, true
 		}
 	}
 	return chestnutstep.Order{}, false
 }
 
-func (c *sender) ready(a *Agent) bool {
+func (s *orderSender) isReady(a *Agent) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return c.desk.Ready(a.Clock())
+	return s.scheduler.IsReady(a.Clock())
 }
 
-// permitted asks the wardens of the weight store's rate, of which one is
+// acquirePermit asks the wardens of the weight store's rate, of which one is
 // enough. Without them a failure domain that starts cold at once asks the store
 // for everything at once, and gets refusals for as long as it keeps asking.
-func (a *Agent) permitted(ctx context.Context) bool {
+func (a *Agent) acquirePermit(ctx context.Context) bool {
 	v := a.View()
 	if v == nil || v.Publication.Budget.LoadRate <= 0 {
 		return true
 	}
-	for _, name := range order.Wardens(targetNames(v), order.DefaultWardens) {
-		if a.permittedBy(ctx, v, name) {
+	for _, name := range order.PermitServers(targetNames(v), order.DefaultPermitServers) {
+		if a.acquirePermitFrom(ctx, v, name) {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Agent) permittedBy(ctx context.Context, v *chestnutstep.View, name string) bool {
+func (a *Agent) acquirePermitFrom(ctx context.Context, v *chestnutstep.View, name string) bool {
 	if name == a.Name {
-		ok, _ := a.grant()
+		ok, _ := a.grantPermit()
 		return ok
 	}
 	if a.Dial == nil {
@@ -117,17 +117,17 @@
 	if err != nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	reply, err := peer.Permit(ctx, &wire.PermitRequest{Target: a.Name})
 	return err == nil && reply.Ok
 }
 
-// grant hands out a permit if this agent is a permit server.
-func (a *Agent) grant() (bool, time.Duration) {
+// grantPermit hands out a permit if this agent is a permit server.
+func (a *Agent) grantPermit() (bool, time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.sender.permits.Permit(a.Clock())
+	return a.orderSender.permits.Grant(a.Clock())
 }
 
 func targetNames(v *chestnutstep.View) []string {
@@ -140,37 +140,37 @@
 
 // Permit lets another agent load weights.
 func (s *service) Permit(context.Context, *wire.PermitRequest) (*wire.PermitReply, error) {
-	ok, wait := s.grant()
+	ok, wait := s.grantPermit()
 	return &wire.PermitReply{Ok: ok, Wait: int64(wait)}, nil
 }
 
 // send passes one order on.
-func (c *sender) send(ctx context.Context, a *Agent, o chestnutstep.Order) {
-	job, err := c.take(a, o)
+func (s *orderSender) send(ctx context.Context, a *Agent, o chestnutstep.Order) {
+	job, err := s.submit(a, o)
 	if err != nil {
 		return
 	}
-	done := order.Finish
+	event := order.Finished
 	if err := a.sendOrder(ctx, o, job.Fence); err != nil {
-		done = order.Lose
-		if errors.Is(err, errRefusedOrder) {
-			done = order.Refuse
+		event = order.Lost
+		if errors.Is(err, errOrderRefused) {
+			event = order.Refused
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_ = c.desk.End(a.Clock(), job.Fence, done)
-	if done == order.Finish {
-		c.obeyed[o] = true
+	_ = s.scheduler.Complete(a.Clock(), job.Fence, event)
+	if event == order.Finished {
+		s.applied[o] = true
 	}
 	a.Notify(Notice{
 		Kind: NoticeOrder, Subject: o.Kind + " " + o.Name,
-		Before: job.Fence.String(), After: string(done),
+		Before: job.Fence.String(), After: string(event),
 	})
 }
 
-// take gets the fencing number and asks the desk right before the call.
-func (c *sender) take(a *Agent, o chestnutstep.Order) (order.Job, error) {
+// submit gets the fencing number and asks the desk right before the call.
+func (s *orderSender) submit(a *Agent, o chestnutstep.Order) (order.Job, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := a.View()
@@ -179,18 +179,18 @@
 	}
 	now := a.Clock()
 	version := v.Publication.Version
-	job, err := c.desk.Take(now, order.Order{Kind: o.Kind, Name: o.Name, Version: version})
+	job, err := s.scheduler.Submit(now, order.Order{Kind: o.Kind, Name: o.Name, Version: version})
 	if err != nil {
 		return order.Job{}, err
 	}
-	return job, c.desk.MaySend(now, job.Fence, version)
+	return job, s.scheduler.BeginSend(now, job.Fence, version)
 }
 
-// errRefusedOrder is the engine's own "no", such as to an old fencing number.
-var errRefusedOrder = errors.New("the engine refused the order")
+// errOrderRefused is the engine's own "no", such as to an old fencing number.
+var errOrderRefused = errors.New("the engine refused the order")
 
 func (a *Agent) sendOrder(ctx context.Context, o chestnutstep.Order, f order.Fence) error {
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -201,13 +201,13 @@
 		return errors.Wrap(err, "order")
 	}
 	rq.Header.Set(chestnutstep.HeaderFencingNumber, f.String())
-	rs, err := a.Single.Do(rq)
+	rs, err := a.UnpooledClient.Do(rq)
 	if err != nil {
 		return errors.Wrap(err, "order")
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode/100 != 2 {
-		return errors.Wrapf(errRefusedOrder, "status %d", rs.StatusCode)
+		return errors.Wrapf(errOrderRefused, "status %d", rs.StatusCode)
 	}
 	return nil
 }
--- a/agent/script_test.go
+++ b/agent/script_test.go
@@ -44,8 +44,8 @@
 	ran   []string
 	// orders lists what was obeyed, with its fencing number; high is the
 	// highest seen, which a target that checks refuses to go below.
-	orders []string
-	high   uint64
+	orders       []string
+	highestFence uint64
 }
 
 func (t *target) RoundTrip(rq *http.Request) (*http.Response, error) {
@@ -84,11 +84,11 @@
 	fence, _ := strconv.ParseUint(rq.Header.Get(chestnutstep.HeaderFencingNumber), 10, 64)
 	body, _ := io.ReadAll(rq.Body)
 	rs := reply(rq, t.boot, "")
-	if fence < t.high {
+	if fence < t.highestFence {
 		rs.StatusCode = http.StatusConflict
 		return rs
 	}
-	t.high = fence
+	t.highestFence = fence
 	t.orders = append(t.orders, string(body))
 	return rs
 }
@@ -103,8 +103,8 @@
 	return rs
 }
 
-// scripted is an agent whose clock, target and entries are played by a script.
-type scripted struct {
+// harness is an agent whose clock, target and entries are played by a script.
+type harness struct {
 	t       *testing.T
 	agent   *Agent
 	target  *target
@@ -116,8 +116,8 @@
 	notices []string
 }
 
-func newScripted(t *testing.T) *scripted {
-	s := &scripted{t: t, now: time.Now(), links: map[string]*link{}, tickets: map[string]string{}}
+func newHarness(t *testing.T) *harness {
+	s := &harness{t: t, now: time.Now(), links: map[string]*link{}, tickets: map[string]string{}}
 	s.target = &target{boot: "boot-1", calls: map[string]*call{}}
 	s.pub = chestnutstep.Publication{
 		Version: 1,
@@ -132,8 +132,8 @@
 		View:     func() *chestnutstep.View { p := s.pub; return chestnutstep.NewView(&p) },
 		Gate:     &gate.Gate{},
 		Detector: &crash.Detector{Target: "t"},
-		Issuer:   &ticket.Issuer{Target: "t", Incarnation: "1", Key: make([]byte, 32), Rand: zeros{}},
-		Answers:  &answer.Store{}, Reuse: client, Single: client,
+		Issuer:   &ticket.Issuer{Target: "t", Incarnation: "1", Key: make([]byte, 32), Rand: countingReader{}},
+		Answers:  &answer.Store{}, PooledClient: client, UnpooledClient: client,
 		Clock:  func() time.Time { return s.now },
 		Notify: s.notify,
 	}
@@ -142,20 +142,20 @@
 	return s
 }
 
-// zeros counts up, so that nonces differ and runs do not.
-type zeros struct{}
+// countingReader counts up, so that nonces differ and runs do not.
+type countingReader struct{}
 
-var drawn byte
+var lastByte byte
 
-func (zeros) Read(p []byte) (int, error) {
-	drawn++
+func (countingReader) Read(p []byte) (int, error) {
+	lastByte++
 	for i := range p {
-		p[i] = drawn
+		p[i] = lastByte
 	}
 	return len(p), nil
 }
 
-func (s *scripted) run(d *datadriven.TestData) string {
+func (s *harness) runCommand(d *datadriven.TestData) string {
 	id := ""
 	if len(d.CmdArgs) > 0 && len(d.CmdArgs[0].Vals) == 0 {
 		id = d.CmdArgs[0].Key
@@ -167,9 +167,9 @@
 	case "offer":
 		return s.offer(d, id)
 	case "body":
-		s.links[id].grow(&wire.Body{Data: []byte(d.Input), Last: d.HasArg("last")})
+		s.links[id].appendBody(&wire.Body{Data: []byte(d.Input), Last: d.HasArg("last")})
 	case "cancel":
-		s.agent.cancel(s.links[id].job)
+		s.agent.cancelJob(s.links[id].job)
 	case "detach":
 		s.links[id].close()
 	case "sleep":
@@ -182,9 +182,9 @@
 	case "tick":
 		s.agent.tick()
 	case "answer":
-		return s.release(id)
+		return s.answerCall(id)
 	case "die":
-		s.die()
+		s.crashTarget()
 	case "revive":
 		s.target.mu.Lock()
 		s.target.down, s.target.boot = false, "boot-2"
@@ -199,35 +199,35 @@
 	case "publish":
 		return s.publish(d)
 	case "orders":
-		s.agent.sender.step(context.Background(), s.agent)
+		s.agent.orderSender.sendNext(context.Background(), s.agent)
 		s.target.mu.Lock()
 		defer s.target.mu.Unlock()
 		return strings.Join(append(s.target.orders, ""), "\n")
 	case "overtake":
 		// Somebody else, perhaps this agent's frozen predecessor, has given the
 		// target a higher number.
-		s.target.high = 1 << 63
+		s.target.highestFence = 1 << 63
 	case "moved":
 		to := "other"
 		d.MaybeScanArgs(s.t, "to", &to)
-		s.agent.noteMoved(&wire.Moved{Id: id, Workspace: "w", Target: to})
+		s.agent.recordMoved(&wire.Moved{Id: id, Workspace: "w", Target: to})
 	case "ask":
 		return s.outcome(id)
 	case "notices":
-		return s.noticed()
+		return s.takeNotices()
 	}
-	s.settle()
+	s.waitSettled()
 	return s.state()
 }
 
-func (s *scripted) notify(n Notice) {
+func (s *harness) notify(n Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notices = append(s.notices, strings.TrimSpace(fmt.Sprintf("%s %s offer %d %s", n.Kind, n.Subject, n.Offer, n.Reason)))
+	s.notices = append(s.notices, strings.TrimSpace(fmt.Sprintf("%s %s offer %d %s", n.Kind, n.Subject, n.OfferNumber, n.Reason)))
 }
 
-// noticed lists the notices since the last call.
-func (s *scripted) noticed() string {
+// takeNotices lists the notices since the last call.
+func (s *harness) takeNotices() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.notices
@@ -236,7 +236,7 @@
 }
 
 // publish puts a version with these orders in force.
-func (s *scripted) publish(d *datadriven.TestData) string {
+func (s *harness) publish(d *datadriven.TestData) string {
 	s.pub.Version++
 	s.pub.Targets = []chestnutstep.Target{{Name: "t", Host: "h", Model: "m", Agent: "127.0.0.1:1", Fenced: true}}
 	for _, arg := range d.CmdArgs {
@@ -246,7 +246,7 @@
 	return ""
 }
 
-func (s *scripted) offer(d *datadriven.TestData, id string) string {
+func (s *harness) offer(d *datadriven.TestData, id string) string {
 	o := &wire.Offer{
 		Id: id, Workspace: "w", Model: "m", Method: http.MethodPost, Path: "/v1",
 		Remain: int64(10 * time.Second), Idempotent: true, Fingerprint: 1, Chat: "c",
@@ -275,7 +275,7 @@
 	o.Idempotent, o.Confirms = !d.HasArg("once"), d.HasArg("confirms")
 	o.Ticket = s.tickets[name]
 	adm := s.agent.admit(o)
-	s.settle()
+	s.waitSettled()
 	if adm.refuse != nil {
 		extra := ""
 		if adm.refuse.Ticket != "" {
@@ -298,8 +298,8 @@
 	return fmt.Sprintf("%s as %s\n%s", how, name, s.state())
 }
 
-// release lets a held request end with a whole answer.
-func (s *scripted) release(id string) string {
+// answerCall lets a held request end with a whole answer.
+func (s *harness) answerCall(id string) string {
 	s.target.mu.Lock()
 	c := s.target.calls[id]
 	delete(s.target.calls, id)
@@ -313,12 +313,12 @@
 	c.end <- func() (*http.Response, error) {
 		return reply(rq, s.target.boot, "answer to "+id), nil
 	}
-	s.settle()
+	s.waitSettled()
 	return s.state()
 }
 
-// die kills the target with all that runs there.
-func (s *scripted) die() {
+// crashTarget kills the target with all that runs there.
+func (s *harness) crashTarget() {
 	s.target.mu.Lock()
 	s.target.down = true
 	s.target.mu.Unlock()
@@ -326,16 +326,16 @@
 		s.target.calls[id].end <- func() (*http.Response, error) { return nil, errors.New("connection reset") }
 		delete(s.target.calls, id)
 	}
-	s.settle()
+	s.waitSettled()
 	s.agent.health.check(s.agent)
 }
 
-func (s *scripted) running() []string {
+func (s *harness) running() []string {
 	s.agent.mu.Lock()
 	defer s.agent.mu.Unlock()
 	var ids []string
 	for _, j := range s.agent.jobs {
-		if j.state == running {
+		if j.state == jobRunning {
 			ids = append(ids, j.offer.Id)
 		}
 	}
@@ -343,18 +343,18 @@
 	return ids
 }
 
-// settle waits until no released request is still on its way.
-func (s *scripted) settle() {
+// waitSettled waits until no released request is still on its way.
+func (s *harness) waitSettled() {
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
-		if n, held := len(s.running()), s.target.held(); n != held {
-			return poll.Continue("%d run, %d are held", n, held)
+		if n, open := len(s.running()), s.target.openCalls(); n != open {
+			return poll.Continue("%d run, %d are held", n, open)
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(10*time.Second))
 }
 
-// held counts the requests that nobody has canceled.
-func (t *target) held() int {
+// openCalls counts the requests that nobody has canceled.
+func (t *target) openCalls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -367,18 +367,18 @@
 }
 
 // outcome is what a reader of the request's answer gets.
-func (s *scripted) outcome(id string) string {
-	k, err := s.links[id].job.log.Attach(0)
+func (s *harness) outcome(id string) string {
+	reader, err := s.links[id].job.log.NewReader(0)
 	if err != nil {
-		b := s.links[id].gone()
+		b := s.links[id].goneMessage()
 		return fmt.Sprintf("broken: %s run=%s\n", b.Reason, b.Run)
 	}
-	defer k.Close()
+	defer reader.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	var body []byte
 	for {
-		p, err := k.Next(ctx)
+		p, err := reader.Next(ctx)
 		switch {
 		case err != nil:
 			return fmt.Sprintf("still running, %d bytes\n", len(body))
@@ -391,10 +391,10 @@
 	}
 }
 
-func (s *scripted) state() string {
+func (s *harness) state() string {
 	s.agent.mu.Lock()
 	defer s.agent.mu.Unlock()
-	names := map[state]string{waiting: "waiting", placed: "placed", running: "running", over: "over"}
+	names := map[jobState]string{jobQueued: "waiting", jobAccepted: "placed", jobRunning: "running", jobFinished: "over"}
 	var out []string
 	for _, j := range s.agent.jobs {
 		out = append(out, fmt.Sprintf("%s %s\n", j.offer.Id, names[j.state]))
@@ -408,10 +408,10 @@
 // caller or an operator would notice.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := newScripted(t)
+		s := newHarness(t)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			s.t = t
-			return s.run(d)
+			return s.runCommand(d)
 		})
 	})
 }
@@ -420,8 +420,8 @@
 // which the failure domain is in service, then, as its hash is higher, the one
 // in which it is out. An agent that looks at the version alone goes on taking
 // work in a domain that is being switched off.
-func TestRivalPublicationOfSameVersion(t *testing.T) {
-	s := newScripted(t)
+func TestOtherPublicationOfSameVersion(t *testing.T) {
+	s := newHarness(t)
 	assert.Equal(t, string(s.agent.mintRefusal()), "")
 	v := s.pub.Version
 	s.pub.Domains = []chestnutstep.Domain{{Name: "a", Region: "r", Out: true}}
@@ -429,31 +429,31 @@
 	assert.Equal(t, s.pub.Version, v)
 	adm := s.agent.admit(&wire.Offer{Id: "a", Workspace: "w", Model: "m", Remain: int64(time.Second), Idempotent: true})
 	assert.Equal(t, adm.refuse.GetReason(), string(chestnutstep.ReasonOut))
-	assert.Equal(t, s.agent.Life(), lifeOut)
+	assert.Equal(t, s.agent.TargetState(), targetOut)
 }
 
 // A target dies and restarts while operators have it out, and its host is listed
 // as leaving when they bring it back. Each word alone would let work in; the
 // chart keeps them in order.
-func TestLifeFollowsItsChart(t *testing.T) {
-	s := newScripted(t)
-	assert.Equal(t, s.agent.Life(), lifeCold)
-	away := false
-	s.agent.Leaving = func() bool { return away }
+func TestTargetStateFollowsChart(t *testing.T) {
+	s := newHarness(t)
+	assert.Equal(t, s.agent.TargetState(), targetCold)
+	leaving := false
+	s.agent.HostLeaving = func() bool { return leaving }
 	for _, c := range []struct {
 		do   func()
 		want string
 	}{
-		{func() { s.agent.earned(true) }, lifeWarming},
-		{func() { s.agent.earned(false) }, "warm"},
-		{func() { s.pub.Domains[0].Out = true; s.agent.tick() }, lifeOut},
-		{s.die, lifeOut},
-		{func() { s.pub.Domains[0].Out = false; s.agent.tick() }, lifeDown},
-		{func() { away = true; s.agent.tick() }, lifeLeaving},
-		{func() { s.target.down, s.target.boot = false, "boot-2"; s.agent.health.check(s.agent) }, lifeLeaving},
-		{func() { away = false; s.agent.tick() }, lifeCold},
+		{func() { s.agent.recordAnswer(true) }, targetWarming},
+		{func() { s.agent.recordAnswer(false) }, "warm"},
+		{func() { s.pub.Domains[0].Out = true; s.agent.tick() }, targetOut},
+		{s.crashTarget, targetOut},
+		{func() { s.pub.Domains[0].Out = false; s.agent.tick() }, targetDown},
+		{func() { leaving = true; s.agent.tick() }, targetLeaving},
+		{func() { s.target.down, s.target.boot = false, "boot-2"; s.agent.health.check(s.agent) }, targetLeaving},
+		{func() { leaving = false; s.agent.tick() }, targetCold},
 	} {
 		c.do()
-		assert.Equal(t, s.agent.Life(), c.want)
+		assert.Equal(t, s.agent.TargetState(), c.want)
 	}
 }
--- a/agent/size_test.go
+++ b/agent/size_test.go
@@ -16,12 +16,12 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		c := &chatCache{}
-		for i := range chatsKept {
-			c.put(chat{fmt.Sprintf("workspace-%d", i%560), fmt.Sprintf("chat-%032d", i)}, time.Now())
+		for i := range maxChats {
+			c.recordServed(chatKey{fmt.Sprintf("workspace-%d", i%560), fmt.Sprintf("chat-%032d", i)}, time.Now())
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		size = float64(after.HeapAlloc-before.HeapAlloc) / chatsKept
+		size = float64(after.HeapAlloc-before.HeapAlloc) / maxChats
 		runtime.KeepAlive(c)
 	}
 	b.ReportMetric(size, "B/chat")
--- a/answer/answer_test.go
+++ b/answer/answer_test.go
@@ -20,11 +20,11 @@
 // read collects an answer from an offset on, until its last piece.
 func read(t *testing.T, l *Log, offset int64) (head *wire.Head, body []byte, end Piece) {
 	t.Helper()
-	k, err := l.Attach(offset)
+	r, err := l.NewReader(offset)
 	assert.NilError(t, err)
-	defer k.Close()
+	defer r.Close()
 	for end.Last == nil && end.Broken == nil {
-		end, err = k.Next(t.Context())
+		end, err = r.Next(t.Context())
 		assert.NilError(t, err)
 		if end.Head != nil {
 			head = end.Head
@@ -37,11 +37,11 @@
 // A link breaks in mid-answer, and its entry or another one attaches again while
 // the target is still writing. The caller notices nothing: all links get the
 // same bytes and the same checksum.
-func TestLinksReadTheSameAnswer(t *testing.T) {
+func TestReadersGetSameAnswer(t *testing.T) {
 	want := make([]byte, 300<<10)
 	rand.New(rand.NewSource(1)).Read(want)
 	var s Store
-	l, existed := s.Put(script.Epoch, "brand", "r1")
+	l, existed := s.GetOrCreate(script.Epoch, "brand", "r1")
 	assert.Assert(t, !existed)
 	go func() {
 		l.SetHead(&wire.Head{Status: 200})
@@ -64,9 +64,9 @@
 
 // A caller reads slowly while its target writes fast. The operator would notice
 // a process that grows until it is killed; instead the writer waits.
-func TestSlowLinkHoldsTheWriterBack(t *testing.T) {
+func TestSlowReaderBlocksWriter(t *testing.T) {
 	l := &Log{Window: 100}
-	k, err := l.Attach(0)
+	r, err := l.NewReader(0)
 	assert.NilError(t, err)
 	written := make(chan int, 100)
 	ended := make(chan error)
@@ -84,30 +84,30 @@
 		}
 	}
 	assert.Equal(t, len(written), 0, "wrote past the window of a link that reads nothing")
-	_, err = k.Next(t.Context())
+	_, err = r.Next(t.Context())
 	assert.NilError(t, err)
 	<-written // the read made room
 	l.Break(chestnutstep.ReasonCanceled, chestnutstep.RunMaybe, 0)
 	assert.Assert(t, IsErrEnded(<-ended))
-	k.Close()
+	r.Close()
 }
 
 // An answer is too long to be kept whole, and a caller's repeat asks for its
 // start. A router that sent what is left would hand out an answer without its
 // first part; the caller gets an error instead.
-func TestDroppedBytesAreAnError(t *testing.T) {
-	l := &Log{Window: 100, Most: 200}
+func TestReadOfDroppedBytesFails(t *testing.T) {
+	l := &Log{Window: 100, MaxBytes: 200}
 	for range 10 {
 		assert.NilError(t, l.Append(make([]byte, 50)))
 	}
-	_, err := l.Attach(299)
+	_, err := l.NewReader(299)
 	assert.Assert(t, IsErrGone(err))
 	l.Finish()
 	_, body, end := read(t, l, 300)
 	assert.Equal(t, len(body), 200)
 	assert.Equal(t, end.Last.Total, int64(500))
 	assert.Equal(t, end.Last.Sum, xxhash.Sum64(make([]byte, 500)))
-	_, err = l.Attach(501)
+	_, err = l.NewReader(501)
 	assert.Assert(t, IsErrGone(err), "an offset beyond the end is of another answer")
 }
 
@@ -127,24 +127,24 @@
 
 // Thousands of answers end within a minute. What the agent keeps stays bounded;
 // booked slots' answers outlive the others, and a dropped one is unknown.
-func TestShelfIsBounded(t *testing.T) {
-	s := Store{Most: 100 << 10}
+func TestStoreIsBounded(t *testing.T) {
+	s := Store{MaxBytes: 100 << 10}
 	for i := range 1000 {
-		l, _ := s.Put(script.Epoch, "brand", strconv.Itoa(i))
+		l, _ := s.GetOrCreate(script.Epoch, "brand", strconv.Itoa(i))
 		if i < 10 {
-			l.Prefer()
+			l.SetPreferred()
 		}
 		assert.NilError(t, l.Append(make([]byte, 1000)))
 		l.Finish()
-		assert.Assert(t, s.Bytes() <= s.Most+overhead+1000)
+		assert.Assert(t, s.Bytes() <= s.MaxBytes+logOverhead+1000)
 	}
 	s.Sweep(script.Epoch)
 	assert.Assert(t, s.Get("brand", "5") != nil, "a preferred answer was dropped before others")
 	assert.Assert(t, s.Get("brand", "500") == nil)
 	assert.Assert(t, s.Get("other", "5") == nil, "another workspace joined the answer")
-	s.Sweep(script.Epoch.Add(DefaultKeep))
+	s.Sweep(script.Epoch.Add(DefaultTTL))
 	assert.Equal(t, s.Len(), 10)
-	s.Sweep(script.Epoch.Add(DefaultLong))
+	s.Sweep(script.Epoch.Add(DefaultPreferredTTL))
 	assert.Equal(t, s.Len(), 0)
 	assert.Equal(t, s.Bytes(), int64(0))
 }
@@ -152,60 +152,60 @@
 // Long answers run at once and nobody reads them: their entries died. Each
 // keeps two windows at most while the store is over its bound.
 func TestRunningAnswersAreBounded(t *testing.T) {
-	s := Store{Most: 10 << 10, Window: 1 << 10}
+	s := Store{MaxBytes: 10 << 10, Window: 1 << 10}
 	for n := range 200 {
 		for id := range 20 {
-			l, _ := s.Put(script.Epoch, "brand", strconv.Itoa(id))
+			l, _ := s.GetOrCreate(script.Epoch, "brand", strconv.Itoa(id))
 			assert.NilError(t, l.Append(make([]byte, 512)))
 		}
-		assert.Assert(t, s.Bytes() <= s.Most+20*(2<<10+512+overhead), "round %d: %d", n, s.Bytes())
+		assert.Assert(t, s.Bytes() <= s.MaxBytes+20*(2<<10+512+logOverhead), "round %d: %d", n, s.Bytes())
 	}
 }
 
 // A request is refused after its answer was opened, and its repeat arrives: it
 // starts anew. Links of the old one hear that it is gone rather than wait.
-func TestRemoveEndsWaitingLinks(t *testing.T) {
+func TestRemoveEndsWaitingReaders(t *testing.T) {
 	var s Store
-	l, _ := s.Put(script.Epoch, "brand", "r")
-	k, err := l.Attach(0)
+	l, _ := s.GetOrCreate(script.Epoch, "brand", "r")
+	r, err := l.NewReader(0)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = k.Next(ctx)
+	_, err = r.Next(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
 	errs := make(chan error)
 	go func() {
-		_, err := k.Next(t.Context())
+		_, err := r.Next(t.Context())
 		errs <- err
 	}()
 	s.Remove("brand", "r")
 	assert.Assert(t, IsErrGone(<-errs))
 	assert.Assert(t, IsErrEnded(l.Append([]byte("late"))))
-	_, existed := s.Put(script.Epoch, "brand", "r")
+	_, existed := s.GetOrCreate(script.Epoch, "brand", "r")
 	assert.Assert(t, !existed)
 }
 
 func BenchmarkAppendAndRead(b *testing.B) {
 	var l Log
-	k, err := l.Attach(0)
+	r, err := l.NewReader(0)
 	assert.NilError(b, err)
-	k.headed = true
+	r.headSent = true
 	token := []byte("data: {\"token\":\"shelf\"}\n\n")
 	b.ReportAllocs()
 	for b.Loop() {
 		assert.NilError(b, l.Append(token))
-		if _, err := k.Next(b.Context()); err != nil {
+		if _, err := r.Next(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkShelf prints what an empty answer takes in memory.
-func BenchmarkShelf(b *testing.B) {
-	s := Store{Most: 1 << 40}
+// BenchmarkStore prints what an empty answer takes in memory.
+func BenchmarkStore(b *testing.B) {
+	s := Store{MaxBytes: 1 << 40}
 	before := script.Heap()
 	for i := range b.N {
-		l, _ := s.Put(script.Epoch, "darkroom", "0b6c3f3e-7d5e-4f1e-9b1a-"+strconv.Itoa(1e11+i))
+		l, _ := s.GetOrCreate(script.Epoch, "darkroom", "0b6c3f3e-7d5e-4f1e-9b1a-"+strconv.Itoa(1e11+i))
 		l.SetHead(&wire.Head{Status: 204})
 		l.Finish()
 	}
--- a/answer/error.go
+++ b/answer/error.go
@@ -9,13 +9,13 @@
 // ErrGone says that bytes asked for are not kept, so that the answer can't be
 // given whole from that offset. Kept is the first offset that is, End the last.
 type ErrGone struct {
-	Offset int64
-	Kept   int64
-	End    int64
+	Offset    int64
+	FirstKept int64
+	End       int64
 }
 
 func (e ErrGone) Error() string {
-	return fmt.Sprintf("answer: offset %d is not kept: %d to %d are", e.Offset, e.Kept, e.End)
+	return fmt.Sprintf("answer: offset %d is not kept: %d to %d are", e.Offset, e.FirstKept, e.End)
 }
 
 // IsErrGone checks whether an error is an ErrGone.
--- a/answer/log.go
+++ b/answer/log.go
@@ -23,9 +23,9 @@
 	// frames on their way. 64 KiB are some 20 seconds of a fast stream, and
 	// what HTTP/2 has in flight by default.
 	DefaultWindow = 64 << 10
-	// DefaultMost is how many bytes of one answer are kept. A long plan is
+	// DefaultMaxBytes is how many bytes of one answer are kept. A long plan is
 	// some tens of KiB; what exceeds 1 MiB is read once and not joined later.
-	DefaultMost = 1 << 20
+	DefaultMaxBytes = 1 << 20
 	// maxPiece bounds what one read returns, so that one frame stays well under
 	// the 4 MiB that gRPC takes, and long answers do not hold up short ones.
 	maxPiece = 32 << 10
@@ -48,28 +48,28 @@
 	// Window is how far a reader may lag behind before Append waits for it;
 	// DefaultWindow when 0.
 	Window int
-	// Most is how many bytes are kept; DefaultMost when 0. It is at least twice
+	// MaxBytes is how many bytes are kept; DefaultMost when 0. It is at least twice
 	// Window.
-	Most int
+	MaxBytes int
 
 	store *Store
 
-	mu      sync.Mutex
-	head    *wire.Head
-	buf     []byte
-	base    int64 // offset of buf[0]
-	sum     hash.Hash64
-	last    *wire.Last
-	broken  *wire.Broken
-	gone    bool
-	prefer  bool
-	links   []*Link
-	changed chan struct{} // closed at the next change; nil when nobody waits
+	mu        sync.Mutex
+	head      *wire.Head
+	buf       []byte
+	base      int64 // offset of buf[0]
+	sum       hash.Hash64
+	last      *wire.Last
+	broken    *wire.Broken
+	evicted   bool
+	preferred bool
+	readers   []*Reader
+	changed   chan struct{} // closed at the next change; nil when nobody waits
 
 	// Guarded by the store's lock.
-	key   key
-	order uint64
-	ended time.Time
+	key     key
+	seq     uint64
+	endedAt time.Time
 }
 
 func (l *Log) window() int {
@@ -79,29 +79,29 @@
 	return l.Window
 }
 
-func (l *Log) most() int {
-	if l.Most <= 0 {
-		return max(DefaultMost, 2*l.window())
+func (l *Log) maxBytes() int {
+	if l.MaxBytes <= 0 {
+		return max(DefaultMaxBytes, 2*l.window())
 	}
-	return max(l.Most, 2*l.window())
+	return max(l.MaxBytes, 2*l.window())
 }
 
-// Prefer keeps the answer longer than others, and longest when bytes are short.
+// SetPreferred keeps the answer longer than others, and longest when bytes are short.
 // It is for ticketed requests, as their callers have no other way to learn what
 // became of the action.
-func (l *Log) Prefer() {
+func (l *Log) SetPreferred() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.prefer = true
+	l.preferred = true
 }
 
 // SetHead notes the start of the answer. Only the first head counts.
 func (l *Log) SetHead(h *wire.Head) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.head == nil && !l.over() {
+	if l.head == nil && !l.isEnded() {
 		l.head = h
-		l.wake()
+		l.notifyChange()
 	}
 }
 
@@ -111,17 +111,17 @@
 // slow link let it go on. It returns ErrEnded once the answer is over.
 func (l *Log) Append(p []byte) error {
 	l.mu.Lock()
-	for !l.closed() && l.lag() >= int64(l.window()) {
+	for !l.isClosed() && l.lag() >= int64(l.window()) {
 		l.wait()
 	}
-	if l.closed() {
+	if l.isClosed() {
 		defer l.mu.Unlock()
 		return ErrEnded{Offset: l.end()}
 	}
 	l.add(p)
 	l.mu.Unlock()
 	if l.store != nil {
-		l.store.relieve()
+		l.store.reclaim()
 	}
 	return nil
 }
@@ -132,20 +132,20 @@
 	}
 	l.sum.Write(p)
 	l.buf = append(l.buf, p...)
-	l.account(len(p))
-	keep := l.most()
-	if l.store != nil && l.store.pressed() {
+	l.addStoreBytes(len(p))
+	keep := l.maxBytes()
+	if l.store != nil && l.store.isOverLimit() {
 		keep = 2 * l.window()
 	}
 	l.trim(keep)
-	l.wake()
+	l.notifyChange()
 }
 
 // trim drops bytes at the front until no more than keep are left, but never
 // those that a link may still read or ask for again.
 func (l *Log) trim(keep int) {
 	drop := len(l.buf) - keep
-	if len(l.links) > 0 {
+	if len(l.readers) > 0 {
 		read := l.end() - l.lag() - l.base
 		drop = min(drop, int(read)-l.window())
 	}
@@ -156,10 +156,10 @@
 	// growth of the buffer leaves them behind.
 	l.buf = l.buf[drop:]
 	l.base += int64(drop)
-	l.account(-drop)
+	l.addStoreBytes(-drop)
 }
 
-func (l *Log) account(n int) {
+func (l *Log) addStoreBytes(n int) {
 	if l.store != nil {
 		l.store.bytes.Add(int64(n))
 	}
@@ -169,11 +169,11 @@
 func (l *Log) Finish(trailers ...*wire.Header) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over() {
+	if l.isEnded() {
 		return
 	}
 	l.last = &wire.Last{Total: l.end(), Sum: l.checksum(), Trailers: trailers}
-	l.finish()
+	l.markEnded()
 }
 
 // checksum of all bytes of the body, also of those no longer kept.
@@ -189,54 +189,54 @@
 func (l *Log) Break(reason chestnutstep.Reason, run chestnutstep.RunStatus, retry time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over() {
+	if l.isEnded() {
 		return
 	}
 	l.broken = &wire.Broken{Reason: string(reason), Run: string(run), Retry: int64(retry)}
-	l.finish()
+	l.markEnded()
 }
 
-func (l *Log) finish() {
+func (l *Log) markEnded() {
 	l.sum = nil
 	if l.store != nil {
-		l.store.ends.Add(1)
+		l.store.endedCount.Add(1)
 	}
-	l.wake()
+	l.notifyChange()
 }
 
 // Ended says whether the answer is over, whole or broken.
 func (l *Log) Ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.over()
+	return l.isEnded()
 }
 
-func (l *Log) over() bool { return l.last != nil || l.broken != nil }
+func (l *Log) isEnded() bool { return l.last != nil || l.broken != nil }
 
-// closed says that nothing more is written: the answer is over or dropped.
-func (l *Log) closed() bool { return l.over() || l.gone }
+// isClosed says that nothing more is written: the answer is over or dropped.
+func (l *Log) isClosed() bool { return l.isEnded() || l.evicted }
 
 func (l *Log) end() int64 { return l.base + int64(len(l.buf)) }
 
 // lag is how far the slowest link is behind the end; 0 without links.
 func (l *Log) lag() int64 {
 	var lag int64
-	for _, k := range l.links {
-		lag = max(lag, l.end()-k.offset)
+	for _, r := range l.readers {
+		lag = max(lag, l.end()-r.offset)
 	}
 	return lag
 }
 
-// wake lets all that wait look again.
-func (l *Log) wake() {
+// notifyChange lets all that wait look again.
+func (l *Log) notifyChange() {
 	if l.changed != nil {
 		close(l.changed)
 		l.changed = nil
 	}
 }
 
-// signal returns a channel that closes at the next change.
-func (l *Log) signal() chan struct{} {
+// changeSignal returns a channel that closes at the next change.
+func (l *Log) changeSignal() chan struct{} {
 	if l.changed == nil {
 		l.changed = make(chan struct{})
 	}
@@ -245,7 +245,7 @@
 
 // wait gives the lock up until the next change.
 func (l *Log) wait() {
-	ch := l.signal()
+	ch := l.changeSignal()
 	l.mu.Unlock()
 	<-ch
 	l.mu.Lock()
@@ -255,18 +255,18 @@
 func (l *Log) evict() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(-len(l.buf))
+	l.addStoreBytes(-len(l.buf))
 	l.base = l.end()
 	l.buf = nil
-	l.gone = true
-	l.wake()
+	l.evicted = true
+	l.notifyChange()
 }
 
-func (l *Log) detach(k *Link) {
+func (l *Log) removeReader(r *Reader) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if i := slices.Index(l.links, k); i >= 0 {
-		l.links = slices.Delete(l.links, i, i+1)
-		l.wake()
+	if i := slices.Index(l.readers, r); i >= 0 {
+		l.readers = slices.Delete(l.readers, i, i+1)
+		l.notifyChange()
 	}
 }
--- a/answer/store.go
+++ b/answer/store.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// DefaultKeep is how long a finished answer is kept: a caller whose entry
+	// DefaultTTL is how long a finished answer is kept: a caller whose entry
 	// died notices and repeats within seconds.
-	DefaultKeep = time.Minute
-	// DefaultLong is how long a preferred answer is kept: as long as its
+	DefaultTTL = time.Minute
+	// DefaultPreferredTTL is how long a preferred answer is kept: as long as its
 	// ticket can be used.
-	DefaultLong = 10 * time.Minute
-	// DefaultBytes bounds what all answers of an agent keep: a quarter of the
+	DefaultPreferredTTL = 10 * time.Minute
+	// DefaultStoreBytes bounds what all answers of an agent keep: a quarter of the
 	// 64 MB that a process may use.
-	DefaultBytes = 16 << 20
-	// overhead is what a log costs besides its bytes, so that empty answers
+	DefaultStoreBytes = 16 << 20
+	// logOverhead is what a log costs besides its bytes, so that empty answers
 	// count against the bound too: 517 were measured with a request id of 36
 	// bytes, and the longest id is some 100 bytes longer.
-	overhead = 640
+	logOverhead = 640
 )
 
 // key names a request. The workspace is part of it, so that no caller can join
@@ -38,31 +38,31 @@
 // finished answers are dropped first, the oldest first, then the fronts of
 // running ones that every link has read.
 type Store struct {
-	// Keep is how long a finished answer is kept; DefaultKeep when 0.
-	Keep time.Duration
-	// Long is the same for preferred answers; DefaultLong when 0.
-	Long time.Duration
-	// Most bounds the bytes that are kept; DefaultBytes when 0.
-	Most int64
+	// TTL is how long a finished answer is kept; DefaultKeep when 0.
+	TTL time.Duration
+	// PreferredTTL is the same for preferred answers; DefaultLong when 0.
+	PreferredTTL time.Duration
+	// MaxBytes bounds the bytes that are kept; DefaultBytes when 0.
+	MaxBytes int64
 	// Window of each new log; see Log.
 	Window int
-	// Each is how many bytes of one answer are kept; see Log.Most.
-	Each int
+	// MaxAnswerBytes is how many bytes of one answer are kept; see Log.Most.
+	MaxAnswerBytes int
 
 	bytes atomic.Int64
-	// ends counts answers that ended and are not yet in the queue of finished
+	// endedCount counts answers that ended and are not yet in the queue of finished
 	// ones: relieve looks through the logs only when there are some.
-	ends atomic.Int64
+	endedCount atomic.Int64
 
 	mu       sync.Mutex
 	logs     map[key]*Log
-	orders   uint64
+	lastSeq  uint64
 	finished []*Log
 }
 
-func (s *Store) most() int64 { return cmp.Or(s.Most, DefaultBytes) }
+func (s *Store) maxBytes() int64 { return cmp.Or(s.MaxBytes, DefaultStoreBytes) }
 
-func (s *Store) pressed() bool { return s.bytes.Load() > s.most() }
+func (s *Store) isOverLimit() bool { return s.bytes.Load() > s.maxBytes() }
 
 // Bytes returns what is kept, with a flat cost for each answer.
 func (s *Store) Bytes() int64 { return s.bytes.Load() }
@@ -82,9 +82,9 @@
 	return s.logs[key{workspace, id}]
 }
 
-// Put returns a request's answer, a new one unless it existed. Only the caller
+// GetOrCreate returns a request's answer, a new one unless it existed. Only the caller
 // that hears false may run the request: of two that race, one gets it.
-func (s *Store) Put(_ time.Time, workspace, id string) (l *Log, existed bool) {
+func (s *Store) GetOrCreate(_ time.Time, workspace, id string) (l *Log, existed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{workspace, id}
@@ -94,10 +94,10 @@
 	if s.logs == nil {
 		s.logs = map[key]*Log{}
 	}
-	s.orders++
-	l = &Log{Window: s.Window, Most: s.Each, store: s, key: k, order: s.orders}
+	s.lastSeq++
+	l = &Log{Window: s.Window, MaxBytes: s.MaxAnswerBytes, store: s, key: k, seq: s.lastSeq}
 	s.logs[k] = l
-	s.bytes.Add(overhead)
+	s.bytes.Add(logOverhead)
 	s.shrink()
 	return l, false
 }
@@ -118,29 +118,29 @@
 func (s *Store) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.collect()
+	s.collectEnded()
 	s.finished = slices.DeleteFunc(s.finished, func(l *Log) bool {
-		return s.expired(now, l) && s.drop(l)
+		return s.isExpired(now, l) && s.drop(l)
 	})
 	s.shrink()
 }
 
-// expired counts from the first sweep that sees the answer ended, so that an end
+// isExpired counts from the first sweep that sees the answer ended, so that an end
 // needs no clock.
-func (s *Store) expired(now time.Time, l *Log) bool {
-	if l.ended.IsZero() {
-		l.ended = now
+func (s *Store) isExpired(now time.Time, l *Log) bool {
+	if l.endedAt.IsZero() {
+		l.endedAt = now
 	}
-	keep := cmp.Or(s.Keep, DefaultKeep)
-	if l.preferred() {
-		keep = cmp.Or(s.Long, DefaultLong)
+	ttl := cmp.Or(s.TTL, DefaultTTL)
+	if l.isPreferred() {
+		ttl = cmp.Or(s.PreferredTTL, DefaultPreferredTTL)
 	}
-	return now.Sub(l.ended) >= keep
+	return now.Sub(l.endedAt) >= ttl
 }
 
-// collect moves answers that have ended into the queue, the oldest first.
-func (s *Store) collect() {
-	if s.ends.Swap(0) == 0 {
+// collectEnded moves answers that have ended into the queue, the oldest first.
+func (s *Store) collectEnded() {
+	if s.endedCount.Swap(0) == 0 {
 		return
 	}
 	queued := make(map[*Log]bool, len(s.finished))
@@ -153,13 +153,13 @@
 			fresh = append(fresh, l)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *Log) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(fresh, func(a, b *Log) int { return cmp.Compare(a.seq, b.seq) })
 	s.finished = append(s.finished, fresh...)
 }
 
-// relieve makes room after bytes were added.
-func (s *Store) relieve() {
-	if !s.pressed() {
+// reclaim makes room after bytes were added.
+func (s *Store) reclaim() {
+	if !s.isOverLimit() {
 		return
 	}
 	s.mu.Lock()
@@ -170,13 +170,13 @@
 // shrink drops finished answers above the bound: those that are not preferred
 // first, and of each kind the oldest first.
 func (s *Store) shrink() {
-	if !s.pressed() {
+	if !s.isOverLimit() {
 		return
 	}
-	s.collect()
+	s.collectEnded()
 	for _, preferred := range []bool{false, true} {
 		s.finished = slices.DeleteFunc(s.finished, func(l *Log) bool {
-			return s.pressed() && l.preferred() == preferred && s.drop(l)
+			return s.isOverLimit() && l.isPreferred() == preferred && s.drop(l)
 		})
 	}
 }
@@ -185,12 +185,12 @@
 func (s *Store) drop(l *Log) bool {
 	delete(s.logs, l.key)
 	l.evict()
-	s.bytes.Add(-overhead)
+	s.bytes.Add(-logOverhead)
 	return true
 }
 
-func (l *Log) preferred() bool {
+func (l *Log) isPreferred() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.prefer
+	return l.preferred
 }
--- a/entry/ask.go
+++ b/entry/ask.go
@@ -17,40 +17,40 @@
 )
 
 const (
-	// pieceSize is one message of a body.
-	pieceSize = 64 << 10
-	// nameMost bounds ids and names in headers: they are keys in memory.
-	nameMost = 256
+	// bodyChunkSize is one message of a body.
+	bodyChunkSize = 64 << 10
+	// maxNameLen bounds ids and names in headers: they are keys in memory.
+	maxNameLen = 256
 	// bytesPerToken turns the size of a prompt into estimated work; the usual
 	// rule of thumb for text.
 	bytesPerToken = 4
 )
 
-// ask is a caller's request, read and checked.
-type ask struct {
+// clientRequest is a caller's request, read and checked.
+type clientRequest struct {
 	view      *chestnutstep.View
 	workspace *chestnutstep.Workspace
 	profile   *chestnutstep.Profile
 	id        string
-	// named says that the caller gave the id: it may come again under it.
-	named    bool
-	chat     string
-	hint     string
-	ticket   string
-	deadline time.Time
-	body     []byte
-	request  *http.Request
+	// idFromCaller says that the caller gave the id: it may come again under it.
+	idFromCaller bool
+	chat         string
+	hint         string
+	ticket       string
+	deadline     time.Time
+	body         []byte
+	httpRequest  *http.Request
 	// fingerprint names the content, for crash suspicion.
 	fingerprint uint64
 }
 
-// read checks a request as far as this process can.
-func (e *Entry) read(w http.ResponseWriter, r *http.Request) (*ask, error) {
+// readRequest checks a request as far as this process can.
+func (e *Entry) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	v := e.View()
 	if v == nil {
-		return nil, &ErrRefused{Reason: chestnutstep.ReasonVersion, Run: chestnutstep.RunNo, Retry: time.Second}
+		return nil, &ErrRefused{Reason: chestnutstep.ReasonVersion, Run: chestnutstep.RunNo, RetryAfter: time.Second}
 	}
-	a := &ask{view: v, request: r, id: r.Header.Get(chestnutstep.HeaderIdempotencyKey)}
+	a := &clientRequest{view: v, httpRequest: r, id: r.Header.Get(chestnutstep.HeaderIdempotencyKey)}
 	if a.workspace = authenticate(v, r); a.workspace == nil {
 		return nil, &ErrRefused{Reason: chestnutstep.ReasonKey, Run: chestnutstep.RunNo}
 	}
@@ -64,15 +64,15 @@
 	if err := a.readHeaders(e.Clock()); err != nil {
 		return nil, err
 	}
-	if wait := e.rates.take(e.Clock(), a.workspace, e.Entries()); wait > 0 {
-		return nil, &ErrRefused{Reason: chestnutstep.ReasonRate, Run: a.unrun(), Retry: wait}
+	if wait := e.limiter.take(e.Clock(), a.workspace, e.EntryCount()); wait > 0 {
+		return nil, &ErrRefused{Reason: chestnutstep.ReasonRate, Run: a.runIfUnsent(), RetryAfter: wait}
 	}
 	return a, a.readBody(w)
 }
 
-// unrun is what an entry may say of a request that it did not pass on. A
+// runIfUnsent is what an entry may say of a request that it did not pass on. A
 // ticketed one may run by an earlier repeat; only its agent knows.
-func (a *ask) unrun() chestnutstep.RunStatus {
+func (a *clientRequest) runIfUnsent() chestnutstep.RunStatus {
 	if a.ticket != "" {
 		return chestnutstep.RunMaybe
 	}
@@ -87,8 +87,8 @@
 	return v.Authenticate(key)
 }
 
-func (a *ask) readHeaders(now time.Time) error {
-	h := a.request.Header
+func (a *clientRequest) readHeaders(now time.Time) error {
+	h := a.httpRequest.Header
 	a.chat = h.Get(chestnutstep.HeaderChat)
 	a.hint = h.Get(chestnutstep.HeaderHint)
 	a.ticket = h.Get(chestnutstep.HeaderTicket)
@@ -99,12 +99,12 @@
 			return err
 		}
 	}
-	limit, err := timeout(h.Get(chestnutstep.HeaderTimeout), a.profile)
+	limit, err := parseTimeout(h.Get(chestnutstep.HeaderTimeout), a.profile)
 	if err != nil {
 		return err
 	}
 	a.deadline = now.Add(limit)
-	a.named = a.id != ""
+	a.idFromCaller = a.id != ""
 	if a.id == "" {
 		a.id = a.ticket
 	}
@@ -115,7 +115,7 @@
 }
 
 func checkName(name, value string) error {
-	if len(value) > nameMost {
+	if len(value) > maxNameLen {
 		return &ErrHeader{Name: name, Cause: "is longer than 256 bytes"}
 	}
 	for i := range len(value) {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func timeout(text string, p *chestnutstep.Profile) (time.Duration, error) {
+func parseTimeout(text string, p *chestnutstep.Profile) (time.Duration, error) {
 	if text == "" {
 		return p.Timeout.Std(), nil
 	}
@@ -143,29 +143,29 @@
 	return hex.EncodeToString(b[:])
 }
 
-func (a *ask) readBody(w http.ResponseWriter) error {
+func (a *clientRequest) readBody(w http.ResponseWriter) error {
 	// A caller that stops sending in mid-body would hold memory here for ever.
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(a.deadline)
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	body := http.MaxBytesReader(w, a.request.Body, a.profile.MaxBodyBytes)
+	body := http.MaxBytesReader(w, a.httpRequest.Body, a.profile.MaxBodyBytes)
 	b, err := io.ReadAll(body)
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return &ErrRefused{Reason: chestnutstep.ReasonLarge, Run: a.unrun()}
+		return &ErrRefused{Reason: chestnutstep.ReasonLarge, Run: a.runIfUnsent()}
 	}
 	if err != nil {
-		return &ErrRefused{Reason: chestnutstep.ReasonCanceled, Run: a.unrun()}
+		return &ErrRefused{Reason: chestnutstep.ReasonCanceled, Run: a.runIfUnsent()}
 	}
 	a.body = b
-	a.fingerprint = crash.Fingerprint(a.workspace.Name, a.request.URL.RequestURI(), b)
+	a.fingerprint = crash.Fingerprint(a.workspace.Name, a.httpRequest.URL.RequestURI(), b)
 	return nil
 }
 
-// offer builds the message for an agent. The body never goes along: it follows
+// newOffer builds the message for an agent. The body never goes along: it follows
 // the accept, so that an agent whose accept is lost, or that wakes late and finds
 // an old offer with its whole time limit left, has nothing to run.
-func (a *ask) offer(now time.Time, patience time.Duration) *wire.Offer {
+func (a *clientRequest) newOffer(now time.Time, patience time.Duration) *wire.Offer {
 	class, _ := chestnutstep.ParseClass(a.profile.Class)
 	return &wire.Offer{
 		Id:          a.id,
@@ -181,16 +181,16 @@
 		Ticket:      a.ticket,
 		Fingerprint: a.fingerprint,
 		Idempotent:  !a.profile.RequiresTicket,
-		Method:      a.request.Method,
-		Path:        a.request.URL.RequestURI(),
-		Headers:     headers(a.request.Header),
+		Method:      a.httpRequest.Method,
+		Path:        a.httpRequest.URL.RequestURI(),
+		Headers:     forwardedHeaders(a.httpRequest.Header),
 		Size:        int64(len(a.body)),
 		Confirms:    true,
 	}
 }
 
 // place is what the ranking needs. A request without a chat spreads by its id.
-func (a *ask) place(region string) chestnutstep.RankQuery {
+func (a *clientRequest) place(region string) chestnutstep.RankQuery {
 	chat := a.chat
 	if chat == "" {
 		chat = a.id
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -43,17 +43,17 @@
 	Ranker func(*chestnutstep.View) chestnutstep.Ranker
 	Links  Links
 	Hosts  Hosts
-	// Repeats is the budget for what may have run; Steps for offers down the
+	// RetryBudget is the budget for what may have run; Steps for offers down the
 	// ranking after a refusal.
-	Repeats chestnutstep.RetryBudget
-	Steps   chestnutstep.RetryBudget
+	RetryBudget    chestnutstep.RetryBudget
+	FailoverBudget chestnutstep.RetryBudget
 	// Detector keeps the crash suspicions; nil switches them off. Lock guards it.
 	Detector chestnutstep.Detector
-	// Entries returns how many entries share the callers, for rate limits.
-	Entries func() int
-	// Most bounds the requests in progress; 0 is no bound. Beyond it a surge
+	// EntryCount returns how many entries share the callers, for rate limits.
+	EntryCount func() int
+	// MaxOpen bounds the requests in progress; 0 is no bound. Beyond it a surge
 	// would take this process's memory, and with it all answers in progress.
-	Most int64
+	MaxOpen int64
 	// Clock is time.Now, but for tests.
 	Clock func() time.Time
 	// Notify is called with how each request ended, OnOffer with what became of
@@ -61,11 +61,11 @@
 	Notify  func(Notice)
 	OnOffer func(Offer)
 
-	rates    rates
-	budget   sync.Mutex
-	detector sync.Mutex
-	leaving  atomic.Bool
-	open     atomic.Int64
+	limiter    rateLimiter
+	budgetMu   sync.Mutex
+	detectorMu sync.Mutex
+	draining   atomic.Bool
+	openCount  atomic.Int64
 }
 
 // Notice is how a caller's request ended; see docs/EVENTS.md.
@@ -81,16 +81,16 @@
 	// Offers is how many agents were asked, Hint what the caller hoped for.
 	Offers int
 	Hint   string
-	// Repeated counts repeats of what may have run, Denied says that the budget
+	// Retries counts repeats of what may have run, Denied says that the budget
 	// for them was spent. Attached counts links taken up again.
-	Repeated int
-	Denied   bool
-	Attached int
-	// First is the time to the first byte; zero if none came.
-	First time.Duration
-	Total time.Duration
-	// Cached is the prompt prefix found in the target's cache, in tokens.
-	Cached int64
+	Retries     int
+	RetryDenied bool
+	Reattached  int
+	// FirstByte is the time to the first byte; zero if none came.
+	FirstByte time.Duration
+	Total     time.Duration
+	// CachedTokens is the prompt prefix found in the target's cache, in tokens.
+	CachedTokens int64
 }
 
 // Offer is what became of one offer to an agent; see docs/EVENTS.md.
@@ -112,53 +112,53 @@
 
 // The answers.
 const (
-	OfferAccepted OfferAnswer = "accept"
-	OfferRefused  OfferAnswer = "refuse"
-	OfferSilent   OfferAnswer = "silent" // no answer in time
-	OfferBroken   OfferAnswer = "broken" // the link could not be opened, or broke
+	OfferAccepted     OfferAnswer = "accept"
+	OfferRefused      OfferAnswer = "refuse"
+	OfferUnresponsive OfferAnswer = "silent" // no answer in time
+	OfferBroken       OfferAnswer = "broken" // the link could not be opened, or broke
 )
 
-// Open is how many requests are in progress.
-func (e *Entry) Open() int64 { return e.open.Load() }
+// OpenCount is how many requests are in progress.
+func (e *Entry) OpenCount() int64 { return e.openCount.Load() }
 
-// Lock guards Detector, for the gossip that feeds it.
-func (e *Entry) Lock() sync.Locker { return &e.detector }
+// Locker guards Detector, for the gossip that feeds it.
+func (e *Entry) Locker() sync.Locker { return &e.detectorMu }
 
-// condemned says that content has crashed targets. An entry that saw it must not
+// isCondemned says that content has crashed targets. An entry that saw it must not
 // wait for gossip to tell it so: its caller sends the same again at once, under
 // another name, and a third target would go down.
-func (e *Entry) condemned(fingerprint uint64) bool {
+func (e *Entry) isCondemned(fingerprint uint64) bool {
 	if e.Detector == nil {
 		return false
 	}
-	e.detector.Lock()
-	defer e.detector.Unlock()
+	e.detectorMu.Lock()
+	defer e.detectorMu.Unlock()
 	return e.Detector.Check(e.Clock(), fingerprint) == chestnutstep.ContentCondemned
 }
 
-// accuse notes the targets that died while they ran the content.
-func (e *Entry) accuse(fingerprint uint64, crashed []string) {
+// recordCrash notes the targets that died while they ran the content.
+func (e *Entry) recordCrash(fingerprint uint64, crashed []string) {
 	if e.Detector == nil {
 		return
 	}
-	e.detector.Lock()
-	defer e.detector.Unlock()
+	e.detectorMu.Lock()
+	defer e.detectorMu.Unlock()
 	now := e.Clock()
 	e.Detector.Merge(now, []chestnutstep.Suspicion{{Fingerprint: fingerprint, CrashedTargets: crashed, SeenAt: now}})
 }
 
-// Ready says whether the balancer should send callers here.
-func (e *Entry) Ready() bool { return !e.leaving.Load() && e.View() != nil }
+// IsReady says whether the balancer should send callers here.
+func (e *Entry) IsReady() bool { return !e.draining.Load() && e.View() != nil }
 
-// Leave makes Ready false. New requests are still served: the balancer needs
+// StartDrain makes Ready false. New requests are still served: the balancer needs
 // a moment to see it, and a refused caller gains nothing.
-func (e *Entry) Leave() { e.leaving.Store(true) }
+func (e *Entry) StartDrain() { e.draining.Store(true) }
 
-// Idle returns when no request is in progress or ctx ends.
-func (e *Entry) Idle(ctx context.Context) error {
-	tick := time.NewTicker(idlePoll)
+// WaitIdle returns when no request is in progress or ctx ends.
+func (e *Entry) WaitIdle(ctx context.Context) error {
+	tick := time.NewTicker(idlePollInterval)
 	defer tick.Stop()
-	for e.Open() > 0 {
+	for e.OpenCount() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -168,17 +168,17 @@
 	return nil
 }
 
-const idlePoll = 50 * time.Millisecond
+const idlePollInterval = 50 * time.Millisecond
 
 // ticketsPath is the one path that an entry answers itself.
 const ticketsPath = "/chestnut/tickets"
 
 // ServeHTTP serves one caller's request.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	open := e.open.Add(1)
-	defer e.open.Add(-1)
-	if e.Most > 0 && open > e.Most {
-		e.refuse(w, &ErrRefused{Reason: chestnutstep.ReasonBusy, Run: chestnutstep.RunMaybe, Retry: time.Second}, Notice{})
+	open := e.openCount.Add(1)
+	defer e.openCount.Add(-1)
+	if e.MaxOpen > 0 && open > e.MaxOpen {
+		e.writeRefusal(w, &ErrRefused{Reason: chestnutstep.ReasonBusy, Run: chestnutstep.RunMaybe, RetryAfter: time.Second}, Notice{})
 		return
 	}
 	if r.URL.Path == ticketsPath {
@@ -188,11 +188,11 @@
 	e.serve(w, r)
 }
 
-// unread is the refusal of a request that could not be read. One with a ticket
+// unreadRefusal is the refusal of a request that could not be read. One with a ticket
 // may be a repeat of an action that runs: only the ticket's agent may say that
 // it has not.
-func unread(r *http.Request, err error) *ErrRefused {
-	ref := *refused(err)
+func unreadRefusal(r *http.Request, err error) *ErrRefused {
+	ref := *asRefused(err)
 	if r.Header.Get(chestnutstep.HeaderTicket) != "" && ref.Run == chestnutstep.RunNo {
 		ref.Run = chestnutstep.RunMaybe
 	}
@@ -201,17 +201,17 @@
 
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
 	start := e.Clock()
-	a, err := e.read(w, r)
+	a, err := e.readRequest(w, r)
 	if err != nil {
-		e.refuse(w, unread(r, err), Notice{})
+		e.writeRefusal(w, unreadRefusal(r, err), Notice{})
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), a.deadline)
 	defer cancel()
-	out := &output{w: w, ask: a, clock: e.Clock}
-	k := &walk{entry: e, ask: a, out: out}
+	out := &output{w: w, request: a, clock: e.Clock}
+	k := &dispatcher{entry: e, request: a, output: out}
 	err = k.run(ctx)
-	n := k.notice(start, err)
+	n := k.newNotice(start, err)
 	if err == nil {
 		e.Notify(n)
 		return
@@ -221,5 +221,5 @@
 		out.abort(err)
 		return
 	}
-	e.refuse(w, err, n)
+	e.writeRefusal(w, err, n)
 }
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -23,19 +23,19 @@
 	return errors.As(err, &e)
 }
 
-// ErrSilent says that a target's agent did not answer in time.
-type ErrSilent struct {
-	Target string
-	Limit  time.Duration
+// ErrUnresponsive says that a target's agent did not answer in time.
+type ErrUnresponsive struct {
+	Target  string
+	Timeout time.Duration
 }
 
-func (e *ErrSilent) Error() string {
-	return fmt.Sprintf("the agent of target %s did not answer within %s", e.Target, e.Limit)
+func (e *ErrUnresponsive) Error() string {
+	return fmt.Sprintf("the agent of target %s did not answer within %s", e.Target, e.Timeout)
 }
 
-// IsErrSilent says whether err is an ErrSilent.
-func IsErrSilent(err error) bool {
-	var e *ErrSilent
+// IsErrUnresponsive says whether err is an ErrSilent.
+func IsErrUnresponsive(err error) bool {
+	var e *ErrUnresponsive
 	return errors.As(err, &e)
 }
 
@@ -43,8 +43,8 @@
 type ErrRefused struct {
 	Reason chestnutstep.Reason
 	Run    chestnutstep.RunStatus
-	// Retry is when the caller may come back; zero if it should not.
-	Retry time.Duration
+	// RetryAfter is when the caller may come back; zero if it should not.
+	RetryAfter time.Duration
 	// Ticket is a fresh one, where that is what the caller needs.
 	Ticket string
 	Detail string
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -31,7 +31,7 @@
 			chestnutstep.HeaderIdempotencyKey: {key}, chestnutstep.HeaderTicket: {ticket}, "Connection": {connection},
 			"Authorization": {"Bearer secret"},
 		}
-		a := &ask{view: v, workspace: &v.Publication.Workspaces[0], profile: p, request: r, id: key}
+		a := &clientRequest{view: v, workspace: &v.Publication.Workspaces[0], profile: p, httpRequest: r, id: key}
 		if err := a.readHeaders(now); err != nil {
 			if !IsErrHeader(err) {
 				t.Fatalf("not an error that names a header: %v", err)
@@ -41,7 +41,7 @@
 		if a.deadline.After(now.Add(p.Timeout.Std())) || !a.deadline.After(now) || a.id == "" {
 			t.Fatalf("deadline %v after now, id %q", a.deadline.Sub(now), a.id)
 		}
-		for _, h := range headers(r.Header) {
+		for _, h := range forwardedHeaders(r.Header) {
 			if h.Name == "Authorization" {
 				t.Fatal("the caller's key was passed on")
 			}
@@ -58,12 +58,12 @@
 	f.Add([]byte{}, []byte{0, 0})
 	f.Fuzz(func(t *testing.T, whole, cuts []byte) {
 		w := httptest.NewRecorder()
-		o := &output{w: w, ask: &ask{}, clock: time.Now}
-		o.head(&wire.Head{Status: http.StatusOK}, "t")
+		o := &output{w: w, request: &clientRequest{}, clock: time.Now}
+		o.writeHead(&wire.Head{Status: http.StatusOK}, "t")
 		for i := 0; i+1 < len(cuts); i += 2 {
 			from := min(int(cuts[i]), len(whole))
 			to := min(from+int(cuts[i+1]), len(whole))
-			ok, err := o.frame(&wire.Frame{Offset: int64(from), Data: whole[from:to]})
+			ok, err := o.writeFrame(&wire.Frame{Offset: int64(from), Data: whole[from:to]})
 			if err != nil || (ok && int64(from) > o.offset) {
 				t.Fatalf("frame %d to %d at %d: %v", from, to, o.offset, err)
 			}
@@ -73,8 +73,8 @@
 			t.Fatalf("%q is no prefix of %q", got, whole)
 		}
 		last := &wire.Last{Total: int64(len(whole)), Sum: xxhash.Sum64(whole)}
-		if o.whole(last) != bytes.Equal(got, whole) {
-			t.Fatalf("%q taken for whole: %v", got, o.whole(last))
+		if o.isComplete(last) != bytes.Equal(got, whole) {
+			t.Fatalf("%q taken for whole: %v", got, o.isComplete(last))
 		}
 	})
 }
--- a/entry/header.go
+++ b/entry/header.go
@@ -8,13 +8,13 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// headers passes on what the caller sent, but for its key, what concerns the
+// forwardedHeaders passes on what the caller sent, but for its key, what concerns the
 // entry alone, and what belongs to the connection.
-func headers(h http.Header) []*wire.Header {
+func forwardedHeaders(h http.Header) []*wire.Header {
 	var out []*wire.Header
-	named := strings.Split(h.Get("Connection"), ",")
+	connection := strings.Split(h.Get("Connection"), ",")
 	for name, values := range h {
-		if !passes(name, named) {
+		if !isForwarded(name, connection) {
 			continue
 		}
 		for _, v := range values {
@@ -24,10 +24,10 @@
 	return out
 }
 
-// passes says whether a header goes on to the target. connection lists those
+// isForwarded says whether a header goes on to the target. connection lists those
 // that the caller's Connection header names. The body's length is set anew by
 // whoever sends it.
-func passes(name string, connection []string) bool {
+func isForwarded(name string, connection []string) bool {
 	if name == "Authorization" || name == "Content-Length" {
 		return false
 	}
--- a/entry/link.go
+++ b/entry/link.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// answerLimit is how long an agent may take to answer an offer. It decides
+	// offerTimeout is how long an agent may take to answer an offer. It decides
 	// in microseconds; a longer silence is a frozen host or a cut, and the
 	// caller's time is better spent at the next target.
-	answerLimit = 500 * time.Millisecond
-	// ownerLimit is the same for the only agent that may have the request: no
+	offerTimeout = 500 * time.Millisecond
+	// ownerTimeout is the same for the only agent that may have the request: no
 	// other target can be asked meanwhile. It gives up an offer whose body has
 	// not come for as long.
-	ownerLimit = 2 * time.Second
-	// cancelLimit is how long an agent may take to hear that a caller gave up.
-	cancelLimit = time.Second
+	ownerTimeout = 2 * time.Second
+	// cancelTimeout is how long an agent may take to hear that a caller gave up.
+	cancelTimeout = time.Second
 )
 
 // link is one stream to an agent.
@@ -29,8 +29,8 @@
 	stream grpc.BidiStreamingClient[wire.Up, wire.Down]
 	target *chestnutstep.Target
 	cancel context.CancelFunc
-	// opened is when the link was asked for.
-	opened time.Time
+	// openedAt is when the link was asked for.
+	openedAt time.Time
 	// mu guards the sending side of the stream.
 	mu sync.Mutex
 }
@@ -43,11 +43,11 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &link{target: t, cancel: cancel, opened: e.Clock()}
+	l := &link{target: t, cancel: cancel, openedAt: e.Clock()}
 	timer := time.AfterFunc(limit, cancel)
 	l.stream, err = wire.NewAgentClient(conn).Run(ctx)
 	if !timer.Stop() {
-		return nil, &ErrSilent{Target: t.Name, Limit: limit}
+		return nil, &ErrUnresponsive{Target: t.Name, Timeout: limit}
 	}
 	if err != nil {
 		cancel()
@@ -56,21 +56,21 @@
 	return l, nil
 }
 
-// first waits for the agent's answer to an offer, for a limited time. The error
+// receiveFirst waits for the agent's answer to an offer, for a limited time. The error
 // is ErrSilent where that has passed, also if an answer was read right after:
 // the stream has been ended by then, and its agent has given the offer up.
-func (l *link) first(limit time.Duration) (*wire.Down, error) {
+func (l *link) receiveFirst(limit time.Duration) (*wire.Down, error) {
 	timer := time.AfterFunc(limit, l.cancel)
 	down, err := l.stream.Recv()
 	if !timer.Stop() {
-		return nil, &ErrSilent{Target: l.target.Name, Limit: limit}
+		return nil, &ErrUnresponsive{Target: l.target.Name, Timeout: limit}
 	}
 	return down, err
 }
 
-// next waits for the next message, until ctx ends.
-func (l *link) next(ctx context.Context) (*wire.Down, error) {
-	stop := context.AfterFunc(ctx, l.giveUp)
+// receive waits for the next message, until ctx ends.
+func (l *link) receive(ctx context.Context) (*wire.Down, error) {
+	stop := context.AfterFunc(ctx, l.sendCancel)
 	defer stop()
 	return l.stream.Recv()
 }
@@ -82,25 +82,25 @@
 	return l.stream.Send(up)
 }
 
-// finish sends a last word and ends the stream when it has had time to arrive.
-func (l *link) finish(up *wire.Up) {
+// closeWith sends a last word and ends the stream when it has had time to arrive.
+func (l *link) closeWith(up *wire.Up) {
 	_ = l.send(up)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_ = l.stream.CloseSend()
-	time.AfterFunc(cancelLimit, l.cancel)
+	time.AfterFunc(cancelTimeout, l.cancel)
 }
 
-// giveUp tells the agent that the caller has gone, so that the target stops at
+// sendCancel tells the agent that the caller has gone, so that the target stops at
 // once, then ends the stream.
-func (l *link) giveUp() {
-	l.finish(&wire.Up{Kind: &wire.Up_Cancel{Cancel: &wire.Cancel{}}})
+func (l *link) sendCancel() {
+	l.closeWith(&wire.Up{Kind: &wire.Up_Cancel{Cancel: &wire.Cancel{}}})
 }
 
 // sendBody sends the body; an empty one is one empty last piece.
 func (l *link) sendBody(body []byte) error {
 	for {
-		piece := body[:min(len(body), pieceSize)]
+		piece := body[:min(len(body), bodyChunkSize)]
 		body = body[len(piece):]
 		b := &wire.Body{Data: piece, Last: len(body) == 0}
 		if err := l.send(&wire.Up{Kind: &wire.Up_Body{Body: b}}); err != nil {
--- a/entry/link_test.go
+++ b/entry/link_test.go
@@ -24,11 +24,11 @@
 	return &wire.Down{Kind: &wire.Down_Accept{Accept: &wire.Accept{}}}, nil
 }
 
-// TestAnswerBehindTheLimitIsSilence guards against an offer that counts as accepted on a link which its time limit has
+// TestAnswerAfterTimeoutIsUnresponsive guards against an offer that counts as accepted on a link which its time limit has
 // ended: the agent has dropped it, and the caller would get "unknown" for a request that never ran.
-func TestAnswerBehindTheLimitIsSilence(t *testing.T) {
+func TestAnswerAfterTimeoutIsUnresponsive(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	l := &link{target: &chestnutstep.Target{Name: "t"}, cancel: cancel, stream: &lateStream{ctx: ctx}}
-	down, err := l.first(answerLimit)
-	assert.Assert(t, IsErrSilent(err), "%v %v", down, err)
+	down, err := l.receiveFirst(offerTimeout)
+	assert.Assert(t, IsErrUnresponsive(err), "%v %v", down, err)
 }
--- a/entry/moved.go
+++ b/entry/moved.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// noteLimit is how long a note may take to reach an agent that is slow or busy.
-	noteLimit = 2 * time.Second
-	// noteWait is how long the body waits until the note is taken, so that nothing
+	// notifyTimeout is how long a note may take to reach an agent that is slow or busy.
+	notifyTimeout = 2 * time.Second
+	// notifyWait is how long the body waits until the note is taken, so that nothing
 	// runs that is not noted. The callers of an agent that is down pay it until
 	// its host is left out of the ranking.
-	noteWait = 50 * time.Millisecond
+	notifyWait = 50 * time.Millisecond
 )
 
-// moved is the note that a target runs the request.
-func (a *ask) moved(target string) *wire.Up {
+// movedMessage is the note that a target runs the request.
+func (a *clientRequest) movedMessage(target string) *wire.Up {
 	m := &wire.Moved{Id: a.id, Workspace: a.workspace.Name, Target: target}
 	return &wire.Up{Kind: &wire.Up_Moved{Moved: m}}
 }
 
-// noteRefused sends the note to the first agent that refused the request, and
+// notifyRefused sends the note to the first agent that refused the request, and
 // returns its target, if there is one.
-func (k *walk) noteRefused(t *chestnutstep.Target) *chestnutstep.Target {
-	if k.refused == nil || k.refused.target == t {
+func (k *dispatcher) notifyRefused(t *chestnutstep.Target) *chestnutstep.Target {
+	if k.refusedLink == nil || k.refusedLink.target == t {
 		return nil
 	}
-	l := k.refused
-	k.refused = nil
-	l.finish(k.ask.moved(t.Name))
+	l := k.refusedLink
+	k.refusedLink = nil
+	l.closeWith(k.request.movedMessage(t.Name))
 	return l.target
 }
 
-// noteNext sends the note to the agent that is asked before or after this
+// notifyNext sends the note to the agent that is asked before or after this
 // target. The caller's retry comes through another entry when this one
 // dies, and where the target's agent is late to answer then, the next one would
 // run the request again.
-func (k *walk) noteNext(t, noted *chestnutstep.Target) {
-	if !k.ask.named || k.ask.ticket != "" {
+func (k *dispatcher) notifyNext(t, notified *chestnutstep.Target) {
+	if !k.request.idFromCaller || k.request.ticket != "" {
 		return
 	}
 	i := slices.IndexFunc(k.targets, func(o *chestnutstep.Target) bool { return o.Name != t.Name })
-	if i < 0 || k.targets[i] == noted {
+	if i < 0 || k.targets[i] == notified {
 		return
 	}
-	n := &note{entry: k.entry, target: k.targets[i], message: k.ask.moved(t.Name), done: make(chan struct{})}
+	n := &movedNotice{entry: k.entry, target: k.targets[i], message: k.request.movedMessage(t.Name), done: make(chan struct{})}
 	go n.run()
-	limit := time.NewTimer(noteWait)
+	limit := time.NewTimer(notifyWait)
 	defer limit.Stop()
 	select {
 	case <-n.done:
@@ -61,8 +61,8 @@
 	}
 }
 
-// note is on its way to one agent.
-type note struct {
+// movedNotice is on its way to one agent.
+type movedNotice struct {
 	entry   *Entry
 	target  *chestnutstep.Target
 	message *wire.Up
@@ -72,7 +72,7 @@
 
 // run sends the note and waits until it is taken. One that does not arrive costs
 // a second run at worst.
-func (n *note) run() {
+func (n *movedNotice) run() {
 	defer close(n.done)
 	if err := n.send(); err != nil {
 		n.entry.Hosts.RecordFailure(n.entry.Clock(), n.target.Host)
@@ -80,8 +80,8 @@
 }
 
 // send returns nil once the agent has taken the note, which ends the stream.
-func (n *note) send() error {
-	l, err := n.entry.openLink(n.target, noteLimit)
+func (n *movedNotice) send() error {
+	l, err := n.entry.openLink(n.target, notifyTimeout)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 	if err := l.stream.CloseSend(); err != nil {
 		return err
 	}
-	if _, err := l.first(noteLimit); !errors.Is(err, io.EOF) {
+	if _, err := l.receiveFirst(notifyTimeout); !errors.Is(err, io.EOF) {
 		return err
 	}
 	return nil
@@ -105,30 +105,30 @@
 //
 // Where that target is gone, has answered that it does not have the request, or
 // stays silent, the one that gave the note takes the request over.
-func (k *walk) joinMoved(ctx context.Context, from *chestnutstep.Target, name string) step {
-	t := k.ask.view.Targets[name]
-	ask := t != nil && !slices.Contains(k.ruledOut, name)
-	k.ruleOut(from.Name)
-	if ask && k.offers < triesMost {
-		s := k.try(ctx, attempt{target: t, owner: true})
-		if !s.done && !slices.Contains(k.ruledOut, name) {
-			k.ruleOut(name)
+func (k *dispatcher) joinMoved(ctx context.Context, from *chestnutstep.Target, name string) outcome {
+	t := k.request.view.Targets[name]
+	canAsk := t != nil && !slices.Contains(k.excluded, name)
+	k.exclude(from.Name)
+	if canAsk && k.offerCount < maxTries {
+		s := k.try(ctx, attempt{target: t, isOwner: true})
+		if !s.done && !slices.Contains(k.excluded, name) {
+			k.exclude(name)
 			s = k.mayRunElsewhere()
 		}
 		if s.done {
 			return s
 		}
 	}
-	if k.offers >= triesMost {
+	if k.offerCount >= maxTries {
 		return k.mayRunElsewhere()
 	}
-	return k.try(ctx, attempt{target: from, over: true})
+	return k.try(ctx, attempt{target: from, clearMoved: true})
 }
 
-// ruleOut adds a target to those that are not asked again who runs the request.
-func (k *walk) ruleOut(target string) { k.ruledOut = append(k.ruledOut, target) }
+// exclude adds a target to those that are not asked again who runs the request.
+func (k *dispatcher) exclude(target string) { k.excluded = append(k.excluded, target) }
 
 // mayRunElsewhere decides on a request whose target is noted and can't be asked.
-func (k *walk) mayRunElsewhere() step {
+func (k *dispatcher) mayRunElsewhere() outcome {
 	return k.decide(&ErrRefused{Reason: chestnutstep.ReasonMoved, Run: chestnutstep.RunMaybe})
 }
--- a/entry/moved_test.go
+++ b/entry/moved_test.go
@@ -13,30 +13,30 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// again serves a request at the target that is asked first, which changes then as the test wants, and sends it again
+// retryThroughOtherEntry serves a request at the target that is asked first, which changes then as the test wants, and sends it again
 // through another entry. It returns what became of the offers of the repeat.
-func again(t *testing.T, change func(p *path, first string)) string {
+func retryThroughOtherEntry(t *testing.T, change func(p *cluster, first string)) string {
 	t.Helper()
-	p := newPath(t)
+	p := newCluster(t)
 	p.addAgent("label-2", "label", &fake.Engine{})
-	var got offers
+	var got offerRecorder
 	p.onOffer = got.add
 	p.addEntry()
 	ask := []string{
 		chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c", chestnutstep.HeaderIdempotencyKey, "id",
 		chestnutstep.HeaderTimeout, "8s",
 	}
-	rs, body := p.ask(0, "/v1/chat", `{"prompt":1,"output":1}`, ask...)
+	rs, body := p.send(0, "/v1/chat", `{"prompt":1,"output":1}`, ask...)
 	assert.Equal(t, rs.StatusCode, http.StatusOK, body)
 	first := rs.Header.Get(chestnutstep.HeaderHint)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if p.hasNote("id", first) {
+		if p.hasMovedNotice("id", first) {
 			return poll.Success()
 		}
 		return poll.Continue("no agent has the note")
 	})
 	change(p, first)
-	rs, body = p.ask(2, "/v1/chat", `{"prompt":1,"output":1}`, ask...)
+	rs, body = p.send(2, "/v1/chat", `{"prompt":1,"output":1}`, ask...)
 	assert.Equal(t, rs.StatusCode, http.StatusOK, body)
 	got.mu.Lock()
 	defer got.mu.Unlock()
@@ -51,12 +51,12 @@
 	return strings.Join(list, ", ")
 }
 
-// TestSilentOwnerIsLeftInTime guards against callers who wait for a frozen host because an earlier try ran there.
-func TestSilentOwnerIsLeftInTime(t *testing.T) {
-	got := again(t, func(p *path, first string) {
+// TestUnresponsiveOwnerTimesOut guards against callers who wait for a frozen host because an earlier try ran there.
+func TestUnresponsiveOwnerTimesOut(t *testing.T) {
+	got := retryThroughOtherEntry(t, func(p *cluster, first string) {
 		for i := range p.pub.Targets {
 			if p.pub.Targets[i].Name == first {
-				p.pub.Targets[i].Agent = startMuteAgent(t)
+				p.pub.Targets[i].Agent = startUnresponsiveAgent(t)
 			}
 		}
 		p.publish()
@@ -64,9 +64,9 @@
 	assert.Equal(t, got, "first silent, next refuse moved, first silent, next accept")
 }
 
-// TestTargetThatIsGoneIsNotAsked guards against a note that outlives its target.
-func TestTargetThatIsGoneIsNotAsked(t *testing.T) {
-	got := again(t, func(p *path, first string) {
+// TestRemovedTargetIsNotAsked guards against a note that outlives its target.
+func TestRemovedTargetIsNotAsked(t *testing.T) {
+	got := retryThroughOtherEntry(t, func(p *cluster, first string) {
 		for i := range p.pub.Targets {
 			if p.pub.Targets[i].Name == first {
 				p.pub.Targets = append(p.pub.Targets[:i], p.pub.Targets[i+1:]...)
@@ -80,7 +80,7 @@
 
 // TestRepeatIsJoinedAtItsOwner guards against a second run at the target that is asked first because another is out.
 func TestRepeatIsJoinedAtItsOwner(t *testing.T) {
-	got := again(t, func(p *path, first string) {
+	got := retryThroughOtherEntry(t, func(p *cluster, first string) {
 		for i := range p.pub.Targets {
 			p.pub.Targets[i].Out = p.pub.Targets[i].Name == first
 		}
--- a/entry/offer_test.go
+++ b/entry/offer_test.go
@@ -14,32 +14,32 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// offers collects what becomes of an entry's offers.
-type offers struct {
+// offerRecorder collects what becomes of an entry's offers.
+type offerRecorder struct {
 	mu   sync.Mutex
 	list []Offer
 }
 
-func (o *offers) add(one Offer) {
+func (o *offerRecorder) add(one Offer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.list = append(o.list, one)
 }
 
-// muteAgent takes offers and never answers.
-type muteAgent struct{ wire.UnimplementedAgentServer }
+// unresponsiveAgent takes offers and never answers.
+type unresponsiveAgent struct{ wire.UnimplementedAgentServer }
 
-func (muteAgent) Run(st grpc.BidiStreamingServer[wire.Up, wire.Down]) error {
+func (unresponsiveAgent) Run(st grpc.BidiStreamingServer[wire.Up, wire.Down]) error {
 	<-st.Context().Done()
 	return st.Context().Err()
 }
 
-func startMuteAgent(t *testing.T) (addr string) {
+func startUnresponsiveAgent(t *testing.T) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	srv := grpc.NewServer()
-	wire.RegisterAgentServer(srv, muteAgent{})
+	wire.RegisterAgentServer(srv, unresponsiveAgent{})
 	go func() { _ = srv.Serve(l) }()
 	t.Cleanup(srv.Stop)
 	return l.Addr().String()
@@ -48,28 +48,28 @@
 // TestOffersAreReported guards against a request whose path can't be told from the log: which agent was asked, what it
 // said, and after how long the next one was.
 func TestOffersAreReported(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	p.addAgent("label-2", "label", &fake.Engine{})
-	var got offers
+	var got offerRecorder
 	p.onOffer = got.add
 	p.addEntry()
 	place := chestnutstep.RankQuery{Workspace: "desk", Chat: "c", Model: "label", Region: "r"}
-	first := ranker(p.current()).Rank(nil, place, 1)[0].Name
+	first := ranker(p.currentView()).Rank(nil, place, 1)[0].Name
 	for i := range p.pub.Targets {
 		if p.pub.Targets[i].Name == first {
-			p.pub.Targets[i].Agent = startMuteAgent(t)
+			p.pub.Targets[i].Agent = startUnresponsiveAgent(t)
 		}
 	}
 	p.publish()
-	rs, body := p.ask(2, "/v1/chat", `{"prompt":1,"output":1}`,
+	rs, body := p.send(2, "/v1/chat", `{"prompt":1,"output":1}`,
 		chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c", chestnutstep.HeaderIdempotencyKey, "id")
 	assert.Equal(t, rs.StatusCode, http.StatusOK, body)
 	got.mu.Lock()
 	defer got.mu.Unlock()
 	assert.Equal(t, len(got.list), 2, "%+v", got.list)
 	assert.Equal(t, got.list[0].Target, first)
-	assert.Equal(t, got.list[0].Answer, OfferSilent)
-	assert.Assert(t, got.list[0].After >= answerLimit)
+	assert.Equal(t, got.list[0].Answer, OfferUnresponsive)
+	assert.Assert(t, got.list[0].After >= offerTimeout)
 	assert.Equal(t, got.list[1].Answer, OfferAccepted)
 	assert.Equal(t, got.list[1].Number, 2)
 	assert.Assert(t, got.list[1].Target != first)
--- a/entry/output_test.go
+++ b/entry/output_test.go
@@ -12,9 +12,9 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// TestBreakBeforeFirstByteBeginsTheStream guards against an event stream that begins with an empty event: readers that
+// TestAbortWritesErrorEvent guards against an event stream that begins with an empty event: readers that
 // take the first event for the answer's own see another's answer.
-func TestBreakBeforeFirstByteBeginsTheStream(t *testing.T) {
+func TestAbortWritesErrorEvent(t *testing.T) {
 	for _, c := range []struct{ name, data, want string }{
 		{"nothing sent", "", "event: error\n"},
 		{"a whole event", "data: a\n\n", "data: a\n\nevent: error\n"},
@@ -23,19 +23,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
 			o := &output{w: w, clock: time.Now}
-			o.head(&wire.Head{Status: 200, Headers: []*wire.Header{{Name: "Content-Type", Value: "text/event-stream"}}}, "t")
+			o.writeHead(&wire.Head{Status: 200, Headers: []*wire.Header{{Name: "Content-Type", Value: "text/event-stream"}}}, "t")
 			if c.data != "" {
-				_, err := o.frame(&wire.Frame{Data: []byte(c.data)})
+				_, err := o.writeFrame(&wire.Frame{Data: []byte(c.data)})
 				assert.NilError(t, err)
 			}
-			assert.Equal(t, broken(o), http.ErrAbortHandler)
+			assert.Equal(t, abortCause(o), http.ErrAbortHandler)
 			assert.Assert(t, strings.HasPrefix(w.Body.String(), c.want), "%q", w.Body.String())
 		})
 	}
 }
 
-// broken breaks the answer off and returns what the handler panics with.
-func broken(o *output) (cause any) {
+// abortCause breaks the answer off and returns what the handler panics with.
+func abortCause(o *output) (cause any) {
 	defer func() { cause = recover() }()
 	o.abort(&ErrRefused{Reason: "short", Run: "yes"})
 	return nil
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -32,9 +32,9 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// path is one engine and one service with their agents, and two entries, in
+// cluster is one engine and one service with their agents, and two entries, in
 // one process over real sockets.
-type path struct {
+type cluster struct {
 	t       *testing.T
 	mu      sync.Mutex
 	view    *chestnutstep.View
@@ -45,25 +45,25 @@
 	agents  []*agent.Agent
 	targets []string
 	entries []*httptest.Server
-	// noted are the notes that agents took, each a request and its target.
-	noted []string
+	// movedNotices are the notes that agents took, each a request and its target.
+	movedNotices []string
 	// onOffer is that of the entries that are added from now on.
 	onOffer func(Offer)
 }
 
-type noHosts struct{}
+type discardHosts struct{}
 
-func (noHosts) RecordFailure(time.Time, string) {}
-func (noHosts) RecordSuccess(time.Time, string) {}
-func (noHosts) RecordRefusal(time.Time, string) {}
+func (discardHosts) RecordFailure(time.Time, string) {}
+func (discardHosts) RecordSuccess(time.Time, string) {}
+func (discardHosts) RecordRefusal(time.Time, string) {}
 
 func hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-func newPath(t *testing.T) *path {
-	p := &path{t: t, engine: &fake.Engine{}, service: &fake.Service{}, onOffer: func(Offer) {}}
+func newCluster(t *testing.T) *cluster {
+	p := &cluster{t: t, engine: &fake.Engine{}, service: &fake.Service{}, onOffer: func(Offer) {}}
 	p.pool = &dial.Pool{Credentials: insecure.NewCredentials()}
 	p.pub = &chestnutstep.Publication{
 		Version: 1,
@@ -94,7 +94,7 @@
 	return t
 }
 
-func (p *path) publish() {
+func (p *cluster) publish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pub.Version++
@@ -104,21 +104,21 @@
 	p.view = chestnutstep.NewView(&pub)
 }
 
-func (p *path) current() *chestnutstep.View {
+func (p *cluster) currentView() *chestnutstep.View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view
 }
 
-func (p *path) addAgent(name, model string, target http.Handler) {
+func (p *cluster) addAgent(name, model string, target http.Handler) {
 	back := httptest.NewServer(target)
 	p.t.Cleanup(back.Close)
 	p.targets = append(p.targets, back.URL)
 	reuse, single := agent.Clients()
 	a := &agent.Agent{
-		Name: name, URL: back.URL, Incarnation: "1", View: p.current,
+		Name: name, URL: back.URL, Incarnation: "1", View: p.currentView,
 		Gate: &gate.Gate{}, Detector: &crash.Detector{Target: name}, Issuer: &ticket.Issuer{Target: name},
-		Answers: &answer.Store{}, Reuse: reuse, Single: single, Ranker: ranker, Notify: p.notice,
+		Answers: &answer.Store{}, PooledClient: reuse, UnpooledClient: single, Ranker: ranker, Notify: p.recordNotice,
 		Dial: func(addr string) (wire.AgentClient, error) {
 			conn, err := p.pool.Conn(addr)
 			return wire.NewAgentClient(conn), err
@@ -139,36 +139,36 @@
 	p.agents = append(p.agents, a)
 }
 
-func (p *path) notice(n agent.Notice) {
+func (p *cluster) recordNotice(n agent.Notice) {
 	if n.Kind != agent.NoticeMoved {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noted = append(p.noted, n.Subject+" at "+n.After)
+	p.movedNotices = append(p.movedNotices, n.Subject+" at "+n.After)
 }
 
-// hasNote says whether an agent has noted the target that runs a request.
-func (p *path) hasNote(id, target string) bool {
+// hasMovedNotice says whether an agent has noted the target that runs a request.
+func (p *cluster) hasMovedNotice(id, target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Contains(p.noted, id+" at "+target)
+	return slices.Contains(p.movedNotices, id+" at "+target)
 }
 
-func (p *path) addEntry() {
+func (p *cluster) addEntry() {
 	e := &Entry{
-		Name: "e", Region: "r", View: p.current, Hosts: noHosts{},
-		Ranker:  ranker,
-		Links:   p.pool,
-		Repeats: &retry.TokenBucket{}, Steps: retry.NewStepBudget(),
-		Entries: func() int { return 1 }, Clock: time.Now, Notify: func(Notice) {}, OnOffer: p.onOffer,
+		Name: "e", Region: "r", View: p.currentView, Hosts: discardHosts{},
+		Ranker:      ranker,
+		Links:       p.pool,
+		RetryBudget: &retry.TokenBucket{}, FailoverBudget: retry.NewStepBudget(),
+		EntryCount: func() int { return 1 }, Clock: time.Now, Notify: func(Notice) {}, OnOffer: p.onOffer,
 	}
 	s := httptest.NewServer(e)
 	p.t.Cleanup(s.Close)
 	p.entries = append(p.entries, s)
 }
 
-func (p *path) ask(entry int, path, body string, headers ...string) (*http.Response, string) {
+func (p *cluster) send(entry int, path, body string, headers ...string) (*http.Response, string) {
 	rq, err := http.NewRequest(http.MethodPost, p.entries[entry].URL+path, strings.NewReader(body))
 	assert.NilError(p.t, err)
 	rq.Header.Set("Authorization", "Bearer k")
@@ -184,8 +184,8 @@
 }
 
 func TestPath(t *testing.T) {
-	p := newPath(t)
-	rs, body := p.ask(0, "/v1/chat", `{"prompt":10,"output":5}`, chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c1")
+	p := newCluster(t)
+	rs, body := p.send(0, "/v1/chat", `{"prompt":10,"output":5}`, chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c1")
 	assert.Equal(t, rs.StatusCode, 200, body)
 	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderRun), "yes")
 	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderHint), "label-1")
@@ -195,14 +195,14 @@
 // A caller books, the answer is lost, and the caller sends the booking again
 // through another entry. Without tickets the slot would be booked twice.
 func TestTicketRunsOnce(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	book := []string{chestnutstep.HeaderProfile, "book"}
-	rs, body := p.ask(0, "/bookings", `{"action":"a1"}`, book...)
+	rs, body := p.send(0, "/bookings", `{"action":"a1"}`, book...)
 	assert.Equal(t, rs.StatusCode, 428, body)
 	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderRun), "no")
 	book = append(book, chestnutstep.HeaderTicket, rs.Header.Get(chestnutstep.HeaderTicket))
-	first, body1 := p.ask(0, "/bookings", `{"action":"a1"}`, book...)
-	again, body2 := p.ask(1, "/bookings", `{"action":"a1"}`, book...)
+	first, body1 := p.send(0, "/bookings", `{"action":"a1"}`, book...)
+	again, body2 := p.send(1, "/bookings", `{"action":"a1"}`, book...)
 	assert.Equal(t, first.StatusCode, 200, body1)
 	assert.Equal(t, again.StatusCode, 200, body2)
 	assert.Equal(t, body1, body2)
@@ -213,29 +213,29 @@
 // once under another name, before the agents have told each other. Each try
 // would take down one more engine, and with it the answers of everyone there.
 func TestCondemnedContentIsRefusedAtOnce(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	e := p.entries[0].Config.Handler.(*Entry)
 	e.Detector = &crash.Detector{}
 	body := `{"prompt":10,"output":5,"note":"bad"}`
 	ask := []string{chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c1"}
-	rs, text := p.ask(0, "/v1/chat", body, ask...)
+	rs, text := p.send(0, "/v1/chat", body, ask...)
 	assert.Equal(t, rs.StatusCode, 200, text)
-	e.accuse(crash.Fingerprint("desk", "/v1/chat", []byte(body)), []string{"u", "v"})
-	rs, text = p.ask(0, "/v1/chat", body, ask...)
+	e.recordCrash(crash.Fingerprint("desk", "/v1/chat", []byte(body)), []string{"u", "v"})
+	rs, text = p.send(0, "/v1/chat", body, ask...)
 	assert.Equal(t, rs.StatusCode, 422, text)
 	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderRun), "no")
-	rs, text = p.ask(0, "/v1/chat", `{"prompt":10,"output":5,"note":"good"}`, ask...)
+	rs, text = p.send(0, "/v1/chat", `{"prompt":10,"output":5,"note":"good"}`, ask...)
 	assert.Equal(t, rs.StatusCode, 200, text)
 }
 
 // The same name and text in another chat is another question: its caller would
 // read the answer of the first.
 func TestSameKeyInAnotherChatDoesNotJoin(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	ask := []string{chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderIdempotencyKey, "k1", chestnutstep.HeaderChat}
-	rs, text := p.ask(0, "/v1/chat", `{"prompt":10,"output":5}`, append(ask, "c1")...)
+	rs, text := p.send(0, "/v1/chat", `{"prompt":10,"output":5}`, append(ask, "c1")...)
 	assert.Equal(t, rs.StatusCode, 200, text)
-	rs, text = p.ask(0, "/v1/chat", `{"prompt":10,"output":5}`, append(ask, "c2")...)
+	rs, text = p.send(0, "/v1/chat", `{"prompt":10,"output":5}`, append(ask, "c2")...)
 	assert.Equal(t, rs.StatusCode, 409, text)
 }
 
@@ -243,7 +243,7 @@
 // another target; without the hand-over that one reads the whole history again,
 // and the member waits for it.
 func TestLeavingTargetHandsItsChatsOver(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	other := &fake.Engine{}
 	p.addAgent("label-2", "label", other)
 	// Reading 4,000 tokens again takes 4 s by publication, moving them far less.
@@ -251,20 +251,20 @@
 	p.pub.Budget.ExportRate = 100 << 20
 	p.publish()
 	ask := []string{chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c1"}
-	rs, text := p.ask(0, "/v1/chat", `{"prompt":4000,"output":5}`, ask...)
+	rs, text := p.send(0, "/v1/chat", `{"prompt":4000,"output":5}`, ask...)
 	assert.Equal(t, rs.StatusCode, 200, text)
 	home := rs.Header.Get(chestnutstep.HeaderHint)
 	next := map[string]*fake.Engine{"label-1": other, "label-2": p.engine}[home]
-	poll.WaitOn(t, func(poll.LogT) poll.Result { return p.takeOut(home, next) }, poll.WithTimeout(20*time.Second))
-	rs, text = p.ask(1, "/v1/chat", `{"prompt":4100,"output":5}`, append(ask, chestnutstep.HeaderHint, home)...)
+	poll.WaitOn(t, func(poll.LogT) poll.Result { return p.toggleTarget(home, next) }, poll.WithTimeout(20*time.Second))
+	rs, text = p.send(1, "/v1/chat", `{"prompt":4100,"output":5}`, append(ask, chestnutstep.HeaderHint, home)...)
 	assert.Equal(t, rs.StatusCode, 200, text)
 	assert.Assert(t, rs.Header.Get(chestnutstep.HeaderHint) != home)
 	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderCachedTokens), "4005")
 }
 
-// takeOut publishes the target in and out of service until its engine's late
+// toggleTarget publishes the target in and out of service until its engine's late
 // cache events have told its agent of the chat, and the other has taken it.
-func (p *path) takeOut(name string, next *fake.Engine) poll.Result {
+func (p *cluster) toggleTarget(name string, next *fake.Engine) poll.Result {
 	for i := range p.pub.Targets {
 		if t := &p.pub.Targets[i]; t.Name == name {
 			t.Out = !t.Out
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -25,11 +25,11 @@
 	Ticket string `json:"ticket,omitempty"`
 }
 
-// refuse gives the final answer at once, with when to come back. Holding it
+// writeRefusal gives the final answer at once, with when to come back. Holding it
 // back until the caller's deadline would only keep the caller from asking
 // where there is room.
-func (e *Entry) refuse(w http.ResponseWriter, err error, n Notice) {
-	ref := refused(err)
+func (e *Entry) writeRefusal(w http.ResponseWriter, err error, n Notice) {
+	ref := asRefused(err)
 	ans := retry.ReplyFor(ref.Reason)
 	p := problem{
 		Type:   "about:blank",
@@ -46,8 +46,8 @@
 	if ref.Ticket != "" {
 		h.Set(chestnutstep.HeaderTicket, ref.Ticket)
 	}
-	if ref.Retry > 0 {
-		h.Set("Retry-After", seconds(ref.Retry))
+	if ref.RetryAfter > 0 {
+		h.Set("Retry-After", retryAfterSeconds(ref.RetryAfter))
 	}
 	w.WriteHeader(ans.Status)
 	_ = json.NewEncoder(w).Encode(p)
@@ -55,8 +55,8 @@
 	e.Notify(n)
 }
 
-// refused turns any error into the final word on a request.
-func refused(err error) *ErrRefused {
+// asRefused turns any error into the final word on a request.
+func asRefused(err error) *ErrRefused {
 	var ref *ErrRefused
 	if errors.As(err, &ref) {
 		return ref
@@ -68,7 +68,7 @@
 	return &ErrRefused{Reason: chestnutstep.ReasonUnknown, Run: chestnutstep.RunMaybe, Detail: err.Error()}
 }
 
-// seconds rounds up: a caller that comes back early is refused again.
-func seconds(d time.Duration) string {
+// retryAfterSeconds rounds up: a caller that comes back early is refused again.
+func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/entry/size_test.go
+++ b/entry/size_test.go
@@ -25,13 +25,13 @@
 	} {
 		r.Header.Set(name, value)
 	}
-	a := &ask{
+	a := &clientRequest{
 		view: v, workspace: &v.Publication.Workspaces[0], profile: &v.Publication.Profiles[0], id: randomID(),
-		chat: "chat-0123456789abcdef", deadline: time.Now().Add(time.Minute), request: r,
+		chat: "chat-0123456789abcdef", deadline: time.Now().Add(time.Minute), httpRequest: r,
 	}
 	size := 0
 	for b.Loop() {
-		size = proto.Size(&wire.Up{Kind: &wire.Up_Offer{Offer: a.offer(time.Now(), time.Second)}})
+		size = proto.Size(&wire.Up{Kind: &wire.Up_Offer{Offer: a.newOffer(time.Now(), time.Second)}})
 	}
 	b.ReportMetric(float64(size), "B/offer")
 }
--- a/entry/status_test.go
+++ b/entry/status_test.go
@@ -15,7 +15,7 @@
 // What callers are told when a request can't be served: a status, a stable
 // code, whether it ran, and when to come back where that makes sense.
 func TestRefusals(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	p.pub.Profiles = append(p.pub.Profiles,
 		chestnutstep.Profile{Name: "small", Model: "label", Class: "batch", Timeout: chestnutstep.Duration(time.Second), MaxAttempts: 1, MaxBodyBytes: 8},
 		chestnutstep.Profile{Name: "nowhere", Model: "none", Class: "batch", Timeout: chestnutstep.Duration(time.Second), MaxAttempts: 1, MaxBodyBytes: 8},
@@ -48,7 +48,7 @@
 		{"second over the rate", ask, []string{key, "Bearer s", profile, "quick"}, 429, []string{`"rate"`}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rs, body := p.ask(0, "/v1/chat", c.body, c.headers...)
+			rs, body := p.send(0, "/v1/chat", c.body, c.headers...)
 			assert.Equal(t, rs.StatusCode, c.status, body)
 			for _, part := range c.parts {
 				assert.Assert(t, strings.Contains(body, part), "%s in %s", part, body)
@@ -65,14 +65,14 @@
 // A caller repeats a booking that runs, and the repeat lacks a header or comes
 // with a key that was just withdrawn. Told "not run", it would book again.
 func TestEntryNeverSaysNotRunOfATicket(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	for _, headers := range [][]string{
 		{"Authorization", "Bearer nobody", chestnutstep.HeaderProfile, "book"},
 		{chestnutstep.HeaderProfile, "x"},
 		{chestnutstep.HeaderProfile, "book", chestnutstep.HeaderTimeout, "soon"},
 		{chestnutstep.HeaderProfile, "book"},
 	} {
-		rs, body := p.ask(0, "/bookings", "{}", append(headers, chestnutstep.HeaderTicket, "t")...)
+		rs, body := p.send(0, "/bookings", "{}", append(headers, chestnutstep.HeaderTicket, "t")...)
 		assert.Assert(t, rs.StatusCode >= 400, body)
 		assert.Equal(t, rs.Header.Get(chestnutstep.HeaderRun), "maybe", body)
 	}
@@ -81,11 +81,11 @@
 // An engine hangs. The caller's own time limit ends the wait, and the answer
 // says that the request may have run.
 func TestTimeLimit(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	rs, err := http.Post(p.targets[0]+"/control/fault", "application/json", strings.NewReader(`{"hang": true}`))
 	assert.NilError(t, err)
 	rs.Body.Close()
-	rs, body := p.ask(0, "/v1/chat", `{"prompt":1,"output":1}`,
+	rs, body := p.send(0, "/v1/chat", `{"prompt":1,"output":1}`,
 		chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderTimeout, "300ms")
 	assert.Equal(t, rs.StatusCode, 504, body)
 	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderRun), "maybe")
@@ -95,7 +95,7 @@
 // An engine closes its connection cleanly in mid-answer. To HTTP that looks like
 // the end; the caller must see that it is not the whole answer, and why.
 func TestShortStreamLooksBroken(t *testing.T) {
-	p := newPath(t)
+	p := newCluster(t)
 	rs, err := http.Post(p.targets[0]+"/control/fault", "application/json", strings.NewReader(`{"short": 3}`))
 	assert.NilError(t, err)
 	rs.Body.Close()
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// ticketsMost bounds one batch.
-	ticketsMost = 1000
-	// ticketsBody bounds the request for tickets in bytes.
-	ticketsBody = 4 << 10
+	// maxTicketCount bounds one batch.
+	maxTicketCount = 1000
+	// maxTicketBody bounds the request for tickets in bytes.
+	maxTicketBody = 4 << 10
 )
 
-// ticketsAsk is the body of a request for tickets.
-type ticketsAsk struct {
+// ticketsRequest is the body of a request for tickets.
+type ticketsRequest struct {
 	Profile string `json:"profile"`
 	Count   int    `json:"count"`
 }
@@ -30,51 +30,51 @@
 
 // serveTickets hands out tickets for non-idempotent requests.
 func (e *Entry) serveTickets(w http.ResponseWriter, r *http.Request) {
-	tickets, err := e.tickets(w, r)
+	tickets, err := e.issueTickets(w, r)
 	if err != nil {
-		e.refuse(w, err, Notice{})
+		e.writeRefusal(w, err, Notice{})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(ticketsReply{Tickets: tickets})
 }
 
-func (e *Entry) tickets(w http.ResponseWriter, r *http.Request) ([]string, error) {
+func (e *Entry) issueTickets(w http.ResponseWriter, r *http.Request) ([]string, error) {
 	v := e.View()
 	if v == nil {
-		return nil, &ErrRefused{Reason: chestnutstep.ReasonVersion, Run: chestnutstep.RunNo, Retry: time.Second}
+		return nil, &ErrRefused{Reason: chestnutstep.ReasonVersion, Run: chestnutstep.RunNo, RetryAfter: time.Second}
 	}
 	ws := authenticate(v, r)
 	if ws == nil {
 		return nil, &ErrRefused{Reason: chestnutstep.ReasonKey, Run: chestnutstep.RunNo}
 	}
-	in, p, err := e.readTicketsAsk(v, w, r)
+	in, p, err := e.readTicketsRequest(v, w, r)
 	if err != nil {
 		return nil, err
 	}
-	if wait := e.rates.take(e.Clock(), ws, e.Entries()); wait > 0 {
-		return nil, &ErrRefused{Reason: chestnutstep.ReasonRate, Run: chestnutstep.RunNo, Retry: wait}
+	if wait := e.limiter.take(e.Clock(), ws, e.EntryCount()); wait > 0 {
+		return nil, &ErrRefused{Reason: chestnutstep.ReasonRate, Run: chestnutstep.RunNo, RetryAfter: wait}
 	}
-	a := &ask{view: v, workspace: ws, profile: p, id: randomID()}
-	return e.mint(r.Context(), a, in.Count)
+	a := &clientRequest{view: v, workspace: ws, profile: p, id: randomID()}
+	return e.mintAtTargets(r.Context(), a, in.Count)
 }
 
-func (e *Entry) readTicketsAsk(
+func (e *Entry) readTicketsRequest(
 	v *chestnutstep.View, w http.ResponseWriter, r *http.Request,
-) (ticketsAsk, *chestnutstep.Profile, error) {
+) (ticketsRequest, *chestnutstep.Profile, error) {
 	bad := func(detail string) error {
 		return &ErrRefused{Reason: chestnutstep.ReasonHeader, Run: chestnutstep.RunNo, Detail: detail}
 	}
-	var in ticketsAsk
+	var in ticketsRequest
 	if r.Method != http.MethodPost {
 		return in, nil, bad("tickets are asked for by POST")
 	}
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, ticketsBody))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTicketBody))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&in); err != nil {
 		return in, nil, bad("body: " + err.Error())
 	}
-	if in.Count < 1 || in.Count > ticketsMost {
+	if in.Count < 1 || in.Count > maxTicketCount {
 		return in, nil, bad("count: is not between 1 and 1000")
 	}
 	p := v.Profiles[in.Profile]
@@ -84,9 +84,9 @@
 	return in, p, nil
 }
 
-// mint asks the targets in the order of their ranking. A batch is spread by
+// mintAtTargets asks the targets in the order of their ranking. A batch is spread by
 // its random id, so that one target does not get all actions.
-func (e *Entry) mint(ctx context.Context, a *ask, count int) ([]string, error) {
+func (e *Entry) mintAtTargets(ctx context.Context, a *clientRequest, count int) ([]string, error) {
 	targets := e.Ranker(a.view).Rank(nil, a.place(e.Region), max(a.profile.MaxAttempts, 1))
 	for _, t := range targets {
 		reply, err := e.mintAt(ctx, t, a.workspace.Name, count)
@@ -95,7 +95,7 @@
 		}
 		e.Hosts.RecordFailure(e.Clock(), t.Host)
 	}
-	return nil, &ErrRefused{Reason: chestnutstep.ReasonTarget, Run: chestnutstep.RunNo, Retry: time.Second}
+	return nil, &ErrRefused{Reason: chestnutstep.ReasonTarget, Run: chestnutstep.RunNo, RetryAfter: time.Second}
 }
 
 func (e *Entry) mintAt(ctx context.Context, t *chestnutstep.Target, workspace string, count int) (*wire.MintReply, error) {
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	return wire.NewAgentClient(conn).Mint(ctx, &wire.MintRequest{Workspace: workspace, Count: uint32(count)})
 }
--- a/entry/warn.go
+++ b/entry/warn.go
@@ -6,35 +6,35 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// warn reports the targets that this content has crashed to the agents that rank
+// warnAgents reports the targets that this content has crashed to the agents that rank
 // for it, before its caller gets the final answer. The caller's retry goes to the same
 // agents through whatever entry, often at once, and gossip takes a second. The
 // warning is an offer without time or body, which never runs.
-func (k *walk) warn() {
-	var all sync.WaitGroup
+func (k *dispatcher) warnAgents() {
+	var wg sync.WaitGroup
 	for _, t := range k.targets {
-		all.Add(1)
-		go (&warning{walk: k, target: t}).run(&all)
+		wg.Add(1)
+		go (&crashWarning{dispatcher: k, target: t}).run(&wg)
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// warning is one agent's. They go out side by side: one after the other, silent
+// crashWarning is one agent's. They go out side by side: one after the other, silent
 // agents would hold the caller's final answer back by half a second each.
-type warning struct {
-	walk   *walk
-	target *chestnutstep.Target
+type crashWarning struct {
+	dispatcher *dispatcher
+	target     *chestnutstep.Target
 }
 
-func (w *warning) run(all *sync.WaitGroup) {
-	defer all.Done()
-	l, err := w.walk.entry.openLink(w.target, answerLimit)
+func (w *crashWarning) run(wg *sync.WaitGroup) {
+	defer wg.Done()
+	l, err := w.dispatcher.entry.openLink(w.target, offerTimeout)
 	if err != nil {
 		return
 	}
 	defer l.cancel()
-	o := w.walk.ask.offer(w.walk.entry.Clock(), 0)
+	o := w.dispatcher.request.newOffer(w.dispatcher.entry.Clock(), 0)
 	o.Remain = 0
-	o.Crashed = w.walk.crashed
-	_, _ = w.walk.offer(l, o, answerLimit)
+	o.Crashed = w.dispatcher.crashedTargets
+	_, _ = w.dispatcher.sendOffer(l, o, offerTimeout)
 }
--- a/matrix/fault_test.go
+++ b/matrix/fault_test.go
@@ -108,7 +108,7 @@
 		n.Links[0].CloseConnections()
 		return nil
 	}
-	go func() { _ = n.Agent.Leave(context.Background()) }()
+	go func() { _ = n.Agent.Drain(context.Background()) }()
 	return until(func() bool { return n.Agent.Load().Leaving }, "the agent leaves")
 }
 
--- a/matrix/stack.go
+++ b/matrix/stack.go
@@ -228,10 +228,10 @@
 	n.lives++
 	reuse, single := agent.Clients()
 	n.Agent = &agent.Agent{
-		Name: n.Name, URL: "http://" + n.Back.Addr(), Incarnation: strconv.Itoa(n.lives), Uptime: time.Since(s.began),
+		Name: n.Name, URL: "http://" + n.Back.Addr(), Incarnation: strconv.Itoa(n.lives), HostUptime: time.Since(s.began),
 		View: func() *chestnutstep.View { return s.View(agentView) },
 		Gate: &gate.Gate{}, Detector: &crash.Detector{Target: n.Name}, Issuer: &ticket.Issuer{Target: n.Name},
-		Answers: &answer.Store{}, Reuse: reuse, Single: single,
+		Answers: &answer.Store{}, PooledClient: reuse, UnpooledClient: single,
 	}
 	srv := grpc.NewServer(grpc.StreamInterceptor(n.hooks.stream), grpc.UnaryInterceptor(n.hooks.unary))
 	wire.RegisterAgentServer(srv, n.Agent.Service())
@@ -280,9 +280,9 @@
 			t.Build()
 			return t
 		},
-		Links:   s.pools[i],
-		Repeats: &retry.TokenBucket{}, Steps: retry.NewStepBudget(),
-		Entries: func() int { return Entries }, Clock: time.Now, Notify: func(entry.Notice) {}, OnOffer: func(entry.Offer) {},
+		Links:       s.pools[i],
+		RetryBudget: &retry.TokenBucket{}, FailoverBudget: retry.NewStepBudget(),
+		EntryCount: func() int { return Entries }, Clock: time.Now, Notify: func(entry.Notice) {}, OnOffer: func(entry.Offer) {},
 	}
 }
 
--- a/node/agent.go
+++ b/node/agent.go
@@ -72,7 +72,7 @@
 	n.log.Emit(event.ProcessDrain, event.Int("running", int64(n.agent.Load().Running)))
 	ctx, cancel := context.WithTimeout(context.Background(), n.Settings.DrainTimeout.Std())
 	defer cancel()
-	err := n.agent.Leave(ctx)
+	err := n.agent.Drain(ctx)
 	stopServer(ctx, n.server)
 	n.log.Emit(event.ProcessStop, event.Err(err))
 	return errors.Wrap(err, "drain")
@@ -88,28 +88,28 @@
 	n.sampler = &mean.Sampler{Target: name}
 	reuse, single := agent.Clients()
 	n.agent = &agent.Agent{
-		Name:        name,
-		URL:         strings.TrimSuffix(n.Settings.Target.URL, "/"),
-		Incarnation: n.settings.Host + "-" + newIncarnation(),
-		View:        n.store.View,
-		Gate:        &gate.Gate{},
-		Detector:    n.detector,
-		Issuer:      &ticket.Issuer{Target: name},
-		Sampler:     n.sampler,
-		Answers:     &answer.Store{Keep: n.settings.Keep.MaxAge.Std(), Most: n.settings.Keep.MaxBytes},
-		Reuse:       reuse,
-		Single:      single,
-		Linger:      n.settings.Linger.Std(),
-		Dial:        n.dial,
-		Uptime:      uptime(),
-		Ranker:      newRanker,
-		Leaving:     func() bool { return n.members.IsLeaving(time.Now(), n.settings.Host) },
-		Notify:      n.handleNotice,
+		Name:           name,
+		URL:            strings.TrimSuffix(n.Settings.Target.URL, "/"),
+		Incarnation:    n.settings.Host + "-" + newIncarnation(),
+		View:           n.store.View,
+		Gate:           &gate.Gate{},
+		Detector:       n.detector,
+		Issuer:         &ticket.Issuer{Target: name},
+		Sampler:        n.sampler,
+		Answers:        &answer.Store{TTL: n.settings.Keep.MaxAge.Std(), MaxBytes: n.settings.Keep.MaxBytes},
+		PooledClient:   reuse,
+		UnpooledClient: single,
+		Linger:         n.settings.Linger.Std(),
+		Dial:           n.dial,
+		HostUptime:     uptime(),
+		Ranker:         newRanker,
+		HostLeaving:    func() bool { return n.members.IsLeaving(time.Now(), n.settings.Host) },
+		Notify:         n.handleNotice,
 	}
 	n.server = n.base.newServer()
 	wire.RegisterAgentServer(n.server, n.agent.Service())
 	n.gossipNode = n.newGossip(name, n.settings.Listen)
-	n.gossipNode.Sampler, n.gossipNode.Detector, n.gossipNode.Lock = n.sampler, n.detector, n.agent.Lock()
+	n.gossipNode.Sampler, n.gossipNode.Detector, n.gossipNode.Lock = n.sampler, n.detector, n.agent.Locker()
 	n.gossipNode.Weight = func() float64 { return n.agent.Load().Weight }
 	n.registerPeerServer(n.server)
 	return nil
@@ -156,7 +156,7 @@
 	}
 	m := n.mean()
 	s.Domains = ownDomain(v, t, admin.Target{
-		Name: t.Name, Host: t.Host, Model: t.Model, State: n.agent.Life(), Load: &load, Mean: &m,
+		Name: t.Name, Host: t.Host, Model: t.Model, State: n.agent.TargetState(), Load: &load, Mean: &m,
 		IdleReason: admin.IdleReason(v, t, &load, true),
 	})
 	return s
--- a/node/entry.go
+++ b/node/entry.go
@@ -86,24 +86,24 @@
 		return err
 	}
 	n.entry = &entry.Entry{
-		Name:     n.settings.Name,
-		Region:   n.settings.Region,
-		View:     n.store.View,
-		Ranker:   n.ranker,
-		Links:    n.pool,
-		Hosts:    n.members,
-		Repeats:  &retry.TokenBucket{},
-		Steps:    retry.NewStepBudget(),
-		Detector: &crash.Detector{},
-		Entries:  n.countEntries,
-		Most:     int64(n.settings.MaxStreams),
-		Clock:    time.Now,
-		Notify:   n.handleNotice,
-		OnOffer:  n.onOffer,
+		Name:           n.settings.Name,
+		Region:         n.settings.Region,
+		View:           n.store.View,
+		Ranker:         n.ranker,
+		Links:          n.pool,
+		Hosts:          n.members,
+		RetryBudget:    &retry.TokenBucket{},
+		FailoverBudget: retry.NewStepBudget(),
+		Detector:       &crash.Detector{},
+		EntryCount:     n.countEntries,
+		MaxOpen:        int64(n.settings.MaxStreams),
+		Clock:          time.Now,
+		Notify:         n.handleNotice,
+		OnOffer:        n.onOffer,
 	}
 	n.server = n.base.newServer()
 	n.gossipNode = n.newGossip(n.settings.Name, n.settings.Peer)
-	n.gossipNode.Detector, n.gossipNode.Lock = n.entry.Detector, n.entry.Lock()
+	n.gossipNode.Detector, n.gossipNode.Lock = n.entry.Detector, n.entry.Locker()
 	n.registerPeerServer(n.server)
 	return nil
 }
@@ -131,9 +131,9 @@
 // stop says "not ready" first, takes no new connections after a grace, and
 // waits for requests in progress: a planned stop cuts nothing.
 func (n *Entry) stop(srv *http.Server) error {
-	n.entry.Leave()
+	n.entry.StartDrain()
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
-	n.log.Emit(event.ProcessDrain, event.Int("open", n.entry.Open()))
+	n.log.Emit(event.ProcessDrain, event.Int("open", n.entry.OpenCount()))
 	time.Sleep(leaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout.Std())
 	defer cancel()
@@ -199,7 +199,7 @@
 		if v := n.store.View(); v != nil {
 			n.updateRanking(v)
 		}
-		n.meters.Entry.OpenRequests.Set(float64(n.entry.Open()))
+		n.meters.Entry.OpenRequests.Set(float64(n.entry.OpenCount()))
 		n.meters.Entry.AgentLinks.Set(float64(n.pool.Len()))
 	}
 }
@@ -208,7 +208,7 @@
 	if n.store.View() == nil {
 		return &ErrNotReady{Cause: "no publication yet"}
 	}
-	if !n.entry.Ready() {
+	if !n.entry.IsReady() {
 		return &ErrNotReady{Cause: "leaving"}
 	}
 	return nil
@@ -216,7 +216,7 @@
 
 // status lists all targets as this entry sees them.
 func (n *Entry) status() admin.Status {
-	s := n.base.baseStatus(n.ready(), n.entry.Open())
+	s := n.base.baseStatus(n.ready(), n.entry.OpenCount())
 	v := n.store.View()
 	if v == nil {
 		return s
--- a/node/notice.go
+++ b/node/notice.go
@@ -50,7 +50,7 @@
 		n.auditNotice(audit.KindCondemned, m)
 	}
 	if id, ok := offerEvents[m.Kind]; ok {
-		n.log.Emit(id, event.Request(m.Subject), event.Int("offer", int64(m.Offer)), event.Reason(m.Reason), event.Dur("after", m.Age))
+		n.log.Emit(id, event.Request(m.Subject), event.Int("offer", int64(m.OfferNumber)), event.Reason(m.Reason), event.Dur("after", m.Age))
 	}
 	switch m.Kind {
 	case agent.NoticeCrash:
@@ -72,7 +72,7 @@
 		n.meters.Agent.Offers.Add(1, m.Profile, "wait")
 	case agent.NoticeOrder:
 		n.recordOrder(m)
-	case agent.NoticeHanded:
+	case agent.NoticeHandedOver:
 		n.meters.Agent.Moves.Add(1, "export", "ok")
 		n.meters.Agent.MovedBytes.Add(m.Bytes, "export")
 	case agent.NoticeImported:
@@ -87,16 +87,16 @@
 // it; 0 writes no line for others.
 func (n *Agent) countRefusedOffer(m agent.Notice, id event.ID) {
 	switch {
-	case m.Ticket && slices.Contains(ticketReasons, m.Reason):
+	case m.HasTicket && slices.Contains(ticketReasons, m.Reason):
 		id = event.TicketRefused
-	case m.Ticket:
+	case m.HasTicket:
 		id = event.TicketDropped
 	}
 	if id != 0 {
 		n.log.Emit(id, event.Request(m.Subject), event.Reason(m.Reason), event.Workspace(m.Workspace))
 	}
 	n.meters.Agent.Offers.Add(1, m.Profile, string(m.Reason))
-	if m.Ticket {
+	if m.HasTicket {
 		n.meters.Agent.Tickets.Add(1, string(m.Reason))
 	}
 }
@@ -111,9 +111,9 @@
 func (n *Agent) recordOrder(m agent.Notice) {
 	id := event.OrderDone
 	switch order.Event(m.After) {
-	case order.Refuse:
+	case order.Refused:
 		id = event.OrderRefused
-	case order.Lose:
+	case order.Lost:
 		id = event.OrderUnknown
 	}
 	n.log.Emit(id, event.Str("order", m.Subject), event.Str("fence", m.Before), event.Str("end", m.After))
@@ -131,12 +131,12 @@
 	n.logFailedRun(m)
 	n.meters.Agent.Runs.Add(1, m.Profile, result)
 	n.meters.Agent.Wait.Observe(m.Wait, m.Profile)
-	n.meters.Agent.CachedTokens.Add(m.Cached, m.Profile)
+	n.meters.Agent.CachedTokens.Add(m.CachedTokens, m.Profile)
 	n.meters.Workspaces.Requests.Add(1, m.Workspace, result)
 	n.meters.Workspaces.Tokens.Add(int64(m.Cost), m.Workspace)
 	n.meters.Workspaces.Wait.Observe(m.Wait, m.Workspace)
-	if m.First > 0 {
-		n.meters.Agent.FirstToken.Observe(m.First, m.Profile)
+	if m.FirstByte > 0 {
+		n.meters.Agent.FirstToken.Observe(m.FirstByte, m.Profile)
 	}
 }
 
@@ -150,9 +150,9 @@
 		n.log.Emit(event.AnswerShort, request, target)
 	}
 	switch {
-	case m.Ticket && m.Reason == "":
+	case m.HasTicket && m.Reason == "":
 		n.meters.Agent.Tickets.Add(1, "done")
-	case m.Ticket:
+	case m.HasTicket:
 		n.log.Emit(event.TicketUnknown, request, target, event.Reason(m.Reason))
 		n.meters.Agent.Tickets.Add(1, "unknown")
 	}
@@ -186,8 +186,8 @@
 	)
 	n.countProgress(m)
 	n.meters.Entry.Requests.Add(1, m.Profile, result)
-	if m.First > 0 {
-		n.meters.Entry.FirstByte.Observe(m.First, m.Profile)
+	if m.FirstByte > 0 {
+		n.meters.Entry.FirstByte.Observe(m.FirstByte, m.Profile)
 	}
 	if result == "ok" {
 		n.meters.Entry.Answer.Observe(m.Total, m.Profile)
@@ -196,16 +196,16 @@
 
 // countProgress notes what a request met before it ended.
 func (n *Entry) countProgress(m entry.Notice) {
-	if m.Attached > 0 {
+	if m.Reattached > 0 {
 		n.log.Emit(event.AnswerAttached, event.Request(m.Request), event.Target(m.Target))
-		n.meters.Entry.Attached.Add(int64(m.Attached), m.Profile, "ok")
+		n.meters.Entry.Attached.Add(int64(m.Reattached), m.Profile, "ok")
 	}
-	if m.Denied {
+	if m.RetryDenied {
 		n.log.Emit(event.RetryDenied, event.Request(m.Request), event.Profile(m.Profile))
 		n.meters.Entry.Retries.Add(1, m.Profile, "denied")
 	}
-	if m.Repeated > 0 {
-		n.meters.Entry.Retries.Add(int64(m.Repeated), m.Profile, "spent")
+	if m.Retries > 0 {
+		n.meters.Entry.Retries.Add(int64(m.Retries), m.Profile, "spent")
 	}
 	switch m.Hint {
 	case "":
@@ -219,7 +219,7 @@
 // onOffer puts what became of an offer into log and metrics.
 func (n *Entry) onOffer(o entry.Offer) {
 	id := event.OfferAnswered
-	if o.Answer == entry.OfferSilent || o.Answer == entry.OfferBroken {
+	if o.Answer == entry.OfferUnresponsive || o.Answer == entry.OfferBroken {
 		id = event.OfferFailed
 	}
 	n.log.Emit(
@@ -241,7 +241,7 @@
 		return event.RateExceeded
 	case m.Reason == chestnutstep.ReasonCanceled:
 		return event.RequestCanceled
-	case m.First > 0:
+	case m.FirstByte > 0:
 		return event.RequestBroken
 	}
 	return event.RequestRefused
--- a/node/watch.go
+++ b/node/watch.go
@@ -31,7 +31,7 @@
 
 // mean is the estimated mean load of the target's model.
 func (n *Agent) mean() chestnutstep.Mean {
-	lock := n.agent.Lock()
+	lock := n.agent.Locker()
 	lock.Lock()
 	defer lock.Unlock()
 	return n.sampler.Mean(time.Now())
--- a/order/desk_test.go
+++ b/order/desk_test.go
@@ -19,42 +19,42 @@
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/desk", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
-			p := &player{now: script.Epoch, fences: map[string]Fence{}}
-			p.desk = &Desk{Began: script.Epoch, Uptime: time.Hour, Fenced: d.Cmd == "fenced"}
-			return script.Play(d.Input, &p.now, p.step)
+			p := &scriptRunner{now: script.Epoch, fences: map[string]Fence{}}
+			p.scheduler = &Scheduler{StartedAt: script.Epoch, HostUptime: time.Hour, Fenced: d.Cmd == "fenced"}
+			return script.Play(d.Input, &p.now, p.runCommand)
 		})
 	})
 }
 
-type player struct {
-	desk   *Desk
-	now    time.Time
-	fences map[string]Fence
+type scriptRunner struct {
+	scheduler *Scheduler
+	now       time.Time
+	fences    map[string]Fence
 }
 
-func (p *player) step(f []string) string {
+func (p *scriptRunner) runCommand(f []string) string {
 	switch f[0] {
 	case "take":
 		version, _ := strconv.ParseUint(f[4], 10, 64)
-		j, err := p.desk.Take(p.now, Order{Kind: f[2], Name: f[3], Version: version})
+		j, err := p.scheduler.Submit(p.now, Order{Kind: f[2], Name: f[3], Version: version})
 		if err != nil {
 			return err.Error()
 		}
 		p.fences[f[1]] = j.Fence
 		return fmt.Sprintf("%s %s, version %d", j.State, j.Fence, j.Fence.Version())
 	case "restart":
-		p.desk.Restart(p.now)
+		p.scheduler.EngineRestarted(p.now)
 		return "ok"
 	case "ready":
-		return strconv.FormatBool(p.desk.Ready(p.now))
+		return strconv.FormatBool(p.scheduler.IsReady(p.now))
 	case "send":
 		version, _ := strconv.ParseUint(f[2], 10, 64)
-		return say(p.desk.MaySend(p.now, p.fences[f[1]], version))
+		return describe(p.scheduler.BeginSend(p.now, p.fences[f[1]], version))
 	}
-	return say(p.desk.End(p.now, p.fences[f[1]], Event(f[0])))
+	return describe(p.scheduler.Complete(p.now, p.fences[f[1]], Event(f[0])))
 }
 
-func say(err error) string {
+func describe(err error) string {
 	kinds := []string{"stale", "busy", "late", "state", "range"}
 	for i, is := range []func(error) bool{IsErrStale, IsErrBusy, IsErrLate, IsErrState, IsErrRange} {
 		if is(err) {
@@ -67,12 +67,12 @@
 // engine plays an engine behind agents that are killed, frozen and started
 // again, and a network that delivers what they sent late and in any order.
 type engine struct {
-	now    time.Time
-	booted time.Time
-	desk   *Desk
-	flight []Job
-	sent   []Job
-	did    Job
+	now       time.Time
+	booted    time.Time
+	scheduler *Scheduler
+	inFlight  []Job
+	sent      []Job
+	lastDone  Job
 }
 
 // restart starts an agent anew. Systems tell the uptime in seconds, rounded
@@ -80,13 +80,13 @@
 func (e *engine) restart(t *rapid.T) {
 	round := time.Duration(rapid.IntRange(0, 1).Draw(t, "round")) * (time.Second - 1)
 	up := (e.now.Sub(e.booted) + round).Truncate(time.Second)
-	e.desk = &Desk{Began: e.now, Uptime: up, Fenced: true}
+	e.scheduler = &Scheduler{StartedAt: e.now, HostUptime: up, Fenced: true}
 }
 
-func (e *engine) take(t *rapid.T) {
+func (e *engine) submit(t *rapid.T) {
 	kind := rapid.SampledFrom([]string{"load", "role"}).Draw(t, "kind")
 	version := rapid.Uint64Range(1, 3).Draw(t, "version")
-	j, err := e.desk.Take(e.now, Order{Kind: kind, Name: fmt.Sprint(len(e.sent)), Version: version})
+	j, err := e.scheduler.Submit(e.now, Order{Kind: kind, Name: fmt.Sprint(len(e.sent)), Version: version})
 	if err == nil && rapid.Bool().Draw(t, "send at once") {
 		e.send(t, j)
 	}
@@ -94,39 +94,39 @@
 
 func (e *engine) send(t *rapid.T, j Job) {
 	version := rapid.Uint64Range(0, 3).Draw(t, "in force")
-	if e.desk.MaySend(e.now, j.Fence, version) != nil {
+	if e.scheduler.BeginSend(e.now, j.Fence, version) != nil {
 		return
 	}
 	assert.Assert(t, version <= j.Order.Version, "sent an order of an old publication")
-	assert.Assert(t, e.now.Sub(j.Changed) <= DefaultPause, "sent after a pause")
+	assert.Assert(t, e.now.Sub(j.ChangedAt) <= DefaultMaxDelay, "sent after a pause")
 	for _, earlier := range e.sent {
 		older := earlier.Order.Version <= j.Order.Version
 		assert.Assert(t, !older || earlier.Fence < j.Fence, "a later order has a lower number")
 	}
 	e.sent = append(e.sent, j)
-	e.flight = append(e.flight, j)
+	e.inFlight = append(e.inFlight, j)
 }
 
 func (e *engine) sendLate(t *rapid.T) {
-	for _, j := range e.desk.Jobs() {
+	for _, j := range e.scheduler.Jobs() {
 		e.send(t, j)
 	}
 }
 
 func (e *engine) deliver(t *rapid.T) {
-	if len(e.flight) == 0 {
+	if len(e.inFlight) == 0 {
 		return
 	}
-	j := rapid.SampledFrom(e.flight).Draw(t, "order")
-	event := Refuse
-	if j.Fence > e.did.Fence {
-		assert.Assert(t, j.Order.Version >= e.did.Order.Version, "an old publication's order was done last")
-		e.did, event = j, Finish
+	j := rapid.SampledFrom(e.inFlight).Draw(t, "order")
+	event := Refused
+	if j.Fence > e.lastDone.Fence {
+		assert.Assert(t, j.Order.Version >= e.lastDone.Order.Version, "an old publication's order was done last")
+		e.lastDone, event = j, Finished
 	}
 	if rapid.Bool().Draw(t, "lost") {
-		event = Lose
+		event = Lost
 	}
-	_ = e.desk.End(e.now, j.Fence, event)
+	_ = e.scheduler.Complete(e.now, j.Fence, event)
 }
 
 // An agent is killed with an order on its way, and its successor sends another.
@@ -137,7 +137,7 @@
 		e := &engine{now: script.Epoch, booted: script.Epoch.Add(-time.Minute)}
 		e.restart(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"take": e.take, "send late": e.sendLate, "deliver": e.deliver, "restart": e.restart,
+			"take": e.submit, "send late": e.sendLate, "deliver": e.deliver, "restart": e.restart,
 			"pass": func(t *rapid.T) {
 				e.now = e.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			},
@@ -146,9 +146,9 @@
 }
 
 func TestFenceRange(t *testing.T) {
-	_, err := fence(1<<half, 1)
+	_, err := newFence(1<<halfBits, 1)
 	assert.Assert(t, IsErrRange(err))
-	f, err := fence(7, 9)
+	f, err := newFence(7, 9)
 	assert.NilError(t, err)
 	assert.Equal(t, f.Version(), uint64(7))
 	assert.Equal(t, f.String(), "30064771081")
--- a/order/error.go
+++ b/order/error.go
@@ -26,12 +26,12 @@
 
 // ErrBusy says that another order is being carried out; come back after Wait.
 type ErrBusy struct {
-	Order Order
-	Wait  time.Duration
+	Order      Order
+	RetryAfter time.Duration
 }
 
 func (e ErrBusy) Error() string {
-	return fmt.Sprintf("order: busy with %s %s, come back after %s", e.Order.Kind, e.Order.Name, e.Wait)
+	return fmt.Sprintf("order: busy with %s %s, come back after %s", e.Order.Kind, e.Order.Name, e.RetryAfter)
 }
 
 // IsErrBusy checks whether an error is an ErrBusy.
--- a/order/fence.go
+++ b/order/fence.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// tick is the unit of the lower half of a fencing number: at 64 a second
+	// tickDuration is the unit of the lower half of a fencing number: at 64 a second
 	// 32 bits last for two years of a host's uptime.
-	tick = time.Second / 64
-	// half is the bits of each half. A version of 32 bits leaves room for
+	tickDuration = time.Second / 64
+	// halfBits is the bits of each half. A version of 32 bits leaves room for
 	// operators who number publications by the seconds of the calendar.
-	half = 32
+	halfBits = 32
 )
 
 // Fence is a fencing number: the publication's version above the host's uptime
@@ -30,15 +30,15 @@
 func (f Fence) String() string { return strconv.FormatUint(uint64(f), 10) }
 
 // Version returns the publication's version that the number carries.
-func (f Fence) Version() uint64 { return uint64(f) >> half }
+func (f Fence) Version() uint64 { return uint64(f) >> halfBits }
 
 func (f Fence) ticks() uint64 { return uint64(f) & math.MaxUint32 }
 
-// fence joins a version and ticks; ErrRange when either does not fit. Cutting
+// newFence joins a version and ticks; ErrRange when either does not fit. Cutting
 // bits off would make a new order look old.
-func fence(version, ticks uint64) (Fence, error) {
+func newFence(version, ticks uint64) (Fence, error) {
 	if version > math.MaxUint32 || ticks > math.MaxUint32 {
 		return 0, ErrRange{Version: version, Ticks: ticks}
 	}
-	return Fence(version<<half | ticks), nil
+	return Fence(version<<halfBits | ticks), nil
 }
--- a/order/permit.go
+++ b/order/permit.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// DefaultWardens is how many agents hand out the loads of the weight store.
+	// DefaultPermitServers is how many agents hand out the loads of the weight store.
 	// Four survive the loss of any three, each loss costing a quarter of the
 	// rate; more would leave each too small a share to serve one target soon.
-	DefaultWardens = 4
-	// Settle is how long an agent that becomes a permit server waits before it hands
+	DefaultPermitServers = 4
+	// SettleTime is how long an agent that becomes a permit server waits before it hands
 	// anything out. An accepted publication is in force everywhere within
 	// seconds, so that its predecessor has stopped by then.
-	Settle = 10 * time.Second
-	// maxEach bounds the time for one permit, as a rate close to nothing would
+	SettleTime = 10 * time.Second
+	// maxPermitInterval bounds the time for one permit, as a rate close to nothing would
 	// overflow it and let everything go.
-	maxEach = 24 * time.Hour
+	maxPermitInterval = 24 * time.Hour
 )
 
-// Wardens picks k of the published targets, whose agents hand out the permits to
+// PermitServers picks k of the published targets, whose agents hand out the permits to
 // load weights. It depends on the publication alone and not on who is thought
 // alive, as host lists differ: two processes with the same publication always
 // name the same wardens. A target added or removed moves few of them.
-func Wardens(targets []string, k int) []string {
+func PermitServers(targets []string, k int) []string {
 	type scored struct {
 		name  string
 		score uint64
@@ -64,46 +64,46 @@
 	// Target is the target beside this agent.
 	Target string
 
-	rate  float64
-	spent time.Time // up to when what accrued has been spent
+	rate       float64
+	spentUntil time.Time // up to when what accrued has been spent
 }
 
-// Limit puts a publication in force: its targets, the loads a second of the whole
+// Configure puts a publication in force: its targets, the loads a second of the whole
 // fleet, and how many wardens share them.
-func (w *PermitServer) Limit(now time.Time, targets []string, loads float64, k int) {
+func (p *PermitServer) Configure(now time.Time, targets []string, loadsPerSecond float64, k int) {
 	rate := 0.0
-	if names := Wardens(targets, k); slices.Contains(names, w.Target) {
-		rate = loads / float64(len(names))
+	if names := PermitServers(targets, k); slices.Contains(names, p.Target) {
+		rate = loadsPerSecond / float64(len(names))
 	}
-	if rate == w.rate {
+	if rate == p.rate {
 		return
 	}
-	w.rate = rate
-	w.spent = now.Add(Settle)
+	p.rate = rate
+	p.spentUntil = now.Add(SettleTime)
 }
 
-// Permit lets one load go, whoever asks: what bounds the fleet is what each permit server
+// Grant lets one load go, whoever asks: what bounds the fleet is what each permit server
 // believes of itself. Otherwise it says when to ask again; 0 means not here, as
 // this agent is no permit server.
-func (w *PermitServer) Permit(now time.Time) (ok bool, wait time.Duration) {
-	if w.rate <= 0 {
+func (p *PermitServer) Grant(now time.Time) (ok bool, wait time.Duration) {
+	if p.rate <= 0 {
 		return false, 0
 	}
-	each := w.each()
+	interval := p.permitInterval()
 	// One permit may be saved up, no more: a longer quiet must not end in a
 	// burst that the store refuses.
-	if oldest := now.Add(-each); w.spent.Before(oldest) {
-		w.spent = oldest
+	if oldest := now.Add(-interval); p.spentUntil.Before(oldest) {
+		p.spentUntil = oldest
 	}
-	if next := w.spent.Add(each); now.Before(next) {
+	if next := p.spentUntil.Add(interval); now.Before(next) {
 		return false, next.Sub(now)
 	}
-	w.spent = w.spent.Add(each)
+	p.spentUntil = p.spentUntil.Add(interval)
 	return true, 0
 }
 
-// each is the time that one permit takes to accrue.
-func (w *PermitServer) each() time.Duration {
-	s := min(1/w.rate, maxEach.Seconds())
+// permitInterval is the time that one permit takes to accrue.
+func (p *PermitServer) permitInterval() time.Duration {
+	s := min(1/p.rate, maxPermitInterval.Seconds())
 	return time.Duration(s * float64(time.Second))
 }
--- a/order/permit_test.go
+++ b/order/permit_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	loads   = 2.0
-	wardens = 4
-	moment  = 100 * time.Millisecond
+	loadRate    = 2.0
+	serverCount = 4
+	stepTime    = 100 * time.Millisecond
 )
 
-// published are the targets of two publications that differ by two at each end.
-func published(version uint64) []string {
+// publishedTargets are the targets of two publications that differ by two at each end.
+func publishedTargets(version uint64) []string {
 	var all []string
 	for n := 2 * version; n < 2*version+8; n++ {
 		all = append(all, fmt.Sprint("t", n))
@@ -39,25 +39,25 @@
 func newStore() *store {
 	s := &store{now: script.Epoch}
 	for n := range s.agents {
-		s.start(n, 1)
+		s.startAgent(n, 1)
 	}
 	return s
 }
 
-// start makes an agent new and lets it learn a publication.
-func (s *store) start(n int, version uint64) {
+// startAgent makes an agent new and lets it learn a publication.
+func (s *store) startAgent(n int, version uint64) {
 	s.agents[n] = &PermitServer{Target: fmt.Sprint("t", n)}
-	s.learn(n, version)
+	s.configure(n, version)
 }
 
-func (s *store) learn(n int, version uint64) {
-	s.agents[n].Limit(s.now, published(version), loads, wardens)
+func (s *store) configure(n int, version uint64) {
+	s.agents[n].Configure(s.now, publishedTargets(version), loadRate, serverCount)
 }
 
-func (s *store) pass(d time.Duration) {
-	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(moment) {
+func (s *store) advance(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(stepTime) {
 		for _, a := range s.agents {
-			if ok, _ := a.Permit(s.now); ok {
+			if ok, _ := a.Grant(s.now); ok {
 				s.times = append(s.times, s.now)
 			}
 		}
@@ -66,13 +66,13 @@
 
 // excess is the most permits, over any stretch of time, above the fleet's rate.
 func (s *store) excess() float64 {
-	most, least := 0.0, 0.0
+	highest, lowest := 0.0, 0.0
 	for i, at := range s.times {
-		above := float64(i) - loads*at.Sub(s.times[0]).Seconds()
-		least = min(least, above)
-		most = max(most, above+1-least)
+		above := float64(i) - loadRate*at.Sub(s.times[0]).Seconds()
+		lowest = min(lowest, above)
+		highest = max(highest, above+1-lowest)
 	}
-	return most
+	return highest
 }
 
 // A publication spreads, and agents learn it at different moments and restart. If
@@ -81,17 +81,17 @@
 func TestLoadsStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
-		s.pass(20 * time.Second)
-		left := rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13}).Draw(t, "order")
-		for _, n := range left {
-			s.pass(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
-			s.learn(n, 2)
+		s.advance(20 * time.Second)
+		updateOrder := rapid.Permutation([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13}).Draw(t, "order")
+		for _, n := range updateOrder {
+			s.advance(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
+			s.configure(n, 2)
 			if rapid.Bool().Draw(t, "restart") {
-				s.start(left[0], 2)
+				s.startAgent(updateOrder[0], 2)
 			}
 		}
-		s.pass(20 * time.Second)
-		assert.Assert(t, s.excess() <= wardens, "%.1f permits above the rate", s.excess())
+		s.advance(20 * time.Second)
+		assert.Assert(t, s.excess() <= serverCount, "%.1f permits above the rate", s.excess())
 		assert.Assert(t, len(s.times) > 30, "only %d loads", len(s.times))
 	})
 }
@@ -102,27 +102,27 @@
 func TestPartitionBoundsTheExcess(t *testing.T) {
 	s := newStore()
 	for n := range s.agents {
-		s.start(n, 1+uint64(n%2))
+		s.startAgent(n, 1+uint64(n%2))
 	}
-	s.pass(110 * time.Second)
+	s.advance(110 * time.Second)
 	moved := 0
-	for _, name := range Wardens(published(2), wardens) {
-		if !slices.Contains(Wardens(published(1), wardens), name) {
+	for _, name := range PermitServers(publishedTargets(2), serverCount) {
+		if !slices.Contains(PermitServers(publishedTargets(1), serverCount), name) {
 			moved++
 		}
 	}
-	most := loads * 100 * (1 + float64(moved)/wardens)
-	t.Logf("100 s at %.0f loads a second, %d of %d wardens differ: %d loads, at most %.0f", loads, moved, wardens, len(s.times), most)
-	assert.Assert(t, float64(len(s.times)) <= most+wardens)
+	maxLoads := loadRate * 100 * (1 + float64(moved)/serverCount)
+	t.Logf("100 s at %.0f loads a second, %d of %d wardens differ: %d loads, at most %.0f", loadRate, moved, serverCount, len(s.times), maxLoads)
+	assert.Assert(t, float64(len(s.times)) <= maxLoads+serverCount)
 
 	naive := newStore()
 	r := rand.New(rand.NewSource(1))
 	for _, a := range naive.agents {
-		view := append(published(0), published(3)...)
+		view := append(publishedTargets(0), publishedTargets(3)...)
 		r.Shuffle(len(view), func(i, j int) { view[i], view[j] = view[j], view[i] })
-		a.Limit(naive.now, append(view[:6], a.Target), loads, wardens)
+		a.Configure(naive.now, append(view[:6], a.Target), loadRate, serverCount)
 	}
-	naive.pass(110 * time.Second)
+	naive.advance(110 * time.Second)
 	t.Logf("by each agent's own view of who is alive: %d loads", len(naive.times))
 	assert.Assert(t, len(naive.times) > 300)
 }
@@ -130,25 +130,25 @@
 // A quiet hour passes and then many targets start cold at once. What the wardens
 // saved up in that hour would flood the store; and so would a rate so close to
 // nothing that its overflow meant no limit.
-func TestQuietSavesOnePermit(t *testing.T) {
+func TestIdleSavesOnePermit(t *testing.T) {
 	w := &PermitServer{Target: "t"}
-	w.Limit(script.Epoch, []string{"t"}, loads, wardens)
+	w.Configure(script.Epoch, []string{"t"}, loadRate, serverCount)
 	now := script.Epoch.Add(time.Hour)
-	assert.Equal(t, burst(w, now), 1)
-	ok, wait := w.Permit(now)
+	assert.Equal(t, grantBurst(w, now), 1)
+	ok, wait := w.Grant(now)
 	assert.Assert(t, !ok && wait == time.Second/2)
-	w.Limit(now, []string{"t", "u"}, 2*loads, wardens)
-	assert.Equal(t, burst(w, now.Add(time.Second/2)), 1, "the same share in a new publication goes on")
-	w.Limit(now, []string{"t"}, 1e-30, wardens)
-	assert.Equal(t, burst(w, now.Add(2*maxEach)), 1)
-	w.Limit(now, []string{"t"}, 0, wardens)
-	assert.Equal(t, burst(w, now.Add(9*maxEach)), 0, "a rate of 0 lets nothing go")
+	w.Configure(now, []string{"t", "u"}, 2*loadRate, serverCount)
+	assert.Equal(t, grantBurst(w, now.Add(time.Second/2)), 1, "the same share in a new publication goes on")
+	w.Configure(now, []string{"t"}, 1e-30, serverCount)
+	assert.Equal(t, grantBurst(w, now.Add(2*maxPermitInterval)), 1)
+	w.Configure(now, []string{"t"}, 0, serverCount)
+	assert.Equal(t, grantBurst(w, now.Add(9*maxPermitInterval)), 0, "a rate of 0 lets nothing go")
 }
 
-func burst(w *PermitServer, now time.Time) int {
+func grantBurst(w *PermitServer, now time.Time) int {
 	n := 0
 	for range 100 {
-		if ok, _ := w.Permit(now); ok {
+		if ok, _ := w.Grant(now); ok {
 			n++
 		}
 	}
