--- a/ticket/issuer.go
+++ b/ticket/issuer.go
@@ -27,40 +27,40 @@
 
 // The events of the chart.
 const (
-	eventHold    = "hold"
-	eventRun     = "run"
-	eventRelease = "release"
-	eventKnow    = "know"
-	eventLose    = "lose"
-	eventUnsend  = "unsend"
-	eventDrop    = "drop"
-	eventReject  = "reject"
+	eventHold     = "hold"
+	eventRun      = "run"
+	eventRelease  = "release"
+	eventFinished = "know"
+	eventLost     = "lose"
+	eventUnsent   = "unsend"
+	eventDrop     = "drop"
+	eventReject   = "reject"
 )
 
 const (
-	// DefaultSlot is the length of a time slot. A shorter one forgets more
+	// DefaultSlotLength is the length of a time slot. A shorter one forgets more
 	// evenly; a longer one costs fewer maps.
-	DefaultSlot = time.Minute
-	// DefaultSlots is how many slots stay open: a ticket can be used for nine
+	DefaultSlotLength = time.Minute
+	// DefaultOpenSlots is how many slots stay open: a ticket can be used for nine
 	// to ten minutes, longer than any request's time limit and a caller's
 	// repeats after a restart of its own.
-	DefaultSlots = 10
-	// DefaultMost bounds the spent tickets that are remembered: 54 actions a
+	DefaultOpenSlots = 10
+	// DefaultMaxSpent bounds the spent tickets that are remembered: 54 actions a
 	// second over ten minutes. At 209 bytes for each they take 7 MB, and 9.4 MB
 	// with the longest request ids, a seventh of what a process may use.
-	DefaultMost = 1 << 15
-	// MaxRequest bounds a request's id in bytes, as it is part of what each
+	DefaultMaxSpent = 1 << 15
+	// MaxRequestID bounds a request's id in bytes, as it is part of what each
 	// spent ticket costs.
-	MaxRequest = 128
+	MaxRequestID = 128
 	// keySize is the size of the HMAC key in bytes, that of the hash's output.
 	keySize = 32
 	// incarnationSize is the size of a drawn incarnation in bytes: two
 	// processes drawing the same one is less likely than one in 10^18 pairs.
 	incarnationSize = 8
-	// maxHistory bounds what is remembered of closed slots: one bit for each
+	// maxClosedSlots bounds what is remembered of closed slots: one bit for each
 	// slot, so that a ticket which expired unused within the last 17 hours of
 	// one-minute slots can still be told "not run".
-	maxHistory = 1024
+	maxClosedSlots = 1024
 )
 
 // Issuer implements chestnutstep.Issuer for one agent incarnation. Set the fields
@@ -76,20 +76,20 @@
 	Key []byte
 	// Rand is the source of keys and nonces; crypto/rand when nil.
 	Rand io.Reader
-	// Slot is the length of a time slot; DefaultSlot when 0.
-	Slot time.Duration
-	// Slots is how many slots stay open; DefaultSlots when 0.
-	Slots int
-	// Most bounds the spent tickets that are remembered; DefaultMost when 0.
-	Most int
+	// SlotLength is the length of a time slot; DefaultSlot when 0.
+	SlotLength time.Duration
+	// OpenSlots is how many slots stay open; DefaultSlots when 0.
+	OpenSlots int
+	// MaxSpent bounds the spent tickets that are remembered; DefaultMost when 0.
+	MaxSpent int
 
-	started time.Time
-	slot    uint64
-	slots   map[uint64]*slot
-	ran     map[uint64]bool
-	oldest  uint64
-	spent   int
-	shares  map[string]int
+	startedAt        time.Time
+	currentSlot      uint64
+	slots            map[uint64]*slot
+	slotsWithRuns    map[uint64]bool
+	oldestSlot       uint64
+	spentCount       int
+	spentByWorkspace map[string]int
 }
 
 var _ chestnutstep.Issuer = (*Issuer)(nil)
@@ -106,42 +106,42 @@
 	workspace string
 }
 
-func (b *Issuer) start(now time.Time) {
+func (b *Issuer) prepare(now time.Time) {
 	if b.slots != nil {
 		b.advance(now)
 		return
 	}
-	b.defaults()
-	b.started = now
+	b.setDefaults()
+	b.startedAt = now
 	b.slots = map[uint64]*slot{}
-	b.ran = map[uint64]bool{}
-	b.shares = map[string]int{}
+	b.slotsWithRuns = map[uint64]bool{}
+	b.spentByWorkspace = map[string]int{}
 }
 
-func (b *Issuer) defaults() {
+func (b *Issuer) setDefaults() {
 	if b.Rand == nil {
 		b.Rand = rand.Reader
 	}
-	if b.Slot <= 0 {
-		b.Slot = DefaultSlot
+	if b.SlotLength <= 0 {
+		b.SlotLength = DefaultSlotLength
 	}
-	if b.Slots <= 0 {
-		b.Slots = DefaultSlots
+	if b.OpenSlots <= 0 {
+		b.OpenSlots = DefaultOpenSlots
 	}
-	if b.Most <= 0 {
-		b.Most = DefaultMost
+	if b.MaxSpent <= 0 {
+		b.MaxSpent = DefaultMaxSpent
 	}
 	if b.Incarnation == "" {
-		b.Incarnation = hex.EncodeToString(b.draw(incarnationSize))
+		b.Incarnation = hex.EncodeToString(b.randomBytes(incarnationSize))
 	}
 	if b.Key == nil {
-		b.Key = b.draw(keySize)
+		b.Key = b.randomBytes(keySize)
 	}
 }
 
-// draw reads random bytes. An issuer without randomness can't sign anything that
+// randomBytes reads random bytes. An issuer without randomness can't sign anything that
 // a caller could not forge, so that the process has to stop.
-func (b *Issuer) draw(n int) []byte {
+func (b *Issuer) randomBytes(n int) []byte {
 	p := make([]byte, n)
 	if _, err := io.ReadFull(b.Rand, p); err != nil {
 		panic("ticket: no randomness: " + err.Error())
@@ -153,15 +153,15 @@
 // mints costs the time of its HMACs and no memory. It returns none for names
 // that don't fit a token.
 func (b *Issuer) Mint(now time.Time, workspace string, n int) []string {
-	b.start(now)
+	b.prepare(now)
 	if len(workspace) > maxName || len(b.Target) > maxName || len(b.Incarnation) > maxName {
 		return nil
 	}
 	tokens := make([]string, 0, max(n, 0))
 	for range n {
 		c := claim{
-			target: b.Target, incarnation: b.Incarnation, slot: b.slot, workspace: workspace,
-			nonce: nonce(b.draw(nonceSize)),
+			target: b.Target, incarnation: b.Incarnation, slot: b.currentSlot, workspace: workspace,
+			nonce: nonce(b.randomBytes(nonceSize)),
 		}
 		tokens = append(tokens, c.token(b.Key))
 	}
@@ -174,38 +174,38 @@
 // RunNo is only said where it is final. A held ticket answers RunMaybe, as it
 // may run the moment after.
 func (b *Issuer) Hold(now time.Time, token, workspace, request string) chestnutstep.TicketStatus {
-	b.start(now)
-	c, reason := b.check(token, workspace)
+	b.prepare(now)
+	c, reason := b.verify(token, workspace)
 	if reason != "" {
 		return b.reject(c, reason)
 	}
-	r, ok := b.find(c)
+	r, ok := b.findRecord(c)
 	if ok {
-		return repeat(r, request)
+		return repeatStatus(r, request)
 	}
-	if b.closed(c.slot) {
+	if b.isClosed(c.slot) {
 		return b.reject(c, chestnutstep.ReasonExpired)
 	}
-	if len(request) > MaxRequest {
+	if len(request) > MaxRequestID {
 		return b.reject(c, chestnutstep.ReasonHeader)
 	}
-	if reason = b.room(workspace); reason != "" {
-		return b.busy(reason)
+	if reason = b.checkCapacity(workspace); reason != "" {
+		return b.rejectFull(reason)
 	}
 	r = record{state: chestnutstep.TicketFresh, request: strings.Clone(request), workspace: c.workspace}
-	b.move(c, &r, eventHold)
-	return stub(r)
+	b.transition(c, &r, eventHold)
+	return newStatus(r)
 }
 
 // Start marks a held ticket as handed to the target. It is the one step that lets
 // an action run, and its chart has no way back to held.
 func (b *Issuer) Start(now time.Time, token string) bool {
-	b.start(now)
+	b.prepare(now)
 	c, r, ok := b.lookup(token)
-	if !ok || !b.move(c, &r, eventRun) {
+	if !ok || !b.transition(c, &r, eventRun) {
 		return false
 	}
-	b.ran[c.slot] = true
+	b.slotsWithRuns[c.slot] = true
 	return true
 }
 
@@ -213,21 +213,21 @@
 // hold it again. The agent may not say "not run" after it, as an offer that is
 // still on its way would make that false: Drop is for that.
 func (b *Issuer) Release(now time.Time, token string) {
-	b.start(now)
+	b.prepare(now)
 	if c, r, ok := b.lookup(token); ok {
-		b.move(c, &r, eventRelease)
+		b.transition(c, &r, eventRelease)
 	}
 }
 
 // Finish ends a running ticket; known says whether the outcome is known.
 func (b *Issuer) Finish(now time.Time, token string, known bool) {
-	b.start(now)
-	event := eventLose
+	b.prepare(now)
+	event := eventLost
 	if known {
-		event = eventKnow
+		event = eventFinished
 	}
 	if c, r, ok := b.lookup(token); ok {
-		b.move(c, &r, event)
+		b.transition(c, &r, event)
 	}
 }
 
@@ -236,38 +236,38 @@
 // this process: without it a target that is down would leave every action's
 // outcome unknown, and callers would have to ask people.
 func (b *Issuer) MarkUnsent(now time.Time, token string) chestnutstep.TicketStatus {
-	b.start(now)
+	b.prepare(now)
 	c, r, ok := b.lookup(token)
 	if !ok {
 		return b.reject(c, chestnutstep.ReasonForged)
 	}
-	b.move(c, &r, eventUnsend)
-	return stub(r)
+	b.transition(c, &r, eventUnsent)
+	return newStatus(r)
 }
 
 // Drop writes a tombstone when the ticket has not run, and says the truth.
 func (b *Issuer) Drop(now time.Time, token, workspace string) chestnutstep.TicketStatus {
-	b.start(now)
-	c, reason := b.check(token, workspace)
+	b.prepare(now)
+	c, reason := b.verify(token, workspace)
 	if reason != "" {
 		return b.reject(c, reason)
 	}
-	r, ok := b.find(c)
-	if !ok && b.closed(c.slot) {
+	r, ok := b.findRecord(c)
+	if !ok && b.isClosed(c.slot) {
 		return b.reject(c, chestnutstep.ReasonExpired)
 	}
 	if !ok {
-		if reason = b.room(workspace); reason != "" {
-			return b.busy(reason)
+		if reason = b.checkCapacity(workspace); reason != "" {
+			return b.rejectFull(reason)
 		}
 		r = record{state: chestnutstep.TicketFresh, workspace: c.workspace}
 	}
-	b.move(c, &r, eventDrop)
-	return stub(r)
+	b.transition(c, &r, eventDrop)
+	return newStatus(r)
 }
 
-// check verifies that this incarnation minted a token for the workspace.
-func (b *Issuer) check(token, workspace string) (claim, chestnutstep.Reason) {
+// verify verifies that this incarnation minted a token for the workspace.
+func (b *Issuer) verify(token, workspace string) (claim, chestnutstep.Reason) {
 	c, body, mac, ok := parse(token)
 	if !ok || c.target != b.Target {
 		return c, chestnutstep.ReasonForged
@@ -287,6 +287,6 @@
 	if !ok || c.incarnation != b.Incarnation || !hmac.Equal(mac, sign(b.Key, body)) {
 		return claim{}, record{}, false
 	}
-	r, ok := b.find(c)
+	r, ok := b.findRecord(c)
 	return c, r, ok
 }
--- a/ticket/issuer_test.go
+++ b/ticket/issuer_test.go
@@ -22,30 +22,30 @@
 // with what goes wrong without the rule that it checks.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/issuer", func(t *testing.T, path string) {
-		p := &player{tokens: map[string]string{}, now: script.Epoch}
+		p := &scriptRunner{tokens: map[string]string{}, now: script.Epoch}
 		p.restart()
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
-			return script.Play(d.Input, &p.now, p.step)
+			return script.Play(d.Input, &p.now, p.runCommand)
 		})
 	})
 }
 
-type player struct {
-	issuer *Issuer
-	lives  int
-	now    time.Time
-	tokens map[string]string
+type scriptRunner struct {
+	issuer       *Issuer
+	incarnations int
+	now          time.Time
+	tokens       map[string]string
 }
 
-func (p *player) restart() {
-	p.lives++
+func (p *scriptRunner) restart() {
+	p.incarnations++
 	p.issuer = &Issuer{
-		Target: "bay-1", Incarnation: fmt.Sprint("life-", p.lives), Slots: 2, Most: 6,
-		Rand: rand.New(rand.NewSource(int64(p.lives))),
+		Target: "bay-1", Incarnation: fmt.Sprint("life-", p.incarnations), OpenSlots: 2, MaxSpent: 6,
+		Rand: rand.New(rand.NewSource(int64(p.incarnations))),
 	}
 }
 
-func (p *player) step(f []string) string {
+func (p *scriptRunner) runCommand(f []string) string {
 	f = append(f, "", "", "")
 	token := p.tokens[f[1]]
 	switch f[0] {
@@ -56,11 +56,11 @@
 	case "tear":
 		p.tokens[f[1]] = token[:len(token)-2] + "AA"
 	case "hold":
-		return say(p.issuer.Hold(p.now, token, f[2], f[3]))
+		return describe(p.issuer.Hold(p.now, token, f[2], f[3]))
 	case "drop":
-		return say(p.issuer.Drop(p.now, token, f[2]))
+		return describe(p.issuer.Drop(p.now, token, f[2]))
 	case "unsent":
-		return say(p.issuer.MarkUnsent(p.now, token))
+		return describe(p.issuer.MarkUnsent(p.now, token))
 	case "run":
 		return strconv.FormatBool(p.issuer.Start(p.now, token))
 	case "release":
@@ -72,42 +72,42 @@
 	default:
 		return "unknown command"
 	}
-	return fmt.Sprintf("%d remembered", p.issuer.spent)
+	return fmt.Sprintf("%d remembered", p.issuer.spentCount)
 }
 
-func say(s chestnutstep.TicketStatus) string {
+func describe(s chestnutstep.TicketStatus) string {
 	return strings.TrimSpace(fmt.Sprintf("%s, run %s %s", s.State, s.Run, s.Reason))
 }
 
 // A caller asks for tickets without end, or holds all that it gets. An operator
 // would see the agent grow until it is killed, and with it lose the outcome of
 // every booking that it remembers.
-func TestFloodKeepsTheBound(t *testing.T) {
-	b := &Issuer{Target: "bay-1", Most: 1000, Rand: rand.New(rand.NewSource(1))}
+func TestFloodStaysBounded(t *testing.T) {
+	b := &Issuer{Target: "bay-1", MaxSpent: 1000, Rand: rand.New(rand.NewSource(1))}
 	b.Mint(script.Epoch, "brand", 5000)
-	assert.Equal(t, b.spent, 0, "minting stored something")
+	assert.Equal(t, b.spentCount, 0, "minting stored something")
 	for i, token := range b.Mint(script.Epoch, "brand", 5000) {
 		b.Hold(script.Epoch, token, "brand", strconv.Itoa(i))
 		if b.Start(script.Epoch, token) {
 			b.Finish(script.Epoch, token, true)
 		}
 	}
-	assert.Equal(t, b.spent, 500, "one workspace takes half at most")
+	assert.Equal(t, b.spentCount, 500, "one workspace takes half at most")
 	for _, token := range b.Mint(script.Epoch, "small", 100) {
-		stub := b.Hold(script.Epoch, token, "small", "r")
-		assert.Equal(t, stub.State, chestnutstep.TicketHeld, "a small workspace was crowded out")
+		status := b.Hold(script.Epoch, token, "small", "r")
+		assert.Equal(t, status.State, chestnutstep.TicketHeld, "a small workspace was crowded out")
 	}
-	b.Mint(script.Epoch.Add(DefaultSlot*DefaultSlots), "brand", 1)
-	assert.Equal(t, b.spent, 100, "held tickets stay, all others are forgotten")
+	b.Mint(script.Epoch.Add(DefaultSlotLength*DefaultOpenSlots), "brand", 1)
+	assert.Equal(t, b.spentCount, 100, "held tickets stay, all others are forgotten")
 }
 
 // BenchmarkHoldRunDone prints the cost of one action, and what it costs to
 // remember it, with common and with the longest request ids.
 func BenchmarkHoldRunDone(b *testing.B) {
-	for _, size := range []int{36, MaxRequest} {
+	for _, size := range []int{36, MaxRequestID} {
 		b.Run(fmt.Sprint("id=", size), func(b *testing.B) {
 			id := strings.Repeat("r", size)
-			issuer := &Issuer{Target: "bay-service-1", Most: 1 << 30}
+			issuer := &Issuer{Target: "bay-service-1", MaxSpent: 1 << 30}
 			tokens := issuer.Mint(script.Epoch, "darkroom", b.N)
 			before := script.Heap()
 			b.ResetTimer()
--- a/ticket/model_test.go
+++ b/ticket/model_test.go
@@ -19,89 +19,89 @@
 	actions = 4
 )
 
-// truth is the naive model of one ticket: it remembers everything for ever.
-type truth struct {
-	token   string
-	action  int
-	target  int
-	life    int
-	slot    int
-	state   chestnutstep.TicketState
-	request string
-	runs    int
-	saidNo  bool
+// modelTicket is the naive model of one ticket: it remembers everything for ever.
+type modelTicket struct {
+	token          string
+	action         int
+	target         int
+	incarnation    int
+	slot           int
+	state          chestnutstep.TicketState
+	request        string
+	runs           int
+	reportedNotRun bool
 }
 
 // agent is one issuer with what the model knows of it.
 type agent struct {
-	issuer *Issuer
-	life   int
-	slot   int
+	issuer      *Issuer
+	incarnation int
+	slot        int
 }
 
 // offer is an action on its way, in each scheme. It stays in flight when it is
 // delivered, so that it may come late, twice and in any order.
 type offer struct {
-	*truth
+	*modelTicket
 	homes [2]int
 }
 
-// world plays callers, entries and agents, and the naive schemes beside them.
-type world struct {
-	now    time.Time
-	agents [targets]*agent
-	all    []*truth
-	holds  [actions]*truth // what each action's caller holds
-	flight []offer
-	runs   [actions]int
-	naive  [2]keyed
+// simulation plays callers, entries and agents, and the naive schemes beside them.
+type simulation struct {
+	now         time.Time
+	agents      [targets]*agent
+	tickets     []*modelTicket
+	heldTickets [actions]*modelTicket // what each action's caller holds
+	inFlight    []offer
+	runs        [actions]int
+	naive       [2]naiveScheme
 }
 
-func (w *world) restart(target int) {
-	life := 1
+func (w *simulation) restart(target int) {
+	incarnation := 1
 	if a := w.agents[target]; a != nil {
-		life = a.life + 1
+		incarnation = a.incarnation + 1
 	}
 	b := &Issuer{
-		Target: fmt.Sprint(target), Incarnation: fmt.Sprint(life), Slots: 2,
-		Rand: rand.New(rand.NewSource(int64(life*targets + target))),
+		Target: fmt.Sprint(target), Incarnation: fmt.Sprint(incarnation), OpenSlots: 2,
+		Rand: rand.New(rand.NewSource(int64(incarnation*targets + target))),
 	}
-	b.start(w.now)
-	w.agents[target] = &agent{issuer: b, life: life}
+	b.prepare(w.now)
+	w.agents[target] = &agent{issuer: b, incarnation: incarnation}
 	for i := range w.naive {
 		w.naive[i].restart(target)
 	}
 }
 
-func (w *world) mint(t *rapid.T, action int) {
+func (w *simulation) mint(t *rapid.T, action int) {
 	target := rapid.IntRange(0, targets-1).Draw(t, "target")
 	a := w.agents[target]
-	w.holds[action] = &truth{
+	w.heldTickets[action] = &modelTicket{
 		token: a.issuer.Mint(w.now, "brand", 1)[0], action: action, target: target,
-		life: a.life, slot: a.slot, state: chestnutstep.TicketFresh,
+		incarnation: a.incarnation, slot: a.slot, state: chestnutstep.TicketFresh,
 	}
-	w.all = append(w.all, w.holds[action])
+	w.tickets = append(w.tickets, w.heldTickets[action])
 }
 
-// pick draws any ticket that was ever minted.
-func (w *world) pick(t *rapid.T) (*truth, *Issuer) {
-	if len(w.all) == 0 {
+// drawTicket draws any ticket that was ever minted.
+func (w *simulation) drawTicket(t *rapid.T) (*modelTicket, *Issuer) {
+	if len(w.tickets) == 0 {
 		w.mint(t, 0)
 	}
-	a := rapid.SampledFrom(w.all).Draw(t, "ticket")
+	a := rapid.SampledFrom(w.tickets).Draw(t, "ticket")
 	return a, w.agents[a.target].issuer
 }
 
-// known says whether the issuer must still know the ticket's state.
-func (w *world) known(a *truth) bool {
+// isKnown says whether the issuer must still know the ticket's state.
+func (w *simulation) isKnown(a *modelTicket) bool {
 	at := w.agents[a.target]
 	live := a.state == chestnutstep.TicketHeld || a.state == chestnutstep.TicketRunning
-	return a.life == at.life && (live || at.slot-a.slot < at.issuer.Slots)
+	return a.incarnation == at.incarnation && (live || at.slot-a.slot < at.issuer.OpenSlots)
 }
 
-// hear checks an answer against the truth. Its caller, if the answer reaches it,
+// checkStatus checks an answer against the truth. Its caller, if the answer reaches it,
 // takes a "not run" for leave to ask for a fresh ticket.
-func (w *world) hear(t *rapid.T, a *truth, known bool, s chestnutstep.TicketStatus) {
+func (w *simulation) checkStatus(t *rapid.T, a *modelTicket, known bool, s chestnutstep.TicketStatus) {
 	want := chestnutstep.TicketInvalid
 	if known {
 		want = a.state
@@ -112,51 +112,51 @@
 		return
 	}
 	assert.Equal(t, a.runs, 0, "said not run of what ran")
-	a.saidNo = true
-	if a == w.holds[a.action] && rapid.Bool().Draw(t, "heard") {
+	a.reportedNotRun = true
+	if a == w.heldTickets[a.action] && rapid.Bool().Draw(t, "heard") {
 		w.mint(t, a.action)
 	}
 }
 
-func (w *world) send(t *rapid.T) {
+func (w *simulation) send(t *rapid.T) {
 	action := rapid.IntRange(0, actions-1).Draw(t, "action")
 	entry := rapid.IntRange(0, entries-1).Draw(t, "entry")
-	if w.holds[action] == nil {
+	if w.heldTickets[action] == nil {
 		w.mint(t, action)
 	}
 	homes := [2]int{w.naive[0].send(action, entry), w.naive[1].send(action, entry)}
-	w.flight = append(w.flight, offer{w.holds[action], homes})
+	w.inFlight = append(w.inFlight, offer{w.heldTickets[action], homes})
 }
 
-func (w *world) deliver(t *rapid.T) {
-	if len(w.flight) == 0 {
+func (w *simulation) deliver(t *rapid.T) {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	o := rapid.SampledFrom(w.flight).Draw(t, "offer")
+	o := rapid.SampledFrom(w.inFlight).Draw(t, "offer")
 	for i := range w.naive {
 		w.naive[i].deliver(o.action, o.homes[i])
 	}
 	request := rapid.SampledFrom([]string{"r1", "r1", "r2"}).Draw(t, "request")
-	a := o.truth
-	if w.known(a) && a.state == chestnutstep.TicketFresh {
+	a := o.modelTicket
+	if w.isKnown(a) && a.state == chestnutstep.TicketFresh {
 		a.state, a.request = chestnutstep.TicketHeld, request
 	}
 	s := w.agents[a.target].issuer.Hold(w.now, a.token, "brand", request)
-	spent := w.known(a) && a.state != chestnutstep.TicketDropped && a.request != request
+	spent := w.isKnown(a) && a.state != chestnutstep.TicketDropped && a.request != request
 	assert.Equal(t, s.Reason == chestnutstep.ReasonSpent, spent)
-	w.hear(t, a, w.known(a), s)
+	w.checkStatus(t, a, w.isKnown(a), s)
 	if rapid.Bool().Draw(t, "run at once") {
 		w.start(t, a)
 	}
 }
 
-func (w *world) run(t *rapid.T) {
-	a, _ := w.pick(t)
+func (w *simulation) run(t *rapid.T) {
+	a, _ := w.drawTicket(t)
 	w.start(t, a)
 }
 
-func (w *world) start(t *rapid.T, a *truth) {
-	want := a.life == w.agents[a.target].life && a.state == chestnutstep.TicketHeld
+func (w *simulation) start(t *rapid.T, a *modelTicket) {
+	want := a.incarnation == w.agents[a.target].incarnation && a.state == chestnutstep.TicketHeld
 	assert.Equal(t, w.agents[a.target].issuer.Start(w.now, a.token), want)
 	if !want {
 		return
@@ -164,14 +164,14 @@
 	a.runs++
 	w.runs[a.action]++
 	a.state = chestnutstep.TicketRunning
-	assert.Assert(t, w.runs[a.action] == 1 && !a.saidNo, "ran twice, or after a not run")
+	assert.Assert(t, w.runs[a.action] == 1 && !a.reportedNotRun, "ran twice, or after a not run")
 }
 
-// quit ends a run or a hold: with an outcome or without, as its connection was
+// finish ends a run or a hold: with an outcome or without, as its connection was
 // refused, or by giving it back.
-func (w *world) quit(t *rapid.T) {
-	a, b := w.pick(t)
-	known, from := w.known(a), a.state
+func (w *simulation) finish(t *rapid.T) {
+	a, b := w.drawTicket(t)
+	known, from := w.isKnown(a), a.state
 	switch how := rapid.SampledFrom([]string{"known", "lost", "unsent", "release"}).Draw(t, "how"); how {
 	case "release":
 		b.Release(w.now, a.token)
@@ -185,7 +185,7 @@
 			w.runs[a.action]--
 		}
 		if s := b.MarkUnsent(w.now, a.token); known && from != chestnutstep.TicketFresh {
-			w.hear(t, a, known, s)
+			w.checkStatus(t, a, known, s)
 		}
 	default:
 		b.Finish(w.now, a.token, how == "known")
@@ -197,38 +197,38 @@
 	}
 }
 
-func (w *world) drop(t *rapid.T) {
-	a, b := w.pick(t)
-	known := w.known(a)
+func (w *simulation) drop(t *rapid.T) {
+	a, b := w.drawTicket(t)
+	known := w.isKnown(a)
 	if known && (a.state == chestnutstep.TicketFresh || a.state == chestnutstep.TicketHeld) {
 		a.state = chestnutstep.TicketDropped
 	}
-	w.hear(t, a, known, b.Drop(w.now, a.token, "brand"))
+	w.checkStatus(t, a, known, b.Drop(w.now, a.token, "brand"))
 }
 
-// pass moves the clock, as time or a freeze does. It may go back, as it would
+// advanceClock moves the clock, as time or a freeze does. It may go back, as it would
 // where the time is taken from a wall clock by mistake.
-func (w *world) pass(t *rapid.T) {
-	d := rapid.SampledFrom([]time.Duration{0, time.Second, time.Second, DefaultSlot / 2, time.Hour, -DefaultSlot}).Draw(t, "pass")
+func (w *simulation) advanceClock(t *rapid.T) {
+	d := rapid.SampledFrom([]time.Duration{0, time.Second, time.Second, DefaultSlotLength / 2, time.Hour, -DefaultSlotLength}).Draw(t, "pass")
 	w.now = w.now.Add(d)
 	for _, a := range w.agents {
-		a.issuer.start(w.now)
-		a.slot = max(a.slot, int(w.now.Sub(a.issuer.started)/DefaultSlot))
+		a.issuer.prepare(w.now)
+		a.slot = max(a.slot, int(w.now.Sub(a.issuer.startedAt)/DefaultSlotLength))
 	}
 	for i := range w.naive {
 		w.naive[i].now += max(0, d)
 	}
 }
 
-// upset restarts an agent, or changes a host list and sets a clock wrong.
-func (w *world) upset(t *rapid.T) {
+// injectFault restarts an agent, or changes a host list and sets a clock wrong.
+func (w *simulation) injectFault(t *rapid.T) {
 	target := rapid.IntRange(0, targets-1).Draw(t, "target")
 	entry := rapid.IntRange(0, 2*entries-1).Draw(t, "entry")
 	if entry >= entries {
 		w.restart(target)
 		return
 	}
-	w.naive[0].gone[entry][target] = !w.naive[0].gone[entry][target]
+	w.naive[0].unreachable[entry][target] = !w.naive[0].unreachable[entry][target]
 	w.naive[1].skew[target] = time.Duration(rapid.IntRange(-5, 5).Draw(t, "skew")) * time.Second
 }
 
@@ -240,21 +240,21 @@
 func TestAtMostOnce(t *testing.T) {
 	var schedules, ran, hash, stamp int
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: script.Epoch}
+		w := &simulation{now: script.Epoch}
 		w.naive[1].stamped = true
 		for i := range w.agents {
 			w.restart(i)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"send": w.send, "deliver": w.deliver, "deliver again": w.deliver, "run": w.run, "run again": w.run,
-			"quit": w.quit, "drop": w.drop, "pass": w.pass, "upset": w.upset,
+			"quit": w.finish, "drop": w.drop, "pass": w.advanceClock, "upset": w.injectFault,
 		})
 		schedules++
 		for _, n := range w.runs {
 			ran += n
 		}
-		hash += doubled(w.naive[0].runs)
-		stamp += doubled(w.naive[1].runs)
+		hash += countRepeated(w.naive[0].runs)
+		stamp += countRepeated(w.naive[1].runs)
 	})
 	t.Logf("%d schedules of %d actions: %d ran by ticket, none twice; by key hash %d ran twice, by time stamp %d",
 		schedules, actions, ran, hash, stamp)
--- a/ticket/stub.go
+++ b/ticket/stub.go
@@ -2,8 +2,8 @@
 
 import "chestnutstep.example/chestnutstep"
 
-// stub tells what a record says.
-func stub(r record) chestnutstep.TicketStatus {
+// newStatus tells what a record says.
+func newStatus(r record) chestnutstep.TicketStatus {
 	s := chestnutstep.TicketStatus{State: r.state, RequestID: r.request}
 	switch r.state {
 	case chestnutstep.TicketDropped:
@@ -17,12 +17,12 @@
 	return s
 }
 
-// repeat answers a Hold that finds a record. A request with another id hears
+// repeatStatus answers a Hold that finds a record. A request with another id hears
 // what became of the ticket's action rather than a "not run" of its own: a
 // caller that repeats an action under a new id would take that for leave to
 // run it again.
-func repeat(r record, request string) chestnutstep.TicketStatus {
-	s := stub(r)
+func repeatStatus(r record, request string) chestnutstep.TicketStatus {
+	s := newStatus(r)
 	if r.state != chestnutstep.TicketDropped && r.request != request {
 		s.Reason = chestnutstep.ReasonSpent
 	}
@@ -40,16 +40,16 @@
 	s := chestnutstep.TicketStatus{
 		State: chestnutstep.TicketState(state), Reason: reason, Run: chestnutstep.RunMaybe,
 	}
-	if reason == chestnutstep.ReasonExpired && c.slot >= b.oldest && !b.ran[c.slot] {
+	if reason == chestnutstep.ReasonExpired && c.slot >= b.oldestSlot && !b.slotsWithRuns[c.slot] {
 		s.Run = chestnutstep.RunNo
 	}
 	return s
 }
 
-// busy turns a fresh ticket away for want of memory. It says "maybe", as there
+// rejectFull turns a fresh ticket away for want of memory. It says "maybe", as there
 // is no room for the tombstone that would make "not run" true for ever: an
 // offer that was delayed on its way may still come. The ticket stays good.
-func (b *Issuer) busy(reason chestnutstep.Reason) chestnutstep.TicketStatus {
+func (b *Issuer) rejectFull(reason chestnutstep.Reason) chestnutstep.TicketStatus {
 	return chestnutstep.TicketStatus{
 		State: chestnutstep.TicketFresh, Reason: reason, Run: chestnutstep.RunMaybe,
 	}
--- a/ticket/token.go
+++ b/ticket/token.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// format is the first byte of a token, so that a later form can be told
+	// tokenVersion is the first byte of a token, so that a later form can be told
 	// from this one while processes of both versions run.
-	format = 1
+	tokenVersion = 1
 	// nonceSize makes a collision of two nonces in one slot negligible: with a
 	// million tickets in a slot it is less likely than one in 10^16.
 	nonceSize = 12
@@ -38,10 +38,10 @@
 	workspace   string
 }
 
-func (c claim) body() []byte {
+func (c claim) encode() []byte {
 	b := make([]byte, 0, 4+len(c.target)+len(c.incarnation)+len(c.workspace)+
 		binary.MaxVarintLen64+nonceSize+macSize)
-	b = append(b, format)
+	b = append(b, tokenVersion)
 	b = appendName(b, c.target)
 	b = appendName(b, c.incarnation)
 	b = binary.AppendUvarint(b, c.slot)
@@ -61,7 +61,7 @@
 }
 
 func (c claim) token(key []byte) string {
-	b := c.body()
+	b := c.encode()
 	b = append(b, sign(key, b)...)
 	return base64.RawURLEncoding.EncodeToString(b)
 }
@@ -78,7 +78,7 @@
 	}
 	body, mac = b[:len(b)-macSize], b[len(b)-macSize:]
 	r := reader{b: body, ok: true}
-	if r.byte() != format {
+	if r.byte() != tokenVersion {
 		return claim{}, nil, nil, false
 	}
 	c.target = r.name()
--- a/ticket/token_test.go
+++ b/ticket/token_test.go
@@ -25,7 +25,7 @@
 		if !ok {
 			return
 		}
-		assert.Equal(t, string(c.body()), string(body))
+		assert.Equal(t, string(c.encode()), string(body))
 		if token != minted {
 			stub := b.Hold(script.Epoch, token, "brand", "r")
 			assert.Equal(t, stub.State, chestnutstep.TicketInvalid)
