--- a/retry/verdicts.go
+++ b/retry/verdicts.go
@@ -38,14 +38,14 @@
 // confirmed twice shows as two people before one door. Each further target
 // counts against the route's tries. One that could not be reached does not, but
 // with unreachedMost of them the fault is more likely on this side.
-func (a *Attempts) CanRetry(idempotent bool, maxAttempts int) bool {
+func (a *Attempts) CanRetry(idempotent bool, limit int) bool {
 	if !idempotent && !a.NotRun() || a.Unreached >= maxUnreached {
 		return false
 	}
 	if a.NotRun() {
-		maxAttempts = max(maxAttempts, maxNotRun)
+		limit = max(limit, maxNotRun)
 	}
-	return a.Sent < maxAttempts
+	return a.Sent < limit
 }
 
 const (
