--- a/crash/bound.go
+++ b/crash/bound.go
@@ -8,9 +8,9 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// evictExcess drops expired suspicions and then the least useful above the limit:
-// first what is not condemned, the oldest first. Without a limit a caller whose
-// requests all differ could fill the memory by crashing targets.
+// evictExcess removes expired suspicions. Above MaxSuspicions it also removes the least useful
+// ones: suspicions that are not condemned first, oldest first. Without a limit, a caller whose
+// requests all differ could exhaust the memory by crashing targets.
 func (d *Detector) evictExcess(now time.Time) {
 	for fingerprint := range d.suspicions {
 		d.find(now, fingerprint)
@@ -41,8 +41,8 @@
 	return 0
 }
 
-// servedCache keeps the fingerprints that were served last, the oldest of which
-// falls out when a new one comes.
+// servedCache holds the fingerprints that were served most recently, up to capacity. A new
+// fingerprint evicts the one that was added first.
 type servedCache struct {
 	capacity int
 	servedAt map[uint64]time.Time
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) { script.Main(m, 5000) }
 
-// The scripts in testdata/detector play crashes at a few targets; each opens with
-// what callers notice.
+// TestScripts runs the scripts in testdata/detector, which simulate crashes on a few targets. Each
+// script begins with the effect that callers see.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/detector", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
@@ -84,8 +84,9 @@
 	}
 }
 
-// Suspicions cross on their way, come twice and come late. If the order mattered,
-// one agent would serve what another has condemned.
+// TestMergeIsASemilattice guards against agents that disagree about a content. Suspicions arrive
+// late, twice and out of order; if the order mattered, one agent would serve a content that another
+// one has condemned.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawSuspicion(t), drawSuspicion(t), drawSuspicion(t)
@@ -95,13 +96,13 @@
 	})
 }
 
-// crashSim sends one request that crashes every target again and again, beside
-// popular ones that all targets have served.
+// crashSim repeatedly sends one request that crashes every target, together with popular requests
+// that all targets have already served.
 type crashSim struct {
 	r         *rand.Rand
 	now       time.Time
 	detectors []*Detector
-	delayed   []chestnutstep.Suspicion // news that come after the next offer
+	delayed   []chestnutstep.Suspicion // suspicions that are merged after the next offer
 	crashed   map[string]bool
 }
 
@@ -123,17 +124,17 @@
 	return o
 }
 
-// offer sends the bad request to any target; blind ignores what its detector says,
-// slow delays the news of the crash by one offer.
+// offer sends the crashing request to a random target. ignoreDetector sends it even if the detector
+// has condemned it; delayReports delays the report of the crash by one offer.
 func (o *crashSim) offer(ignoreDetector, delayReports bool) {
 	d := o.detectors[o.r.Intn(len(o.detectors))]
 	o.now = o.now.Add(time.Second)
 	reports := o.delayed
 	o.delayed = nil
-	judgement := d.Check(o.now, poison)
-	if ignoreDetector || judgement != chestnutstep.ContentCondemned {
+	state := d.Check(o.now, poison)
+	if ignoreDetector || state != chestnutstep.ContentCondemned {
 		for f := range uint64(popular) {
-			if judgement == chestnutstep.ContentClear && d.Check(o.now, poison+1+f) == chestnutstep.ContentClear {
+			if state == chestnutstep.ContentClear && d.Check(o.now, poison+1+f) == chestnutstep.ContentClear {
 				d.Start(o.now, poison+1+f)
 			}
 		}
@@ -162,35 +163,36 @@
 	return n
 }
 
-// A caller repeats a request that crashes each target which runs it. It stops
-// after two targets, also when the news of the first crash come late; without
-// the detector it takes down every one. What many callers ask is still served. When
-// the news of every crash are late by one offer, more targets are lost: the
-// agent should tell the next targets of the ranking before it tells the caller.
+// TestPoisonStopsAfterTwoTargets guards against a repeated request that crashes one target after
+// the other. The detector stops it after two targets, even if the report of the first crash is
+// late; without the detector all targets crash. Popular requests are never condemned.
+//
+// If the report of every crash is one offer late, three targets are lost. An agent should therefore
+// report a crash to the next targets of the ranking before it answers the caller.
 func TestPoisonStopsAfterTwoTargets(t *testing.T) {
-	var worst, naive, slow, condemned int
+	var worst, unprotected, slow, condemned int
 	for seed := range int64(2000) {
-		prompt, blind, lagging := newCrashSim(seed), newCrashSim(seed), newCrashSim(seed)
+		prompt, ignoring, lagging := newCrashSim(seed), newCrashSim(seed), newCrashSim(seed)
 		for n := range 40 {
 			prompt.offer(false, n == 0 && seed%2 == 0)
-			blind.offer(true, false)
+			ignoring.offer(true, false)
 			lagging.offer(false, true)
 		}
 		worst = max(worst, len(prompt.crashed))
-		naive = max(naive, len(blind.crashed))
+		unprotected = max(unprotected, len(ignoring.crashed))
 		slow = max(slow, len(lagging.crashed))
 		condemned += prompt.countCondemned() + lagging.countCondemned()
 	}
-	t.Logf("lost at most %d of 8 targets, without the detector %d, with all news late %d; popular requests condemned %d",
-		worst, naive, slow, condemned)
+	t.Logf("max targets lost of 8: %d, without the detector %d, with all reports late %d; popular requests condemned: %d",
+		worst, unprotected, slow, condemned)
 	assert.Equal(t, worst, 2)
 	assert.Equal(t, slow, 3)
-	assert.Equal(t, naive, 8)
+	assert.Equal(t, unprotected, 8)
 	assert.Equal(t, condemned, 0)
 }
 
-// Requests that all differ crash target after target. What an agent keeps stays
-// bounded, and a condemned request is not pushed out by mere suspects.
+// TestSuspicionsAreBounded guards against unbounded memory when different requests crash one target
+// after the other, and against suspects that evict a condemned request.
 func TestSuspicionsAreBounded(t *testing.T) {
 	d := &Detector{Target: "t", MaxSuspicions: 100}
 	d.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
@@ -206,7 +208,7 @@
 	assert.Equal(t, len(d.Suspicions(later, 1)), 0)
 	d.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"c"}, SeenAt: later}})
 	d.Merge(later, []chestnutstep.Suspicion{{Fingerprint: 1, CrashedTargets: []string{"a", "b"}, SeenAt: script.Epoch}})
-	assert.Equal(t, d.Check(later, 1), chestnutstep.ContentSuspect, "news that had expired were taken in")
+	assert.Equal(t, d.Check(later, 1), chestnutstep.ContentSuspect, "an expired suspicion was merged")
 }
 
 func ExampleFingerprint() {
@@ -217,8 +219,8 @@
 	// Output: false false
 }
 
-// BenchmarkJudge prints the cost of a judgement, and what a suspicion and a
-// served fingerprint take in memory.
+// BenchmarkJudge reports the cost of a check and the memory per suspicion and per served
+// fingerprint.
 func BenchmarkJudge(b *testing.B) {
 	d := &Detector{Target: "bay-engine-1"}
 	before := script.Heap()
--- a/crash/detector.go
+++ b/crash/detector.go
@@ -1,16 +1,12 @@
-// Package crash finds requests whose content crashes the targets that run them.
+// Package crash finds requests whose content crashes the targets that run them, so that such a
+// request is refused after it has crashed a few targets. Callers retry a request that failed:
+// without this package, a single request could crash all targets of a model one after the other,
+// and each crash would also end all other requests that run on the same target.
 //
-// The load it answers is a single request that kills its target and is sent
-// again by its caller, to the next target, and the next. Without this package
-// one caller takes a whole model out of service, and each crash also ends the
-// answers of everyone beside it. One would notice targets turning cold one
-// after the other.
-//
-// Detector decides at an agent, which sees all that its target runs: what was running
-// at a crash becomes suspect and runs alone from then on, and the second crash condemns
-// it. Quarantine decides at an entry without agents, which sees its own requests and
-// what its peers report. At both, what merely ran beside it runs to its end, and is
-// cleared by that.
+// Detector serves agents, which see every run of their target. All contents that run during a crash
+// become suspect and run exclusively from then on; a second crash condemns them. Quarantine serves
+// entries without agents, which see only their own requests and the reports of their peers. In
+// both, a content that is served to its end is cleared.
 package crash
 
 import (
@@ -22,48 +18,48 @@
 )
 
 const (
-	// DefaultSuspicionTTL is how long a suspicion lasts. It is longer than any caller
-	// repeats a request for, and short enough that one which a failing host
-	// brought about does not outlive the shift of the operators.
+	// DefaultSuspicionTTL is how long a suspicion lasts. Callers stop retrying a request earlier
+	// than that. A suspicion that a failing host caused expires within one shift of the operators.
 	DefaultSuspicionTTL = 10 * time.Minute
-	// DefaultMaxSuspicions bounds the suspicions that are kept. A crash brings at most
-	// as many as a target runs at once, so that 1,024 hold some tens of crashes
-	// in ten minutes, in about 160 KB.
+	// DefaultMaxSuspicions limits the number of stored suspicions. A crash adds at most as many
+	// suspicions as the target has concurrent runs: 1,024 suspicions cover some tens of crashes in
+	// ten minutes and take about 160 KB.
 	DefaultMaxSuspicions = 1024
-	// DefaultMaxServed bounds the fingerprints that are remembered as served, the
-	// evidence that a popular request is not what crashed a target. 4,096 are a
-	// minute's worth at 70 requests a second, in about 370 KB.
+	// DefaultMaxServed limits the number of fingerprints that are remembered as served. They are
+	// the evidence that a popular request did not cause a crash. 4,096 fingerprints cover one
+	// minute at 70 requests per second and take about 370 KB.
 	DefaultMaxServed = 4096
 )
 
 // Detector implements chestnutstep.Detector for one process. Set the fields before the
 // first call. It is not safe for concurrent use.
 type Detector struct {
-	// Target is the target beside the agent; empty at an entry.
+	// Target is the target of this agent; empty at an entry.
 	Target string
-	// SuspicionTTL is how long a suspicion lasts; DefaultKeep when 0.
+	// SuspicionTTL is how long a suspicion lasts; 0 means DefaultSuspicionTTL.
 	SuspicionTTL time.Duration
-	// MaxSuspicions bounds the suspicions; DefaultMost when 0.
+	// MaxSuspicions limits the number of suspicions; 0 means DefaultMaxSuspicions.
 	MaxSuspicions int
-	// MaxServed bounds the fingerprints remembered as served; DefaultServed when 0.
+	// MaxServed limits the number of fingerprints remembered as served; 0 means DefaultMaxServed.
 	MaxServed int
 
 	suspicions   map[uint64]*localSuspicion
 	running      map[uint64]int
 	totalRunning int
-	// pendingEnds counts the runs that a crash ended and whose End is still to come.
+	// pendingEnds counts, by fingerprint, the runs that a crash ended and for which End has not
+	// been called yet.
 	pendingEnds    map[uint64]int
 	recentlyServed servedCache
 }
 
 var _ chestnutstep.Detector = (*Detector)(nil)
 
-// localSuspicion is a suspicion with what only this process knows of it.
+// localSuspicion is a suspicion together with the state that is local to this process.
 type localSuspicion struct {
 	chestnutstep.Suspicion
-	// servedSinceCrash says that it ran to its end here since the last crash known.
+	// servedSinceCrash reports whether the content was served here after its last known crash.
 	servedSinceCrash bool
-	// reportCount counts how often it was passed on since it last changed.
+	// reportCount counts how often the suspicion was reported since it last changed.
 	reportCount int
 }
 
@@ -86,16 +82,15 @@
 	d.recentlyServed = servedCache{capacity: d.MaxServed, servedAt: map[uint64]time.Time{}}
 }
 
-// Check says how a request may run.
+// Check returns the state of a content: clear, suspect or condemned.
 //
-// Condemned is what crashed a target while it ran alone, and what stood at the
-// crash of two targets and was served by none. The first needs no doubt. The
-// second may in the worst case be a bystander, but only one that nobody has
-// served within Keep and that reached the second target before the suspicion
-// did; waiting for a third crash to tell them apart would cost a third target.
+// A content is condemned if it crashed a target while it ran exclusively, or if it was running when
+// two targets crashed and no target has served it. In the second case it can be innocent, but only
+// if no target has served it within SuspicionTTL and it reached the second target before the
+// suspicion did. Waiting for a third crash to decide would cost a third target.
 //
-// What was served elsewhere is clear after one crash. After a crash here, or
-// two anywhere, it runs alone once more at this target.
+// A content that was served elsewhere is clear after one crash. After a crash on this target, or on
+// two targets anywhere, it is suspect until this target has served it once.
 func (d *Detector) Check(now time.Time, fingerprint uint64) chestnutstep.ContentState {
 	d.init()
 	f := d.find(now, fingerprint)
@@ -118,7 +113,7 @@
 	return chestnutstep.ContentSuspect
 }
 
-// find returns the suspicion of a fingerprint unless it has expired.
+// find returns the suspicion of a fingerprint, or nil if there is none or it has expired.
 func (d *Detector) find(now time.Time, fingerprint uint64) *localSuspicion {
 	f := d.suspicions[fingerprint]
 	if f == nil || now.Sub(f.SeenAt) < d.SuspicionTTL {
@@ -128,16 +123,15 @@
 	return nil
 }
 
-// Start notes that the content runs at this target from now on.
+// Start records that the content begins to run on this target.
 func (d *Detector) Start(_ time.Time, fingerprint uint64) {
 	d.init()
 	d.running[fingerprint]++
 	d.totalRunning++
 }
 
-// End notes that the content no longer runs; each Start has one End, also after a
-// crash. Content that was served to its end is cleared for all, as it did not
-// crash the target that ran it.
+// End records that a run of the content has ended. Each Start requires one End, also after a crash.
+// A content that was served to its end is cleared, here and through reports at all other agents.
 func (d *Detector) End(now time.Time, fingerprint uint64, served bool) {
 	d.init()
 	d.removeRun(fingerprint)
@@ -151,9 +145,9 @@
 	}
 }
 
-// removeRun takes one run off the count. The end of a run that died in a crash comes
-// after it, when the caller's repeat may run already: taken off that one, it
-// would let the next crash of the same content pass unnoticed.
+// removeRun decrements the count of runs. End is called for a crashed run only after the crash,
+// when a retry may already be running. Without pendingEnds it would remove the retry from the
+// count, and the next crash of the same content would go undetected.
 func (d *Detector) removeRun(fingerprint uint64) {
 	if d.pendingEnds[fingerprint] > 0 {
 		decrement(d.pendingEnds, fingerprint)
@@ -179,9 +173,9 @@
 	}
 }
 
-// Crash says that the target died; what was running becomes suspect. It returns
-// the suspicions that changed, which should be told to the peers at once: the
-// caller's repeat is already on its way to the next target.
+// Crash records that the target crashed: all running contents become suspect. It returns the
+// suspicions that changed. The agent should report them to its peers immediately, as the caller's
+// retry may already be on its way to the next target.
 func (d *Detector) Crash(now time.Time) []chestnutstep.Suspicion {
 	d.init()
 	var changed []chestnutstep.Suspicion
@@ -209,8 +203,8 @@
 	return changed
 }
 
-// runningFingerprints lists what runs, in order, so that a crash has the same outcome each
-// time. Content without a fingerprint can't be told apart and is left out.
+// runningFingerprints returns the running fingerprints in ascending order, so that a crash has a
+// deterministic result. Contents without a fingerprint can't be distinguished and are left out.
 func (d *Detector) runningFingerprints() []uint64 {
 	var all []uint64
 	for fingerprint := range d.running {
@@ -222,9 +216,9 @@
 	return all
 }
 
-// Merge takes suspicions of other agents. Content that this target has served
-// of late is cleared at once, so that a popular request does not run alone at
-// every target because it stood beside a crash at one.
+// Merge merges suspicions of other agents. A content that this target has served recently is
+// cleared immediately, so that a popular request does not run exclusively at every target because
+// it was running when one target crashed.
 func (d *Detector) Merge(now time.Time, s []chestnutstep.Suspicion) {
 	d.init()
 	for _, incoming := range s {
@@ -257,8 +251,8 @@
 	f.Suspicion = merged
 }
 
-// Suspicions returns at most n suspicions worth passing on: those told least often
-// since they changed, so that news goes out first and all have their turn.
+// Suspicions returns up to n suspicions to report, those with the lowest report count since their
+// last change first, so that changes are sent first and every suspicion gets its turn.
 func (d *Detector) Suspicions(now time.Time, n int) []chestnutstep.Suspicion {
 	d.init()
 	d.evictExcess(now)
--- a/crash/merge.go
+++ b/crash/merge.go
@@ -6,15 +6,15 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// maxCrashedTargets is how many targets a suspicion lists: two are enough to condemn.
+// maxCrashedTargets limits the targets that a suspicion lists: two are enough to condemn.
 const maxCrashedTargets = 2
 
-// Merge joins what two processes know of one fingerprint. It is commutative,
-// associative and idempotent, so that suspicions may arrive late, twice and in
-// any order, and all processes still come to the same judgement.
+// Merge merges two suspicions of the same fingerprint. It is commutative, associative and
+// idempotent: suspicions can arrive late, twice and in any order, and all processes reach the same
+// state.
 //
-// A target that is listed twice crashed while the fingerprint ran there alone,
-// as a suspect; that outweighs any list of two different targets.
+// A target that is listed twice crashed while it ran the content exclusively. That takes precedence
+// over a list of two different targets.
 func Merge(a, b chestnutstep.Suspicion) chestnutstep.Suspicion {
 	if b.SeenAt.After(a.SeenAt) {
 		a.SeenAt = b.SeenAt
@@ -34,7 +34,7 @@
 	return all[:min(len(all), maxCrashedTargets)]
 }
 
-// exclusiveCrashTarget returns the target where the fingerprint crashed while it ran alone.
+// exclusiveCrashTarget returns the target that crashed while it ran the content exclusively, or "".
 func exclusiveCrashTarget(crashed []string) string {
 	if len(crashed) >= maxCrashedTargets && crashed[0] == crashed[1] {
 		return crashed[0]
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// minNonEmpty returns the smaller name, where an empty one does not count.
+// minNonEmpty returns the smaller of the non-empty names, or "".
 func minNonEmpty(a, b string) string {
 	if a == "" || (b != "" && b < a) {
 		return b
--- a/crash/quarantine.go
+++ b/crash/quarantine.go
@@ -9,80 +9,85 @@
 )
 
 const (
-	// DefaultMaxContents bounds the contents that are remembered: those of some two hundred targets that end
-	// within ten minutes, in 0.8 MB.
+	// DefaultMaxContents limits the number of stored contents: 8,192 hold the contents of some two
+	// hundred targets that end within ten minutes, and take 0.8 MB.
 	DefaultMaxContents = 8192
-	// quarantineThreshold is how many targets have to end under a content before it is refused.
+	// quarantineThreshold is the number of targets that must end while running a content before it
+	// is refused.
 	quarantineThreshold = 2
-	// ambiguousPause is how long a content is refused after two targets where something else may
-	// have ended them. Peers' reports of the same moment come within a fraction of it.
+	// ambiguousPause is how long a content is refused after two targets if another cause is
+	// possible. Reports from peers about the same failure arrive within a fraction of it.
 	ambiguousPause = 3 * time.Second
-	// maxEventSpread is by how many events two answers may differ that broke off at one step: a reset
-	// loses those that were on their way.
+	// maxEventSpread is the maximum difference in received events between two answers that broke
+	// off at the same step. A connection reset discards the events in flight, so the numbers differ
+	// slightly.
 	maxEventSpread = 4
-	// correlationWindow is how far apart targets end that were lost to one failure, such as that of a
-	// failure domain.
+	// correlationWindow is the maximum time between the ends of targets that are attributed to one
+	// common failure, such as that of a failure domain.
 	correlationWindow = 2 * time.Second
-	// correlationThreshold is how many other targets end at the time before that explains one loss of a content.
+	// correlationThreshold is the number of other targets that must end within the window for a
+	// common failure to explain one loss of a content.
 	correlationThreshold = 2
-	// suspectTTL is how long a content is remembered under which one target ended, or that was
-	// served since; keepMany the same for one that was refused.
+	// suspectTTL is how long a content is remembered that is not refused, because one target ended
+	// or because it has been served since; quarantineTTL is the same for a refused content.
 	suspectTTL    = 10 * time.Minute
 	quarantineTTL = 24 * time.Hour
-	// expireInterval is how often what is old is looked for.
+	// expireInterval is the minimum interval between two scans for expired entries.
 	expireInterval = time.Second
-	// maxLosses bounds the targets that are remembered for one content.
+	// maxLosses limits the number of losses stored per content.
 	maxLosses = 8
 )
 
-// pauses is for how long a content is refused after two targets and more. Each end of a pause
-// may cost one more target: together they stay within what the content may end in a day.
+// pauses lists how long a content is refused after two, three and more losses. Each time a pause
+// expires, the content can end one more target; the total stays within the number of targets that
+// one content may end per day.
 var pauses = []time.Duration{time.Minute, 10 * time.Minute, time.Hour, quarantineTTL}
 
-// Loss says that a target ended while it ran a content.
+// Loss records that a target ended while it was running a content.
 type Loss struct {
 	Fingerprint uint64
-	// Target is the instance that ended.
+	// Target identifies the instance that ended.
 	Target uint32
-	// Events is how many events of the answer had come.
+	// Events is the number of events of the answer received before the end.
 	Events uint16
-	// At is when it ended, by this process's clock.
+	// At is the time of the end on the clock of this process.
 	At clock.Stamp
-	// Cleared says that the content was served after it.
+	// Cleared reports whether the content was served after this loss.
 	Cleared bool
 }
 
 // Quarantine decides, at entries without agents, which contents may be sent to targets.
 //
-// The load it answers is a request that ends each target which runs it, and that its caller
-// sends again through any entry. With each target all else that runs there ends as well, so that many
-// contents are found at one loss and a few, by chance, at two.
+// It protects the targets from a request that ends every target that runs it and that its caller
+// retries through any entry. Every other request on such a target ends as well, so that many
+// contents are involved in one loss and a few, by chance, in two.
 //
-// A content under which two targets ended is refused. Where its answers broke off at the same step and
-// no other content was found at both, the pause is long at once; otherwise it is short, and the
-// next run shows whether the content was the cause. Where other targets end as well, it takes
-// one more. A content that is served is cleared of all losses before.
+// A content is refused after the loss of two targets. If its answers broke off at the same step and
+// no other content was involved in both losses, the first pause is already long. Otherwise the
+// pause is short, and the next run shows whether the content is the cause. If other targets end at
+// the same time, one more loss is required. A content that is served is cleared of all earlier
+// losses.
 //
-// Losses merge in any order to the same state. A Quarantine is not safe for concurrent use.
+// Losses merge to the same state in any order. A Quarantine is not safe for concurrent use.
 type Quarantine struct {
-	// MaxContents bounds the contents; DefaultContents when 0.
+	// MaxContents limits the number of stored contents; 0 means DefaultMaxContents.
 	MaxContents int
 
 	contents map[uint64]*contentRecord
-	// targetEndedAt are the targets that ended of late.
+	// targetEndedAt holds the times at which targets ended recently.
 	targetEndedAt map[uint32]clock.Stamp
-	// lastExpired is when what is old was last forgotten.
+	// lastExpired is the time of the last scan for expired entries.
 	lastExpired clock.Stamp
 }
 
-// contentRecord is what is known of one content.
+// contentRecord is the state of one content.
 type contentRecord struct {
-	losses []Loss // by time
-	// isTrialRunning says that a run is in progress that may end one more target.
+	losses []Loss // sorted by time
+	// isTrialRunning reports whether a trial run is in progress, which may end one more target.
 	isTrialRunning bool
 }
 
-// unclearedCount is how many losses the content is not cleared of.
+// unclearedCount returns the number of losses that the content is not cleared of.
 func (c *contentRecord) unclearedCount() int {
 	n := 0
 	for _, l := range c.losses {
@@ -104,8 +109,8 @@
 	return list
 }
 
-// add takes a loss, and reports whether it is news. Losses that the content is cleared of make
-// room for others.
+// add adds a loss and reports whether the record changed. If the record is full, the loss replaces
+// one that the content is cleared of.
 func (c *contentRecord) add(l Loss) bool {
 	for i := range c.losses {
 		if old := &c.losses[i]; old.Target == l.Target {
@@ -126,7 +131,7 @@
 	return true
 }
 
-// Add takes a loss, from this process or a peer, and reports whether it is news.
+// Add adds a loss that this process or a peer has observed, and reports whether the state changed.
 func (q *Quarantine) Add(now clock.Stamp, l Loss) bool {
 	if l.Fingerprint == 0 {
 		return false
@@ -144,7 +149,7 @@
 	return changed
 }
 
-// RecordServed clears a content, and returns the losses that it is cleared of.
+// RecordServed clears a content of its losses, and returns those that were not cleared before.
 func (q *Quarantine) RecordServed(fingerprint uint64) []Loss {
 	c := q.contents[fingerprint]
 	if c == nil {
@@ -160,8 +165,9 @@
 	return cleared
 }
 
-// Admit says whether a content may be sent to a target now, or how long it is refused. A content
-// that has ended targets runs once at a time; with trial the caller has to call Release.
+// Admit returns how long a content is refused; 0 means that it may be sent to a target now. A
+// content with too many losses runs once at a time: if trial is true, the caller must call EndTrial
+// after the run.
 func (q *Quarantine) Admit(now clock.Stamp, fingerprint uint64) (wait time.Duration, trial bool) {
 	wait, losses := q.Check(now, fingerprint)
 	if wait > 0 || losses < quarantineThreshold {
@@ -175,15 +181,15 @@
 	return 0, true
 }
 
-// EndTrial ends a trial.
+// EndTrial ends the trial run of a content.
 func (q *Quarantine) EndTrial(fingerprint uint64) {
 	if c := q.contents[fingerprint]; c != nil {
 		c.isTrialRunning = false
 	}
 }
 
-// Check returns how long a content is refused from now on, and how many targets ended under it
-// since it was last served.
+// Check returns how long a content is refused from now on, and the number of targets that ended
+// while running it since it was last served.
 func (q *Quarantine) Check(now clock.Stamp, fingerprint uint64) (wait time.Duration, losses int) {
 	c := q.contents[fingerprint]
 	if c == nil {
@@ -196,7 +202,7 @@
 	return max(uncleared[len(uncleared)-1].At.Add(q.pause(fingerprint, uncleared)).Sub(now), 0), len(uncleared)
 }
 
-// pause is for how long a content is refused after its last loss.
+// pause returns how long a content is refused after its last loss.
 func (q *Quarantine) pause(fingerprint uint64, uncleared []Loss) time.Duration {
 	n := len(uncleared)
 	if q.countCorrelatedEnds(uncleared) >= correlationThreshold {
@@ -212,13 +218,14 @@
 	}
 }
 
-// hasSimilarEvents reports whether the targets ended after about as many events of a content.
+// hasSimilarEvents reports whether the answers broke off after about the same number of events.
 func hasSimilarEvents(losses []Loss) bool {
 	byEvents := func(a, b Loss) int { return cmp.Compare(a.Events, b.Events) }
 	return slices.MaxFunc(losses, byEvents).Events-slices.MinFunc(losses, byEvents).Events <= maxEventSpread
 }
 
-// countCorrelatedEnds counts the targets that ended about when these did, without the content.
+// countCorrelatedEnds counts the other targets that ended within correlationWindow of these losses
+// without running the content.
 func (q *Quarantine) countCorrelatedEnds(losses []Loss) int {
 	n := 0
 	for target, at := range q.targetEndedAt {
@@ -231,7 +238,8 @@
 	return n
 }
 
-// hasOtherSuspect reports whether another content was found at all these losses, and at the same step.
+// hasOtherSuspect reports whether another content was involved in all these losses and its answers
+// also broke off at the same step.
 func (q *Quarantine) hasOtherSuspect(fingerprint uint64, losses []Loss) bool {
 	for other, c := range q.contents {
 		if other == fingerprint || c.unclearedCount() < len(losses) {
@@ -247,7 +255,8 @@
 	return false
 }
 
-// Losses returns the losses of all contents that were refused, for an entry that has just started.
+// Losses returns the uncleared losses of all refused contents, to be sent to an entry that has just
+// started.
 func (q *Quarantine) Losses() []Loss {
 	var list []Loss
 	for _, c := range q.contents {
@@ -269,7 +278,7 @@
 	q.targetEndedAt = make(map[uint32]clock.Stamp)
 }
 
-// expire forgets what is old.
+// expire removes ended targets and contents whose TTL has passed.
 func (q *Quarantine) expire(now clock.Stamp) {
 	if now.Sub(q.lastExpired) < expireInterval {
 		return
@@ -291,8 +300,8 @@
 	}
 }
 
-// evictExcess drops contents beyond the limit, those with the fewest and then the oldest losses first,
-// but for one that was just added.
+// evictExcess removes a content if there are more than MaxContents: the one with the fewest losses,
+// then the one with the oldest loss. It never removes the content that was just added.
 func (q *Quarantine) evictExcess(added uint64) {
 	if len(q.contents) <= q.MaxContents {
 		return
@@ -310,7 +319,8 @@
 	delete(q.contents, evicted)
 }
 
-// hasLessEvidence reports whether less is known against a content than against another.
+// hasLessEvidence reports whether there are fewer or older losses of this content than of the other
+// one.
 func (c *contentRecord) hasLessEvidence(other *contentRecord) bool {
 	if a, b := c.unclearedCount(), other.unclearedCount(); a != b {
 		return a < b
--- a/crash/among_test.go
+++ b/crash/quarantine_sim_test.go
@@ -19,18 +19,20 @@
 	deadlyContent = 1
 )
 
-// quarantineSim plays entries and targets with one deadly content among others, on a clock of its own.
+// quarantineSim simulates entries and targets that receive one deadly content among ordinary ones.
+// It runs on a simulated clock.
 type quarantineSim struct {
 	rand       *rand.Rand
 	now        clock.Stamp
 	events     simEvents
 	eventCount int
 	entries    [simEntries]*Quarantine
-	// running lists the runs of each target, and lives counts its starts.
+	// running lists the runs of each target; starts counts the restarts of each target.
 	running [simTargets][]*simRun
 	starts  [simTargets]int
-	// lostTargets counts the targets that the deadly content ended, refused the other contents that were
-	// refused, and longest for how long one of them was.
+	// lostTargets counts the targets that the deadly content crashed. refusedAt holds the time of
+	// the first refusal of every other content that was refused, and longestRefusal the longest
+	// time from that refusal until the content was served.
 	lostTargets    int
 	refusedAt      map[uint64]clock.Stamp
 	longestRefusal time.Duration
@@ -39,12 +41,12 @@
 
 type simEvent struct {
 	at clock.Stamp
-	// seq keeps events of one moment in the order in which they were made.
+	// seq orders events of the same time by creation.
 	seq int
 	do  func()
 }
 
-// simEvents is a heap by time.
+// simEvents is a heap of events ordered by time.
 type simEvents []simEvent
 
 func (e simEvents) Len() int      { return len(e) }
@@ -60,7 +62,7 @@
 	return x
 }
 
-// simRun is a run of a content at a target.
+// simRun is one run of a content on a target.
 type simRun struct {
 	content       uint64
 	entry, target int
@@ -73,7 +75,7 @@
 	heap.Push(&s.events, simEvent{s.now.Add(d), s.eventCount, do})
 }
 
-// run runs events in their order until the time is over.
+// run executes the events in order until simDuration has passed.
 func (s *quarantineSim) run() {
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(simEvent)
@@ -85,12 +87,12 @@
 	}
 }
 
-// randomDuration draws a time.
+// randomDuration returns a random duration in [lo, hi).
 func (s *quarantineSim) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.rand.Int64N(int64(hi-lo)))
 }
 
-// send sends a content through an entry.
+// send sends a content through an entry to a random target.
 func (s *quarantineSim) send(content uint64, entry int) {
 	wait, trial := s.entries[entry].Admit(s.now, content)
 	if wait > 0 {
@@ -118,7 +120,7 @@
 	})
 }
 
-// refuse notes a refused visit; its caller comes back when it was told to.
+// refuse records a refused content; its caller retries after wait.
 func (s *quarantineSim) refuse(content uint64, wait time.Duration) {
 	if content == deadlyContent {
 		return
@@ -139,7 +141,7 @@
 	}
 }
 
-// endTarget ends a target, and all that runs there. Its callers come again.
+// endTarget ends a target with all its runs. The callers of ordinary contents retry.
 func (s *quarantineSim) endTarget(target int) {
 	s.starts[target]++
 	key := uint32(target + 100*s.starts[target])
@@ -162,7 +164,8 @@
 	}
 }
 
-// report reports a loss to the other entries; one datagram in twenty comes with the next round.
+// report sends a loss to the other entries. One datagram in twenty is lost and arrives with the
+// next round of reports.
 func (s *quarantineSim) report(from int, l Loss) {
 	for i, q := range s.entries {
 		if i == from {
@@ -176,8 +179,9 @@
 	}
 }
 
-// newQuarantineSim starts traffic: contents all differ, the deadly one comes again a few times a second,
-// and single targets or a third of all end by themselves.
+// newQuarantineSim schedules the traffic: ordinary contents that are all different, the deadly
+// content about twice per second, and failures that no content causes: one target, and later a
+// third of all targets.
 func newQuarantineSim(seed uint64, poisoned bool) *quarantineSim {
 	s := &quarantineSim{rand: rand.New(rand.NewPCG(seed, 7)), refusedAt: make(map[uint64]clock.Stamp), lastContent: deadlyContent}
 	for i := range s.entries {
@@ -201,8 +205,8 @@
 	return s
 }
 
-// TestDeadlyContentAmongOthers guards against both mistakes of a quarantine: targets lost to one content, and contents refused
-// that ran beside it.
+// TestDeadlyContentAmongOthers guards against both errors of a quarantine: one content crashes many
+// targets, or contents that ran on the same targets are refused too.
 func TestDeadlyContentAmongOthers(t *testing.T) {
 	const seeds = 60
 	var lost [8]int
@@ -215,12 +219,13 @@
 		longest = max(longest, s.longestRefusal)
 		contents += int(s.lastContent)
 	}
-	t.Logf("plays by targets lost: %v; %d of %d other contents refused, for %s at most", lost, refused, contents, longest)
-	assert.Assert(t, lost[5]+lost[6]+lost[7] == 0, "plays by targets lost: %v", lost)
+	t.Logf("runs by number of targets lost: %v; %d of %d other contents refused, for up to %s", lost, refused, contents, longest)
+	assert.Assert(t, lost[5]+lost[6]+lost[7] == 0, "runs by number of targets lost: %v", lost)
 	assert.Assert(t, refused <= contents/1000, "%d of %d other contents were refused", refused, contents)
 }
 
-// TestNothingIsRefusedWithoutDeadlyContent guards against contents that are refused for targets which end by themselves.
+// TestNothingIsRefusedWithoutDeadlyContent guards against contents that are refused although the
+// targets failed for another reason.
 func TestNothingIsRefusedWithoutDeadlyContent(t *testing.T) {
 	const seeds = 60
 	refused, longest, contents := 0, time.Duration(0), 0
@@ -231,6 +236,6 @@
 		longest = max(longest, s.longestRefusal)
 		contents += int(s.lastContent)
 	}
-	t.Logf("%d of %d contents refused, for %s at most", refused, contents, longest)
+	t.Logf("%d of %d contents refused, for up to %s", refused, contents, longest)
 	assert.Assert(t, refused <= contents/1000, "%d of %d contents were refused", refused, contents)
 }
--- a/crash/quarantine_test.go
+++ b/crash/quarantine_test.go
@@ -16,7 +16,8 @@
 	"chestnutstep.example/chestnutstep/script"
 )
 
-// TestQuarantine plays losses, and what is refused after them.
+// TestQuarantine runs the scripts in testdata/quarantine: losses of targets, and the refusals that
+// follow.
 func TestQuarantine(t *testing.T) {
 	datadriven.Walk(t, "testdata/quarantine", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -35,8 +36,8 @@
 	q   *Quarantine
 }
 
-// step plays "lost CONTENT TARGET [EVENTS]", "cleared CONTENT TARGET", "served CONTENT", "ask CONTENT",
-// "end CONTENT" or "wait TIME".
+// step executes one line: "lost CONTENT TARGET [EVENTS]", "cleared CONTENT TARGET", "served
+// CONTENT", "ask CONTENT", "end CONTENT" or "wait TIME".
 func (p *quarantineScript) step(t *testing.T, w []string) string {
 	if w[0] == "wait" {
 		d, err := time.ParseDuration(w[1])
@@ -68,13 +69,14 @@
 	return "runs"
 }
 
-// parseNumber reads a name such as t7 or c12 as its number.
+// parseNumber returns the number in a name such as t7 or c12.
 func parseNumber(name string) uint64 {
 	n, _ := strconv.ParseUint(strings.TrimLeft(name, "abcdefghijklmnopqrstuvwxyz"), 10, 64)
 	return n
 }
 
-// TestLossesMergeInAnyOrder guards against entries that refuse and serve the same content, as their reports crossed.
+// TestLossesMergeInAnyOrder guards against entries that disagree about a content because their
+// reports arrive in different orders.
 func TestLossesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "losses")
@@ -104,7 +106,7 @@
 	})
 }
 
-// TestContentsAreBounded guards against memory that grows with contents which all differ.
+// TestContentsAreBounded guards against memory that grows without limit when all contents differ.
 func TestContentsAreBounded(t *testing.T) {
 	q := &Quarantine{MaxContents: 100}
 	q.Add(0, Loss{Fingerprint: 1, Target: 1})
@@ -121,7 +123,7 @@
 	assert.Equal(t, len(q.contents), 1)
 }
 
-// BenchmarkQuarantine prints the cost of a judgement, and what a content takes in memory.
+// BenchmarkQuarantine reports the cost of a check and the memory per content.
 func BenchmarkQuarantine(b *testing.B) {
 	q := &Quarantine{}
 	before := script.Heap()
