--- a/relay/answer.go
+++ b/relay/answer.go
@@ -14,19 +14,19 @@
 	"chestnutstep.example/chestnutstep/link"
 )
 
-// maxAnswerBytes bounds an answer that is held until it is whole.
+// maxAnswerBytes limits the size of a buffered answer.
 const maxAnswerBytes = 8 << 20
 
-// bufferedAnswer is an answer that was read to its end.
+// bufferedAnswer is an answer that was read completely.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// collect reads an answer to its end before the caller sees any of it. A broken
-// one can then still be replaced by another target's, or by a plain failure;
-// once its head is out, only a cut connection would be left.
+// collect reads the complete answer before it sends anything to the caller. If the answer breaks
+// off, the request can still be retried on another target or answered with an error; after the head
+// was sent, the only option would be to cut the connection.
 func (q *request) collect(run *board.Attempt, a *link.Response) error {
 	run.FirstByte(clock.Now())
 	var b bytes.Buffer
@@ -35,7 +35,7 @@
 	}
 	_, err := b.ReadFrom(io.LimitReader(a, maxAnswerBytes+1))
 	if err == nil && b.Len() > maxAnswerBytes {
-		err = errors.New("answer too large")
+		err = errors.New("response body too large")
 	}
 	a.Close(err == nil)
 	if err != nil {
@@ -44,13 +44,13 @@
 	answer := &bufferedAnswer{a.Status, a.Header, b.Bytes()}
 	if a.Status >= http.StatusInternalServerError {
 		q.failureAnswer = answer
-		return link.ErrCall{Run: chestnutstep.RunYes, Reason: chestnutstep.ReasonCrashed, Err: errors.Newf("status %d", a.Status)}
+		return link.ErrCall{Run: chestnutstep.RunYes, Reason: chestnutstep.ReasonCrashed, Err: errors.Newf("target responded with status %d", a.Status)}
 	}
 	answer.write(q.w)
 	return nil
 }
 
-// truncatedErr is the failure of a body that ended early.
+// truncatedErr returns the error for a body that ended early.
 func (q *request) truncatedErr(err error) link.ErrCall {
 	if q.ctx.Err() != nil {
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonTimeout, Err: err}
@@ -58,7 +58,7 @@
 	return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, PeerClosed: true, Err: err}
 }
 
-// write gives the answer to the caller as it came.
+// write sends the buffered answer to the caller unchanged.
 func (a *bufferedAnswer) write(w http.ResponseWriter) {
 	copyHeader(w.Header(), a.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -66,7 +66,7 @@
 	_, _ = w.Write(a.body)
 }
 
-// copyHeader copies what belongs to the message.
+// copyHeader copies all headers except hop-by-hop headers and Content-Length.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
 		if !chestnutstep.IsHopHeader(name) && name != "Content-Length" {
--- a/relay/backlog.go
+++ b/relay/backlog.go
@@ -7,15 +7,16 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// acceptQueue observes the queue of connections that wait to be accepted. The system does
-// not say for how long one has waited; but a queue that is not found empty for a while holds
-// connections that have waited for about as long.
+// acceptQueue tracks the queue of connections that wait to be accepted. The kernel does not report
+// how long a connection has been waiting; the time for which the queue has not been found empty is
+// used as an estimate.
 type acceptQueue struct {
-	// nonEmptySince is when the queue was last empty; 0 while it is.
+	// nonEmptySince is the time of the first observation after which the queue was not found empty
+	// again; 0 if it was empty at the last observation.
 	nonEmptySince atomic.Int64
 }
 
-// observe notes whether a connection waits.
+// observe records whether a connection is waiting.
 func (q *acceptQueue) observe(now clock.Stamp, waiting bool) {
 	if !waiting {
 		q.nonEmptySince.Store(0)
@@ -24,7 +25,7 @@
 	q.nonEmptySince.CompareAndSwap(0, int64(now))
 }
 
-// nonEmptyFor is for how long the queue has not been found empty.
+// nonEmptyFor returns for how long the queue has not been found empty.
 func (q *acceptQueue) nonEmptyFor(now clock.Stamp) time.Duration {
 	since := q.nonEmptySince.Load()
 	if since == 0 {
--- a/relay/bench_test.go
+++ b/relay/bench_test.go
@@ -22,10 +22,10 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// benchTargets is how many engines a service has that is full.
+// benchTargets is the number of targets of the overloaded service.
 const benchTargets = 49
 
-// newOverloadedRelay is a relay whose targets have no place left.
+// newOverloadedRelay returns a relay whose targets have no free place.
 func newOverloadedRelay(b *testing.B) *relay.Relay {
 	ros := &roster.Roster{}
 	list := chestnutstep.Batch{Revision: 1}
@@ -57,18 +57,18 @@
 	x.Meters, x.Log = &set.Relay, &event.Log{Out: io.Discard}
 	now := clock.Now()
 	v, service := ros.View(), c.Services["llm"]
-	who := board.Caller{Workspace: "ws", Objective: time.Second}
+	requester := board.Caller{Workspace: "ws", Objective: time.Second}
 	for _, t := range v.Services["llm"] {
-		x.Board.Start(now.Add(-time.Second), t, service, nil, 0, who).End(now, board.Served)
+		x.Board.Start(now.Add(-time.Second), t, service, nil, 0, requester).End(now, board.Served)
 		for range 3 * t.Slots {
-			x.Board.Start(now, t, service, nil, 0, who)
+			x.Board.Start(now, t, service, nil, 0, requester)
 		}
 	}
 	return x
 }
 
-// BenchmarkRefusal refuses a request for which none of 49 targets has a place: under a
-// surge most of an entry's processor goes there.
+// BenchmarkRefusal measures the refusal of a request for which none of the 49 targets has a free
+// place. During a surge an entry spends most of its processor time on refusals.
 func BenchmarkRefusal(b *testing.B) {
 	x := newOverloadedRelay(b)
 	body := strings.Repeat("x", 12<<10)
@@ -88,7 +88,7 @@
 	}
 }
 
-// BenchmarkRefusalConnection refuses callers that each come on a connection of their own.
+// BenchmarkRefusalConnection measures refusals when each request arrives on a new connection.
 func BenchmarkRefusalConnection(b *testing.B) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
--- a/relay/caller.go
+++ b/relay/caller.go
@@ -7,19 +7,21 @@
 	"chestnutstep.example/chestnutstep/link"
 )
 
-// connKey is the key of a caller's connection in the context of its requests.
+// connKey is the context key of the caller's connection.
 type connKey struct{}
 
-// ConnContext keeps a caller's connection for its requests; it is meant for http.Server.
+// ConnContext stores the caller's connection in the context of its requests. Use it as
+// http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// hasCallerLeft reports that the caller wants no answer any more.
+// hasCallerLeft reports whether the caller has canceled the request.
 func (q *request) hasCallerLeft() bool { return q.callerGone || q.r.Context().Err() != nil }
 
-// isCallerConnClosed looks at the caller's connection itself. The server's own reader notices a
-// close once it gets the processor, which on a busy host is after the request was sent on.
+// isCallerConnClosed checks the caller's connection itself. The background reader of net/http
+// detects a closed connection only once it is scheduled, which on a busy host is after the request
+// was sent to a target.
 func (q *request) isCallerConnClosed() bool {
 	c, ok := q.r.Context().Value(connKey{}).(*callerConn)
 	return ok && link.IsClosed(c.Conn)
--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -18,9 +18,9 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// An entry is cut off from the source, or its host was suspended, while a key is
-// taken away. It would go on to let that key in; the workspace's owner, who took it
-// away after a leak, would see the thief book slots.
+// TestKeyNotProvedCurrent guards against an entry that accepts a revoked key. It happens when the
+// entry is cut off from the source, or its host is suspended, while the key is revoked: after a
+// leak, the holder of the key could go on booking.
 func TestKeyNotProvedCurrent(t *testing.T) {
 	g := newTestRelay(t)
 	assert.Equal(t, g.doRequest(t, "unsafe"), "200 signed whole")
@@ -32,8 +32,9 @@
 	assert.Equal(t, ran, 1)
 }
 
-// The proof was fresh when the request came, and is too old when its second try is
-// due: the first target was slow to refuse. The check stands before each send.
+// TestKeyIsCheckedBeforeEachSend guards against a retry under an outdated configuration: the
+// configuration is confirmed when the request arrives, but no longer when a slow failure of the
+// first target leads to a second attempt.
 func TestKeyIsCheckedBeforeEachSend(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
@@ -50,9 +51,8 @@
 	assert.Equal(t, arrived, 1)
 }
 
-// A key that a new version took away is refused at once, and one that it added is
-// let in. An entry that knows from a peer that a newer version exists does not
-// refuse for good what that version may allow.
+// TestKeysOfVersions guards against entries that accept a key removed by a new version, or refuse
+// one that it adds. An entry whose peer has a newer version must not refuse a key permanently.
 func TestKeysOfVersions(t *testing.T) {
 	g := newTestRelay(t)
 	g.publish(2, "other")
@@ -62,13 +62,14 @@
 	g.relay.IsBehind = func() bool { return false }
 	g.publish(3, key)
 	assert.Equal(t, g.doRequest(t, "unsafe"), "200 signed whole")
-	// A version never goes back, whatever comes late.
+	// A late, older version does not replace a newer one.
 	g.publish(2, "other")
 	assert.Equal(t, g.doRequest(t, "unsafe"), "200 signed whole")
 }
 
-// A caller sends headers that only the fleet may set, such as another workspace's
-// name or a hold on a target's memory. Passed on, it would book in another's name.
+// TestCallerCannotSetInternalHeaders guards against forwarding of headers that only the fleet may
+// set, such as another workspace's name or a hold on a target's memory. A caller could use them to
+// book in the name of another workspace.
 func TestCallerCannotSetInternalHeaders(t *testing.T) {
 	g := newTestRelay(t)
 	got := g.doRequest(t, "unsafe", "Tenant: rich\r\n", "Hold: h1\r\n", "Kv-From: 1.2.3.4:5/x\r\n", "Pin-Ms: 9\r\n",
@@ -86,8 +87,8 @@
 	}
 }
 
-// A caller leaves in the middle of its stream. A target that works on for nobody
-// keeps a slot from those who wait.
+// TestCallerLeaves guards against targets that keep working for a caller who has left in the middle
+// of a stream, and so occupy a slot that others wait for.
 func TestCallerLeaves(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
@@ -117,13 +118,15 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// A target sends a second answer behind a whole one. On a connection that is used
-// again, the next caller would be given the answer to somebody else's request.
+// TestSecondAnswerReachesNobody guards against an answer delivered to the wrong caller. A target
+// sends a second answer after a complete one; if the connection is reused, the next caller would
+// receive it.
 func TestSecondAnswerReachesNobody(t *testing.T) {
 	requestAfterSecondAnswers(t, newTestRelay(t))
 }
 
-// TestSecondAnswerDelaysNoRequest guards against a request that waits for its answer behind the second answer of another.
+// TestSecondAnswerDelaysNoRequest guards against a request whose answer is delayed by an unexpected
+// second answer to the previous request on the same connection.
 func TestSecondAnswerDelaysNoRequest(t *testing.T) {
 	requestAfterSecondAnswers(t, newTestRelayWithTimeout(t, stallTimeout))
 }
@@ -139,8 +142,8 @@
 	}
 }
 
-// A content crashes each target that runs it, and its caller sends it again under
-// new ids. Without a memory of it one caller takes a whole service down.
+// TestCrashingContentIsStopped guards against one caller that takes down a whole service: its
+// content crashes each target that runs it, and the caller repeats it under new ids.
 func TestCrashingContentIsStopped(t *testing.T) {
 	g := newTestRelay(t)
 	send := func(id string) int {
@@ -166,8 +169,8 @@
 	assert.Equal(t, ran, 2)
 }
 
-// A request is smuggled in the body of another. Read as a request of its own it
-// would run without a key.
+// TestBodyIsNotParsedAsRequest guards against request smuggling: a request in the body of another
+// one, if parsed as a separate request, would run without a key.
 func TestBodyIsNotParsedAsRequest(t *testing.T) {
 	g := newTestRelay(t)
 	c, err := net.Dial("tcp", g.server.Listener.Addr().String())
@@ -187,8 +190,9 @@
 	}
 }
 
-// A process that knows no configuration can't tell a wrong path or key from a right
-// one: "not found" would make callers give up for good.
+// TestNoConfiguration guards against a permanent error from an entry without a configuration. Such
+// an entry can't distinguish a wrong path or key from a valid one, and callers don't retry after
+// "not found".
 func TestNoConfiguration(t *testing.T) {
 	g := newTestRelay(t)
 	empty := *g
@@ -196,8 +200,8 @@
 	assert.Equal(t, empty.doRequest(t, "unsafe"), "503 come-back")
 }
 
-// Targets that are leaving end soon: a request sent there now is cut off in the
-// middle. Where all leave, the refusal comes at once.
+// TestLeavingTargetsGetNothing guards against requests sent to targets that are leaving, which end
+// soon and cut the answer off. If all targets are leaving, the request is refused immediately.
 func TestLeavingTargetsGetNothing(t *testing.T) {
 	g := newTestRelay(t)
 	g.markLeaving("i-a", "i-b")
@@ -209,8 +213,8 @@
 	assert.Equal(t, g.doRequest(t, "safe"), "503 come-back")
 }
 
-// A workspace may only be served in its own region. Sent elsewhere, its customers'
-// data leave the country.
+// TestRegions guards against requests of a workspace that are served outside its allowed regions,
+// so that its customers' data leave the country.
 func TestRegions(t *testing.T) {
 	g := newTestRelay(t)
 	g.relay.Regions = map[string]string{"d": "north"}
@@ -224,7 +228,8 @@
 	assert.Equal(t, ran, 1)
 }
 
-// Headers beyond what operators allow are refused before anything is sent.
+// TestHeadersAreBounded guards against headers above the configured limit: the request must be
+// refused before anything is sent to a target.
 func TestHeadersAreBounded(t *testing.T) {
 	g := newTestRelay(t)
 	g.roster.View().Routing.Limits.MaxHeaderBytes = 300
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -14,7 +14,7 @@
 	"chestnutstep.example/chestnutstep/place"
 )
 
-// chooseTarget chooses the target for the next try.
+// chooseTarget selects the target for the next attempt, or returns the refusal for the caller.
 func (q *request) chooseTarget() (board.Choice, *refusal) {
 	now := clock.Now()
 	if q.hasCallerLeft() || q.isCallerConnClosed() {
@@ -52,7 +52,8 @@
 	return c, nil
 }
 
-// quarantineWait is how long the content is refused from now on, as targets ended under it.
+// quarantineWait returns how long the content is refused because of targets that ended while
+// running it. If the content requires a trial run, it starts the trial.
 func (q *request) quarantineWait(now clock.Stamp) (wait time.Duration) {
 	if q.isTrial {
 		return q.Crashes.RemainingWait(now, q.content)
@@ -61,16 +62,16 @@
 	return wait
 }
 
-// refuseFull refuses a request for which the targets have no place left, with the time after
-// which it may find one.
+// refuseFull returns the refusal for a request for which no target has a free place. Its
+// Retry-After is the time after which a retry can still be served within the objective.
 func (q *request) refuseFull(capacity board.Admission) *refusal {
 	q.capacity = &capacity
 	q.Meters.Refused.Add(1, q.requester().Workspace, string(capacity.Reason))
 	return &refusal{http.StatusServiceUnavailable, capacity.Reason, admit.RetryAfter(q.ask.ID, q.route.LatencyObjective)}
 }
 
-// allowsDomain says whether targets of a failure domain may have the request: where route
-// and workspace both name regions, both bind.
+// allowsDomain reports whether the request may be sent to targets of a failure domain. If both the
+// route and the workspace restrict regions, both restrictions apply.
 func (q *request) allowsDomain(domain string) bool {
 	region := q.Regions[domain]
 	if len(q.route.AllowedRegions) > 0 && !slices.Contains(q.route.AllowedRegions, region) {
@@ -79,7 +80,8 @@
 	return q.workspace == nil || len(q.workspace.AllowedRegions) == 0 || slices.Contains(q.workspace.AllowedRegions, region)
 }
 
-// placement says what the request asks of its place.
+// placement returns the placement request: the routing key and the sizes of the prompt and its
+// shared prefix in tokens.
 func (q *request) placement() place.Request {
 	a := place.Request{Key: xxhash.Sum64String(q.ask.ID)}
 	for _, p := range q.ask.Parts {
@@ -92,7 +94,8 @@
 	return a
 }
 
-// requester asks, for the places at targets.
+// requester returns the workspace, urgency and latency objective by which places at targets are
+// shared.
 func (q *request) requester() board.Caller {
 	w := board.Caller{Urgency: q.urgency(), Objective: q.route.LatencyObjective}
 	if q.workspace != nil {
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -12,19 +12,20 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// maxPendingReports bounds what waits to be reported.
+// maxPendingReports limits the number of losses that wait for the next round of reports.
 const maxPendingReports = 1024
 
-// CrashTracker finds contents that end targets. Without agents nobody sees a target end: a
-// connection that breaks raises a suspicion, whatever of the answer had come, and what proves it is
-// that the target refuses a connection, that the list of targets no longer has it, or a peer's
-// report. It is safe for concurrent use. Set the fields before use.
+// CrashTracker detects contents that end targets, at entries without agents. A broken connection
+// raises a suspicion against the content, regardless of how much of the answer was received. The
+// end of the target is confirmed if the target refuses a connection, if it disappears from the list
+// of targets, or if a peer reports it. A CrashTracker is safe for concurrent use. Set the fields
+// before use.
 type CrashTracker struct {
-	// Log receives a line for each loss; nil for none.
+	// Log receives an event for each loss; nil disables logging.
 	Log *event.Log
 	// Meters counts losses.
 	Meters *meter.Relay
-	// OnLoss is called with losses that the peers have to know; nil for never.
+	// OnLoss is called with losses that must be reported to the peers immediately; it can be nil.
 	OnLoss func(list []share.Crash)
 
 	mu             sync.Mutex
@@ -34,15 +35,15 @@
 	pendingReports []share.Crash
 }
 
-// Admit says whether a content may be sent to a target, or how long it is refused. With trial
-// the caller has to call Release.
+// Admit returns how long a content is refused; 0 means that it may be sent to a target now. If
+// trial is true, the caller must call EndTrial after the run.
 func (c *CrashTracker) Admit(now clock.Stamp, content uint64) (wait time.Duration, trial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.quarantine.Admit(now, content)
 }
 
-// RemainingWait is how long a content is refused from now on.
+// RemainingWait returns how long a content is refused from now on.
 func (c *CrashTracker) RemainingWait(now clock.Stamp, content uint64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,14 +51,15 @@
 	return wait
 }
 
-// EndTrial ends a trial.
+// EndTrial ends the trial run of a content.
 func (c *CrashTracker) EndTrial(content uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quarantine.EndTrial(content)
 }
 
-// RecordServed clears a content: it ran to its end.
+// RecordServed clears a content that was served to its end, and reports the cleared losses to the
+// peers.
 func (c *CrashTracker) RecordServed(now clock.Stamp, content uint64) {
 	c.mu.Lock()
 	cleared := c.quarantine.RecordServed(content)
@@ -74,7 +76,8 @@
 	c.announce(list)
 }
 
-// logLoss logs a loss, with what it makes of the content. The caller holds the lock.
+// logLoss logs a loss together with the resulting state of its content. The caller must hold the
+// lock.
 func (c *CrashTracker) logLoss(now clock.Stamp, l crash.Loss, target, from string) {
 	wait, losses := c.quarantine.Check(now, l.Fingerprint)
 	c.Log.Emit(event.CrashNoted,
@@ -83,8 +86,8 @@
 		event.Int("losses", int64(losses)), event.Dur("refused", wait))
 }
 
-// Merge takes a peer's report, and returns what of it is news. That a target ended while it ran
-// one content proves it for all that broke off there.
+// Merge merges a peer's report and returns the entries that changed the state. If a peer reports
+// that a target ended, all runs that broke off at that target count as losses.
 func (c *CrashTracker) Merge(now clock.Stamp, list []share.Crash) []share.Crash {
 	c.mu.Lock()
 	var changed, confirmed []share.Crash
@@ -107,7 +110,7 @@
 	return changed
 }
 
-// TakeReports returns the losses since the last call.
+// TakeReports returns the losses recorded since the last call, and clears them.
 func (c *CrashTracker) TakeReports() []share.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +119,8 @@
 	return list
 }
 
-// Losses returns the losses of contents that were refused, for an entry that has just started.
+// Losses returns the uncleared losses of all refused contents, to be sent to an entry that has just
+// started.
 func (c *CrashTracker) Losses(now clock.Stamp) []share.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,19 +131,19 @@
 	return list
 }
 
-// queueReports keeps losses for the next round of reports. The caller holds the lock.
+// queueReports queues losses for the next round of reports. The caller must hold the lock.
 func (c *CrashTracker) queueReports(list []share.Crash) {
 	c.pendingReports = append(c.pendingReports, list[:min(len(list), maxPendingReports-len(c.pendingReports))]...)
 }
 
-// announce reports losses at once. The caller does not hold the lock.
+// announce reports losses immediately. The caller must not hold the lock.
 func (c *CrashTracker) announce(list []share.Crash) {
 	if c.OnLoss != nil && len(list) > 0 {
 		c.OnLoss(list)
 	}
 }
 
-// toReport is a loss as peers get it.
+// toReport converts a loss to the form in which it is sent to peers.
 func toReport(now clock.Stamp, l crash.Loss) share.Crash {
 	return share.Crash{
 		Target: l.Target, Fingerprint: l.Fingerprint, Events: l.Events, Cleared: l.Cleared,
--- a/relay/deadly_test.go
+++ b/relay/deadly_test.go
@@ -21,18 +21,21 @@
 )
 
 const (
-	// poison is in the body of deadly content.
+	// poison is contained in the body of each deadly request.
 	poison = "poison"
-	// clusterTargets is how many targets a floor has, and floorEntries how many entries.
+	// clusterTargets is the number of targets of a cluster, and clusterEntries the number of its
+	// entries.
 	clusterTargets = 12
 	clusterEntries = 3
-	// gossipInterval is how often the entries of a floor report to each other.
+	// gossipInterval is the interval at which the entries of a cluster exchange reports.
 	gossipInterval = 50 * time.Millisecond
-	// maxLost is how many targets one content may end, one more where its repeat was on the way.
+	// maxLost is the maximum number of targets that one content may end. Tests in which its retry
+	// can already be on its way allow one more.
 	maxLost = 2
 )
 
-// cluster is several entries before the targets of one rig, which report crashes to each other.
+// cluster is a testRelay with several entries that share the same targets and report crashes to
+// each other.
 type cluster struct {
 	*testRelay
 	relays  []*relay.Relay
@@ -50,7 +53,7 @@
 	return f
 }
 
-// newPromptCluster is a floor whose entries report losses at once, over links without delay.
+// newPromptCluster returns a cluster whose entries report losses immediately and without delay.
 func newPromptCluster(t *testing.T) *cluster {
 	t.Helper()
 	f := buildCluster(t)
@@ -73,7 +76,7 @@
 	return f
 }
 
-// start lets the entries report to each other.
+// start starts the exchange of reports.
 func (f *cluster) start(t *testing.T) {
 	t.Helper()
 	f.wg.Add(1)
@@ -84,7 +87,7 @@
 	})
 }
 
-// addEntry starts one more entry. It has heard nothing of the others.
+// addEntry adds an entry that has not received any reports yet.
 func (f *cluster) addEntry(t *testing.T) {
 	t.Helper()
 	e := newRelay(f.roster, config.Bounds{MaxRevokeTime: revokeTimeout}, 1)
@@ -93,7 +96,7 @@
 	f.relays, f.entries = append(f.relays, e), append(f.entries, s)
 }
 
-// gossipLoop passes reports on between the entries.
+// gossipLoop exchanges reports between the entries at each interval.
 func (f *cluster) gossipLoop() {
 	defer f.wg.Done()
 	tick := time.NewTicker(gossipInterval)
@@ -122,7 +125,7 @@
 	}
 }
 
-// reportAtOnce has the entries report losses at once.
+// reportAtOnce makes the entries report losses immediately.
 func (f *cluster) reportAtOnce() {
 	for i, e := range f.relays {
 		e.Crashes.OnLoss = func(list []share.Crash) {
@@ -135,7 +138,7 @@
 	}
 }
 
-// setDeadly has all targets end by the content, at a step.
+// setDeadly makes the deadly content end every target at the given step.
 func (f *cluster) setDeadly(step stand.Step, byReset bool) {
 	for _, x := range f.targets {
 		x.Events = 8
@@ -143,7 +146,7 @@
 	}
 }
 
-// lostTargets counts the targets that have ended.
+// lostTargets returns the number of targets that have ended.
 func (f *cluster) lostTargets() int {
 	n := 0
 	for _, x := range f.targets {
@@ -154,14 +157,15 @@
 	return n
 }
 
-// send sends content to an entry under a new id.
+// send sends a content to an entry under a new id.
 func (f *cluster) send(t *testing.T, entry int, kind, body string) string {
 	t.Helper()
 	f.requestCount++
 	return send(t, f.entries[entry%len(f.entries)], kind, fmt.Sprintf("visit-%d", f.requestCount), body)
 }
 
-// TestDeadlyContentIsStopped guards against a content that ends target after target, whatever of its answers had come by then.
+// TestDeadlyContentIsStopped guards against a content that ends one target after the other,
+// regardless of how much of its answer was received.
 func TestDeadlyContentIsStopped(t *testing.T) {
 	for _, kind := range []string{"unsafe", "safe", "stream", "resume"} {
 		for _, step := range stand.Steps {
@@ -185,7 +189,8 @@
 	}
 }
 
-// TestContentOfBrokenConnectionsIsServed guards against a content that is refused as deadly for faults of targets which live on.
+// TestContentOfBrokenConnectionsIsServed guards against a content that is quarantined because
+// connections broke, although the targets did not end.
 func TestContentOfBrokenConnectionsIsServed(t *testing.T) {
 	for _, kind := range []string{"unsafe", "safe", "stream", "resume"} {
 		for _, manner := range []stand.Manner{stand.Resets, stand.Cuts} {
@@ -202,7 +207,8 @@
 	}
 }
 
-// TestNewKeyKeepsQuarantine guards against a content that ends two more targets with each key that its workspace takes into use.
+// TestNewKeyKeepsQuarantine guards against a quarantine that depends on the key: a content could
+// then end two more targets with each new key of its workspace.
 func TestNewKeyKeepsQuarantine(t *testing.T) {
 	f := newCluster(t)
 	f.setDeadly(stand.AtHead, false)
@@ -215,12 +221,13 @@
 	assert.Equal(t, f.lostTargets(), maxLost)
 }
 
-// bystander is a content that runs beside a deadly one, and comes again until it is served.
+// bystander is an ordinary content that runs on the same targets as a deadly one and is retried
+// until it is served.
 type bystander struct {
 	cluster *cluster
 	n       int
 	kind    string
-	// refused is how often it was refused as deadly, and served when it was served.
+	// refused counts how often it was refused as deadly; served is the time until it was served.
 	refused int
 	served  time.Duration
 }
@@ -242,7 +249,8 @@
 	}
 }
 
-// TestBystandersAreServed guards against contents that are refused as deadly since they ran on the targets which another one ended.
+// TestBystandersAreServed guards against contents that are quarantined because they were running on
+// targets which another content ended.
 func TestBystandersAreServed(t *testing.T) {
 	const (
 		contents = 60
@@ -282,7 +290,8 @@
 	}
 }
 
-// TestDeadlyContentAtOnce guards against a target lost for each entry that gets the repeat of a request at once.
+// TestDeadlyContentAtOnce guards against the loss of one target per entry when a caller retries a
+// deadly request immediately through each entry.
 func TestDeadlyContentAtOnce(t *testing.T) {
 	for _, step := range stand.Steps {
 		t.Run(string(step), func(t *testing.T) {
@@ -297,7 +306,8 @@
 	}
 }
 
-// TestTwoDeadlyContents guards against two contents that shield each other, as each explains the losses of the other.
+// TestTwoDeadlyContents guards against two deadly contents that are both not refused because each
+// one explains the losses of the other.
 func TestTwoDeadlyContents(t *testing.T) {
 	f := newCluster(t)
 	f.setDeadly(stand.AtFirst, true)
@@ -309,7 +319,7 @@
 	assert.Assert(t, f.lostTargets() <= 2*(maxLost+1), "%d targets lost", f.lostTargets())
 }
 
-// publishTarget publishes a target anew.
+// publishTarget publishes a new revision of a target.
 func (f *cluster) publishTarget(i int, born int64, leaving bool) {
 	x := f.targets[i]
 	f.revision++
@@ -324,7 +334,8 @@
 	}
 }
 
-// TestTargetThatStartsAgainAtOnceHasEnded guards against a content that ends targets which listen again before anyone looks.
+// TestTargetThatStartsAgainAtOnceHasEnded guards against missed losses of targets that restart and
+// listen again before a probe reaches them.
 func TestTargetThatStartsAgainAtOnceHasEnded(t *testing.T) {
 	f := newCluster(t)
 	f.order.Set(stand.Resets, stand.Resets)
@@ -339,7 +350,8 @@
 	assert.Equal(t, f.send(t, 0, "unsafe", poison), "503 come-back")
 }
 
-// TestPlannedEndProvesNothing guards against contents that are refused as they ran on targets which ended as planned.
+// TestPlannedEndProvesNothing guards against contents that are quarantined because they ran on
+// targets whose shutdown was planned.
 func TestPlannedEndProvesNothing(t *testing.T) {
 	f := newCluster(t)
 	for i, x := range f.targets {
@@ -367,8 +379,8 @@
 	assert.Equal(t, len(f.relay.Crashes.Losses(clock.Now())), 0)
 }
 
-// TestDeadlyContentOfCallersWhoLeave guards against a content that ends target after target behind the back of its callers, as
-// they leave before it does.
+// TestDeadlyContentOfCallersWhoLeave guards against a content that ends one target after the other
+// while its callers leave before the target ends.
 func TestDeadlyContentOfCallersWhoLeave(t *testing.T) {
 	const (
 		patience     = 20 * time.Millisecond
@@ -385,18 +397,18 @@
 		began := time.Now()
 		f.sendAndLeave(t, n, patience)
 		time.Sleep(3 * patience)
-		// What others send meets the end of the target.
+		// Requests of other callers detect that the target has ended.
 		for i := range 2 * clusterTargets {
 			f.send(t, n+i, "safe", fmt.Sprintf("other %d %d", n, i))
 		}
 		if time.Since(began) > abandonedTTL {
-			late++ // the machine stood still for longer than such runs are remembered
+			late++ // the machine paused for longer than abandoned runs are kept
 		}
 	}
 	assert.Assert(t, f.lostTargets()-late <= maxLost+1, "%d targets lost, %d visits late", f.lostTargets(), late)
 }
 
-// sendAndLeave sends the deadly content and leaves.
+// sendAndLeave sends the deadly content and cancels the request after patience.
 func (f *cluster) sendAndLeave(t *testing.T, entry int, patience time.Duration) {
 	t.Helper()
 	f.requestCount++
@@ -414,8 +426,8 @@
 	}
 }
 
-// TestRefusedConnectionIsNoLastingProof guards against every later break counting as an end of its target, once it had refused a
-// connection.
+// TestRefusedConnectionIsNoLastingProof guards against a target that refused a connection once and
+// for which every later broken connection counts as its end.
 func TestRefusedConnectionIsNoLastingProof(t *testing.T) {
 	f := newCluster(t)
 	const content = 7
--- a/relay/ended.go
+++ b/relay/ended.go
@@ -14,56 +14,57 @@
 )
 
 const (
-	// proofTimeout is how long a request waits for the proof of whether its target has ended before it goes
-	// on. A host that is there answers within a few milliseconds.
+	// proofTimeout is how long a request waits for the probe of its target before it continues. A
+	// host that is up answers within a few milliseconds.
 	proofTimeout = 50 * time.Millisecond
-	// breakTTL is how long a broken connection may wait for the proof that its target has
-	// ended: longer than it takes the list of targets to lose one.
+	// breakTTL is how long a broken run is kept while the end of its target is not confirmed. It is
+	// longer than the list of targets takes to drop a target.
 	breakTTL = 6 * time.Second
-	// abandonedBreakTTL is the same for a run whose caller has left: a target may work on it for a while.
+	// abandonedBreakTTL is the same for a run whose caller has left: the target can continue to run
+	// it for a while and still end.
 	abandonedBreakTTL = time.Second
-	// expireInterval is how often what is old is looked for.
+	// expireInterval is the minimum interval between two scans for expired entries.
 	expireInterval = time.Second
-	// endedTTL is for how long a target that was proven to have ended needs no further proof: its
+	// endedTTL is how long a target that has ended needs no further confirmation, as its
 	// connections break one after the other.
 	endedTTL = 2 * time.Second
 )
 
-// brokenTarget is a target that did not finish all its runs of late.
+// brokenTarget is a target with runs that recently ended without a complete answer.
 type brokenTarget struct {
 	key  uint32
 	id   string
 	born int64
-	// usedAt is when it was last asked for, and endedAt when it was last proven to have ended;
-	// 0 for never.
+	// usedAt is the time of the last access, and endedAt the time at which the end of the target
+	// was last confirmed; 0 means never.
 	usedAt, endedAt clock.Stamp
-	// breaks are its runs that wait for proof.
+	// breaks are the runs whose cause is not yet confirmed.
 	breaks []brokenRun
-	// probeDone is closed once the present probe has an answer; nil without one.
+	// probeDone is closed when the probe in progress has a result; nil if there is none.
 	probeDone chan struct{}
 }
 
-// hasEnded reports whether the target was proven to have ended a moment ago.
+// hasEnded reports whether the end of the target was confirmed within endedTTL.
 func (x *brokenTarget) hasEnded(now clock.Stamp) bool {
 	return x.endedAt != 0 && now.Sub(x.endedAt) <= endedTTL
 }
 
-// brokenRun is a run that was not finished.
+// brokenRun is a run that ended without a complete answer.
 type brokenRun struct {
 	content uint64
 	events  uint16
 	at      clock.Stamp
-	// ttl is how long it waits for proof.
+	// ttl is how long the run is kept without confirmation.
 	ttl time.Duration
 }
 
-// UnfinishedRun is a run that ended without a whole answer.
+// UnfinishedRun describes a run that ended without a complete answer.
 type UnfinishedRun struct {
 	Target  *roster.Target
 	Content uint64
-	// Events is how many events of the answer had come.
+	// Events is the number of events of the answer that were received.
 	Events int64
-	// CallerLeft says that its caller has left.
+	// CallerLeft reports whether the caller has left.
 	CallerLeft bool
 }
 
@@ -75,8 +76,9 @@
 	return b
 }
 
-// RecordBroken takes note of a connection that broke while a target ran a content, and finds out
-// whether the target has ended. The channel is closed once that is known, or can't be found out.
+// RecordBroken records that a connection broke while the target was running a content, and probes
+// whether the target has ended. The returned channel is closed when the probe has finished, with or
+// without a result.
 func (c *CrashTracker) RecordBroken(now clock.Stamp, pool *link.Pool, u UnfinishedRun) <-chan struct{} {
 	c.mu.Lock()
 	x := c.targetFor(now, u.Target)
@@ -95,8 +97,8 @@
 	return x.probeDone
 }
 
-// RecordAbandoned takes note of a run that was given up, as its caller has left or its target did not answer.
-// The target may still end by it.
+// RecordAbandoned records a run that was given up because its caller left or its target did not
+// answer. The content can still end the target later.
 func (c *CrashTracker) RecordAbandoned(now clock.Stamp, u UnfinishedRun) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,8 +106,8 @@
 	x.breaks = append(x.breaks, u.toBrokenRun(now))
 }
 
-// RecordConnRefused takes note of a target that refuses connections: it has ended, also for the peers, which
-// may know what it ran.
+// RecordConnRefused records that a target refuses connections, which confirms that it has ended.
+// The end is also reported to the peers, which may have runs on the same target.
 func (c *CrashTracker) RecordConnRefused(now clock.Stamp, t *roster.Target) {
 	c.mu.Lock()
 	x := c.targetFor(now, t)
@@ -117,14 +119,15 @@
 	c.announce(list)
 }
 
-// closedChan is closed.
+// closedChan is a closed channel.
 var closedChan = func() chan struct{} {
 	ch := make(chan struct{})
 	close(ch)
 	return ch
 }()
 
-// targetFor returns what is known of a target. The caller holds the lock.
+// targetFor returns the record of a target and creates it if necessary. The caller must hold the
+// lock.
 func (c *CrashTracker) targetFor(now clock.Stamp, t *roster.Target) *brokenTarget {
 	c.expire(now)
 	key := board.CacheKey(&t.Instance)
@@ -140,7 +143,7 @@
 	return x
 }
 
-// expire forgets what is old. The caller holds the lock.
+// expire removes targets and runs whose TTL has passed. The caller must hold the lock.
 func (c *CrashTracker) expire(now clock.Stamp) {
 	if now.Sub(c.lastExpired) < expireInterval {
 		return
@@ -155,13 +158,13 @@
 	}
 }
 
-// expire forgets runs that have waited for too long.
+// expire removes the runs that were not confirmed within their TTL.
 func (x *brokenTarget) expire(now clock.Stamp) {
 	x.breaks = slices.DeleteFunc(x.breaks, func(b brokenRun) bool { return now.Sub(b.at) > b.ttl })
 }
 
-// confirmEnd turns the breaks of a target that has ended into losses, and returns those that are
-// news, to be announced. The caller holds the lock.
+// confirmEnd converts the broken runs of a target that has ended into losses, and returns the new
+// ones for the caller to announce. The caller must hold the lock.
 func (c *CrashTracker) confirmEnd(now clock.Stamp, x *brokenTarget, proof string) []share.Crash {
 	first := !x.hasEnded(now)
 	if first {
@@ -186,8 +189,8 @@
 	return list
 }
 
-// Reconcile looks for targets that are no longer listed, or listed with a later start, after
-// connections to them broke.
+// Reconcile compares the targets with broken runs with the list of targets. A target that is no
+// longer listed, or that is listed with a different start time, has ended.
 func (c *CrashTracker) Reconcile(now clock.Stamp, v *roster.View) {
 	c.mu.Lock()
 	var list []share.Crash
@@ -202,7 +205,7 @@
 	c.announce(list)
 }
 
-// probe finds out whether a target whose connection broke has ended.
+// probe checks whether a target has ended after a connection to it broke.
 type probe struct {
 	crashes *CrashTracker
 	pool    *link.Pool
@@ -217,8 +220,8 @@
 	close(p.done)
 }
 
-// applyResult takes the answer. The breaks of a target that lives wait on: it may have started again
-// within moments, which the list of targets shows.
+// applyResult applies the result of the probe. If the target is alive, its broken runs are kept: it
+// may have restarted within moments, which only the list of targets shows.
 func (p *probe) applyResult(state link.ProbeResult) []share.Crash {
 	c := p.crashes
 	c.mu.Lock()
--- a/relay/full_test.go
+++ b/relay/full_test.go
@@ -11,21 +11,20 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// Every target has as many requests as it can begin in time, and each holds its place for
-// a second. One more would wait until its caller has no use for the answer, and make all
-// behind it late: it is refused at once, with the time after which it may be in time yet.
-// As soon as places are free again it is served.
+// TestFullTargetsRefuseAtOnce guards against a request that waits for targets which can't start it
+// in time, and delays all requests after it. It must be refused immediately with a Retry-After, and
+// served as soon as places are free again.
 func TestFullTargetsRefuseAtOnce(t *testing.T) {
 	g := newTestRelay(t)
 	v := g.roster.View()
 	service := v.Routing.Services["shop"]
-	who := board.Caller{Workspace: "other", Objective: time.Second}
+	requester := board.Caller{Workspace: "other", Objective: time.Second}
 	now := clock.Now()
 	var runs []*board.Attempt
 	for _, x := range v.Services["shop"] {
-		g.relay.Board.Start(now.Add(-time.Second), x, service, nil, 0, who).End(now, board.Served)
+		g.relay.Board.Start(now.Add(-time.Second), x, service, nil, 0, requester).End(now, board.Served)
 		for range 3 * x.Slots {
-			runs = append(runs, g.relay.Board.Start(now, x, service, nil, 0, who))
+			runs = append(runs, g.relay.Board.Start(now, x, service, nil, 0, requester))
 		}
 	}
 	began := time.Now()
--- a/relay/idle.go
+++ b/relay/idle.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// IdleTimeout is what the server of callers has to be set to. It stands for the
-// idle time of the configuration in force, which may change while connections
-// are open.
+// IdleTimeout must be set as IdleTimeout of the http.Server. It is a placeholder: Listener replaces
+// it by the idle timeout of the current configuration, which can change while connections are open.
 const IdleTimeout = 24 * time.Hour
 
-// idleDeadlineThreshold tells the deadline of an idle connection from that of a header.
+// idleDeadlineThreshold distinguishes the deadline of an idle connection from that of reading
+// headers.
 const idleDeadlineThreshold = IdleTimeout / 2
 
-// defaultIdleTimeout is the idle time before a configuration is known.
+// defaultIdleTimeout is the idle timeout while no configuration is available.
 const defaultIdleTimeout = 15 * time.Second
 
-// headerDeadlineThreshold tells the deadline of headers from those that net/http sets in the past
-// or at once, to end a read that is under way.
+// headerDeadlineThreshold distinguishes the deadline of reading headers from the immediate or past
+// deadlines that net/http sets to abort a read in progress.
 const headerDeadlineThreshold = time.Second
 
-// headerTimeout is how long headers may take: what the configuration says, or else what
-// the server had in mind.
+// headerTimeout returns the configured timeout for reading headers, or fallback if none is
+// configured.
 func (e *Relay) headerTimeout(fallback time.Duration) time.Duration {
 	v := e.Roster.View()
 	if v == nil || v.Routing.Limits.HeaderTimeout <= 0 {
--- a/relay/listen.go
+++ b/relay/listen.go
@@ -13,39 +13,38 @@
 	"chestnutstep.example/chestnutstep/link"
 )
 
-// Listener takes callers' connections, gives them the idle time in force, and bounds how
-// many are held. Set the fields before use.
+// Listener accepts callers' connections, applies the configured idle timeout, and limits the number
+// of open connections. Set the fields before use.
 //
-// The load it answers: many callers at once, each on a connection of its own that it
-// keeps open behind its request. Held without bound, they take all descriptors of the
-// process: it can neither accept callers nor reach targets, and requests that wait to be
-// accepted are taken up seconds later, when their callers have left. One notices "too
-// many open files", and requests sent on for callers that are gone.
+// It protects the entry from many callers that each keep a connection open after their request.
+// Without a limit they would use up all file descriptors of the process ("too many open files"): it
+// could neither accept callers nor connect to targets. Connections would also wait in the accept
+// queue for seconds, and their requests would be sent on after the callers have left.
 type Listener struct {
 	net.Listener
 	Relay *Relay
-	// MaxConns connections are held, and from half as many on the one that was idle for
-	// longest makes place for a new one; 0 for no bound.
+	// MaxConns limits the number of open connections; 0 means no limit. Above half of it, each new
+	// connection closes the one that has been idle for the longest time.
 	MaxConns int
-	// Shedder refuses requests unread while the processor is full; nil for never.
+	// Shedder rejects requests unread while the processor is overloaded; nil disables it.
 	Shedder *Shedder
 
 	acceptQueue acceptQueue
-	// acceptedInRow counts the connections accepted since other work had the processor.
+	// acceptedInRow counts the connections accepted since the last yield.
 	acceptedInRow int
-	// head is what was read of the connection at hand.
+	// head holds the first bytes read from the connection being accepted.
 	head [maxHeadBytes]byte
 
 	mu        sync.Mutex
 	slotFreed *sync.Cond
 	openConns int
-	// idleConns are connections without a request, the longest idle first.
+	// idleConns lists the connections without a request, the longest idle first.
 	idleConns list.List
 	closed    bool
 }
 
-// Accept returns the next connection, once there is room for it. While requests are refused
-// unread, it goes on past the connections of those.
+// Accept returns the next connection when there is room for it. While the Shedder is active, it
+// closes connections whose request is rejected and continues with the next one.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		l.yield()
@@ -67,12 +66,12 @@
 	}
 }
 
-// acceptsPerYield is how many connections are accepted in a row.
+// acceptsPerYield is how many connections are accepted before Accept yields the processor.
 const acceptsPerYield = 8
 
-// yield lets other work run between rows of connections. While callers wait, accepting never
-// blocks, and the runtime would leave it the processor: answers under way stand still, and
-// callers who leave are not noticed.
+// yield calls the scheduler after acceptsPerYield connections. While connections are waiting,
+// accepting never blocks, and other goroutines would not get the processor: answers in progress
+// would stall, and callers who leave would not be detected.
 func (l *Listener) yield() {
 	if l.acceptedInRow++; l.acceptedInRow >= acceptsPerYield {
 		l.acceptedInRow = 0
@@ -80,8 +79,9 @@
 	}
 }
 
-// acceptOrReject accepts a connection that waits, and refuses its request or returns it. It reports
-// whether one waited. Nothing is built for a request that is refused.
+// acceptOrReject accepts a waiting connection, and either rejects its request or returns it. It
+// reports whether a connection was waiting. To keep rejections cheap, it creates no net.Conn for a
+// rejected connection.
 func (l *Listener) acceptOrReject() (c net.Conn, pending bool) {
 	fd, ok := acceptNonblock(l.Listener)
 	l.acceptQueue.observe(clock.Now(), ok)
@@ -100,8 +100,8 @@
 	return l.wrapConn(conn, bytes.Clone(head)), true
 }
 
-// rejection is that to a request that is refused by its first bytes, nil for one that is not.
-// One whose headers are not all there is not refused.
+// rejection returns the answer that rejects a request, given its first bytes, or nil if the request
+// is not rejected. A request is only rejected if head contains all its headers.
 func (l *Listener) rejection(head []byte) []byte {
 	if l.Shedder == nil || !l.Shedder.isActive() || !bytes.Contains(head, []byte("\r\n\r\n")) {
 		return nil
@@ -109,27 +109,29 @@
 	return l.Shedder.rejection(head)
 }
 
-// wrapConn counts a connection, some bytes of which may have been read already.
+// wrapConn counts a new connection and wraps it. buffered holds the bytes that have already been
+// read from it.
 func (l *Listener) wrapConn(c net.Conn, buffered []byte) *callerConn {
 	if idle := l.addConn(); idle != nil {
-		_ = idle.Close() // it is closed either way
+		_ = idle.Close() // it is closed in any case
 	}
 	return &callerConn{Conn: c, listener: l, buffered: buffered, atRequestStart: len(buffered) == 0}
 }
 
-// Backlog looks whether connections wait to be accepted, and returns for how long they have
-// at each look.
+// Backlog checks whether connections wait to be accepted, and returns for how long that has been
+// observed.
 func (l *Listener) Backlog() time.Duration {
 	now := clock.Now()
 	l.acceptQueue.observe(now, hasPendingConn(l.Listener))
 	return l.acceptQueue.nonEmptyFor(now)
 }
 
-// maxEvictTries is how many of the longest idle connections are looked at for one that no
-// request waits on: on a busy host a request may have come that nobody has read yet.
+// maxEvictTries limits how many of the longest idle connections are checked for one without pending
+// bytes. On a busy host, a request can have arrived on a connection without having been read.
 const maxEvictTries = 8
 
-// addConn counts a new connection, and returns an idle one to be closed if there are many.
+// addConn counts a new connection. If there are many, it returns an idle one for the caller to
+// close.
 func (l *Listener) addConn() *callerConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,9 +142,9 @@
 	return l.evict()
 }
 
-// evict chooses a connection to be closed that was idle for long, nil for none. A request
-// that has come on it would be lost: one that is chosen passes nothing on any more, and one
-// on which bytes wait is left alone.
+// evict selects the longest idle connection that can be closed, or returns nil. A request that has
+// arrived on it would be lost; therefore a connection with unread bytes is skipped, and a selected
+// one returns no more data to the server.
 func (l *Listener) evict() *callerConn {
 	e := l.idleConns.Front()
 	for range maxEvictTries {
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// Close ends Accept also while it waits for room.
+// Close closes the listener and unblocks an Accept that waits for room.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -170,19 +172,19 @@
 	return l.Listener.Close()
 }
 
-// isFull says that no more connections are held.
+// isFull reports whether the limit of open connections is reached.
 func (l *Listener) isFull() bool { return l.MaxConns > 0 && l.openConns >= l.MaxConns }
 
-// waitForSlot returns once there is room for one more connection: one has ended, or has become
-// idle and can be closed.
+// waitForSlot waits until there is room for one more connection: one was closed, or one became idle
+// and is closed here.
 func (l *Listener) waitForSlot() {
 	for idle := l.nextToEvict(); idle != nil; idle = l.nextToEvict() {
-		_ = idle.Close() // it is closed either way
+		_ = idle.Close() // it is closed in any case
 	}
 }
 
-// nextToEvict waits for room, and returns an idle connection that has to be closed for it; nil
-// once there is room.
+// nextToEvict waits for room. It returns an idle connection that must be closed first, or nil once
+// there is room.
 func (l *Listener) nextToEvict() *callerConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,39 +200,39 @@
 	return nil
 }
 
-// isCrowded says that idle connections make room for new ones.
+// isCrowded reports whether new connections replace idle ones.
 func (l *Listener) isCrowded() bool { return l.MaxConns > 0 && 2*l.openConns > l.MaxConns }
 
-// Open is how many connections are held, and whether they are so many that idle ones make
-// room for new ones.
+// Open returns the number of open connections, and whether new connections replace idle ones.
 func (l *Listener) Open() (n int, crowded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.openConns, l.isCrowded()
 }
 
-// callerConn is a caller's connection.
+// callerConn is a connection of a caller.
 type callerConn struct {
 	net.Conn
 	listener  *Listener
 	closeOnce sync.Once
-	// idleElem in the listener's list while the connection is idle.
+	// idleElem is the element of the listener's idleConns while the connection is idle, else nil.
 	idleElem *list.Element
-	// evicted says that it is closed to make room for another.
+	// evicted reports whether the connection was selected to be closed for another one.
 	evicted bool
-	// buffered are bytes that were read already, and fresh says that the next bytes begin a
-	// request that may be refused unread.
+	// buffered holds bytes that have already been read, and atRequestStart reports whether the next
+	// bytes begin a request that can be rejected unread.
 	buffered       []byte
 	atRequestStart bool
 }
 
-// reject answers a request that is not read.
+// reject answers a request without reading all of it.
 func (c *callerConn) reject(answer []byte) {
 	drain(c.Conn)
 	_, _ = c.Conn.Write(answer) // the caller may have left
 }
 
-// SetReadDeadline replaces the deadline of an idle connection, and that of headers.
+// SetReadDeadline replaces the deadlines that net/http sets for an idle connection and for reading
+// headers by the configured ones.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	relay := c.listener.Relay
 	switch remaining := time.Until(t); {
@@ -243,8 +245,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Read reads from the caller, whose connection is idle no more. What comes after it had to
-// make room is not read: the caller sees it closed before its request was taken.
+// Read reads from the caller and marks the connection as busy. After an eviction it returns io.EOF
+// instead of data, so that the caller sees the connection closed before its request was accepted.
 func (c *callerConn) Read(b []byte) (int, error) {
 	if len(c.buffered) > 0 {
 		n := copy(b, c.buffered)
@@ -267,7 +269,7 @@
 	return n, err
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and frees its slot.
 func (c *callerConn) Close() error {
 	c.closeOnce.Do(func() {
 		c.markBusy()
@@ -282,7 +284,7 @@
 	return c.Conn.Close()
 }
 
-// markIdle notes that the connection has no request.
+// markIdle records that the connection has no request.
 func (c *callerConn) markIdle() {
 	l := c.listener
 	l.mu.Lock()
@@ -296,7 +298,8 @@
 	}
 }
 
-// markBusy notes that it has one again; false says that it had to make room.
+// markBusy records that the connection has a request, and reports whether the request may be read;
+// false means that the connection was evicted.
 func (c *callerConn) markBusy() bool {
 	l := c.listener
 	l.mu.Lock()
--- a/relay/listen_test.go
+++ b/relay/listen_test.go
@@ -17,7 +17,7 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// caller is a connection that is kept open behind its requests.
+// caller is a client connection that stays open after its requests.
 type caller struct {
 	net.Conn
 	br *bufio.Reader
@@ -36,7 +36,7 @@
 	fmt.Fprintf(c, "POST /safe/x HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nCredential: %s\r\nDeadline-Ms: 3000\r\nContent-Length: 0\r\n\r\n", host, id, key)
 }
 
-// status reads an answer; 0 says that the connection was closed.
+// status reads an answer and returns its status, or 0 if the connection was closed.
 func (c *caller) status() int {
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
@@ -50,13 +50,13 @@
 	return resp.StatusCode
 }
 
-// listen serves the rig's relay with a bound on connections.
+// listen serves the relay behind a listener with a limit of connections.
 func listen(t *testing.T, g *testRelay, maxConns int) *relay.Listener {
 	t.Helper()
 	return serve(t, g, &relay.Listener{Relay: g.relay, MaxConns: maxConns})
 }
 
-// serve serves the rig's relay behind a listener.
+// serve serves the relay behind the given listener.
 func serve(t *testing.T, g *testRelay, l *relay.Listener) *relay.Listener {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,9 +72,9 @@
 	return l
 }
 
-// Many callers come, each on a connection that it keeps. Without a bound the entry runs
-// out of descriptors: it can neither accept callers nor reach targets. The connections
-// that were idle for longest are closed, and whoever asks is answered.
+// TestIdleConnectionsAreEvicted guards against an entry that runs out of file descriptors because
+// many callers keep their connections open. The longest idle connections are closed, and new
+// requests are still answered.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	g := newTestRelay(t)
 	l := listen(t, g, 8)
@@ -94,8 +94,8 @@
 	assert.Equal(t, kept[0].status(), 0, "the oldest is still open")
 }
 
-// As many requests are in progress as connections may be held. None of them is cut to
-// make room: the next caller is accepted when the first of them has ended.
+// TestActiveConnectionsAreNotEvicted guards against requests in progress that are cut to make room
+// for a new connection. The next caller is accepted only when one of them has ended.
 func TestActiveConnectionsAreNotEvicted(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
@@ -114,9 +114,9 @@
 	assert.Equal(t, third.status(), http.StatusOK)
 }
 
-// On a busy host a caller's next request has come on a connection that still counts as
-// idle: nobody has read it yet. Closed to make room for another caller, it would lose a
-// booking, or worse, cut one that has just been passed on. Another idle one goes.
+// TestConnectionWithPendingRequestIsNotEvicted guards against the loss of a request that has
+// arrived on an idle connection but has not been read yet, as happens on a busy host. Another idle
+// connection is closed instead.
 func TestConnectionWithPendingRequestIsNotEvicted(t *testing.T) {
 	g := newTestRelay(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,7 +128,7 @@
 		caller, err := net.Dial("tcp", inner.Addr().String())
 		assert.NilError(t, err)
 		defer caller.Close()
-		if i == 2 { // two are idle now, and a request comes on the one that was idle for longest
+		if i == 2 { // two are idle now, and a request arrives on the one that has been idle longer
 			fmt.Fprint(callers[0], "POST")
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if link.IsIdle(conns[0]) {
@@ -152,9 +152,8 @@
 	assert.Assert(t, err != nil, "the other idle one is still open")
 }
 
-// All connections that may be held have a request, and their callers keep them open when
-// they have their answers. The next caller must not wait until the idle time is over: an
-// entry that says it is ready would take nobody for seconds after a surge.
+// TestFullListenerAcceptsAgain guards against an entry that accepts no connection for the length of
+// the idle timeout after a surge, because callers keep their connections open after the answer.
 func TestFullListenerAcceptsAgain(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
@@ -176,7 +175,7 @@
 	assert.Equal(t, next.status(), http.StatusOK)
 }
 
-// TestRequestOfCallerWhoLeftIsNotSent guards against work at targets for callers who left
+// TestRequestOfCallerWhoLeftIsNotSent guards against requests sent to targets for callers who left
 // while their request waited for the entry's processor.
 func TestRequestOfCallerWhoLeftIsNotSent(t *testing.T) {
 	g := newTestRelay(t)
@@ -192,11 +191,11 @@
 		return bounds()
 	}
 	c := dial(t, l.Addr().String())
-	// The server looks for the caller's close only once the body is read.
+	// net/http starts to watch for a closed connection only after the body was read.
 	fmt.Fprintf(c, "POST /safe/x HTTP/1.1\r\nHost: %s\r\nAttempt-Id: left\r\nCredential: %s\r\nContent-Length: 4\r\n\r\nbody", host, key)
 	<-held
 	assert.NilError(t, c.Close())
-	time.Sleep(20 * time.Millisecond) // the close is on its way
+	time.Sleep(20 * time.Millisecond) // time for the close to arrive
 	close(release)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if g.relay.InFlight() == 0 {
--- a/relay/log.go
+++ b/relay/log.go
@@ -11,12 +11,12 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// log writes a line about this request.
+// log emits an event with the id of this request.
 func (q *request) log(id event.ID, fields ...event.Field) {
 	q.Log.Emit(id, append([]event.Field{event.Str("request", q.ask.ID)}, fields...)...)
 }
 
-// logSend logs a send, with what decided for its target.
+// logSend logs that the request is sent, with the reasons for the choice of the target.
 func (q *request) logSend(c *board.Choice) {
 	q.log(event.RelaySent,
 		event.Str("target", c.ID), event.Str("service", q.service.Name), event.Int("try", int64(q.attempts.Sent+1)),
@@ -26,7 +26,7 @@
 		event.Uint("version", q.view.Routing.Version), event.Dur("listed", clock.Now().Sub(q.Roster.Proof(chestnutstep.TopicTargets))))
 }
 
-// routeKind names the kind of the request's route in metrics.
+// routeKind returns the kind of the request's route for metrics.
 func (q *request) routeKind() string {
 	if q.route == nil {
 		return "none"
@@ -34,7 +34,7 @@
 	return q.route.Kind.String()
 }
 
-// recordDone logs a request that was served.
+// recordDone counts and logs a request that was served.
 func (q *request) recordDone(t *roster.Target) {
 	q.Meters.Requests.Add(1, q.routeKind(), "ok")
 	q.Meters.Answer.Observe(time.Since(q.startedAt), q.routeKind())
@@ -44,7 +44,7 @@
 		event.Dur("took", time.Since(q.startedAt)), event.Int("last", q.stream.lastID))
 }
 
-// logEnd logs an answer of the relay's own, with what decided it.
+// logEnd counts and logs an answer of the relay itself, with the state that led to it.
 func (q *request) logEnd(f refusal) {
 	q.Meters.Requests.Add(1, q.routeKind(), string(f.reason))
 	id := event.RelayRefused
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay takes callers' requests and brings them to targets without an
-// agent between. Everything that an entry promises its callers there is kept
-// here: a request that may not be repeated is sent once, an answer that is not
-// whole never looks whole, and "not run" is said only when it is true.
+// Package relay forwards callers' requests from an entry directly to targets that have no agent. It
+// maintains the guarantees of an entry to its callers: a request that is not idempotent is not sent
+// again if a target can have run it, an incomplete answer never looks complete, and a refusal
+// reports "not run" only if no target can have run the request.
 package relay
 
 import (
@@ -22,12 +22,12 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// Relay is the handler of callers' requests. Set the fields before use.
+// Relay is the http.Handler for callers' requests. Set the fields before use.
 type Relay struct {
 	Domain string
-	// Regions gives the region of each failure domain.
+	// Regions maps failure domains to regions.
 	Regions map[string]string
-	// Bounds in force; they may change while requests run.
+	// Bounds returns the current limits, which can change while requests are in progress.
 	Bounds  func() config.Bounds
 	Roster  *roster.Roster
 	Board   *board.Board
@@ -37,10 +37,10 @@
 	Crashes *CrashTracker
 	Log     *event.Log
 	Meters  *meter.Relay
-	// IsBehind says that a peer knows a newer configuration than this entry.
+	// IsBehind reports whether a peer has a newer configuration than this entry.
 	IsBehind func() bool
-	// CachesKnown is closed once the entry knows what targets hold, or won't learn it
-	// soon. With nil nobody waits for it.
+	// CachesKnown is closed when the entry has the list of prefixes cached by targets, or does not
+	// expect it soon. If it is nil, requests don't wait for the list.
 	CachesKnown <-chan struct{}
 
 	draining atomic.Bool
@@ -50,10 +50,10 @@
 // Drain makes the relay ask callers to close their connections.
 func (e *Relay) Drain() { e.draining.Store(true) }
 
-// InFlight is how many requests are in progress.
+// InFlight returns the number of requests in progress.
 func (e *Relay) InFlight() int64 { return e.inFlight.Load() }
 
-// request is one request of a caller on its way.
+// request is the state of one request of a caller.
 type request struct {
 	*Relay
 	w    http.ResponseWriter
@@ -71,21 +71,22 @@
 	deadline     time.Time
 	attempts     retry.Attempts
 	triedTargets []string
-	// failureAnswer is a target's own answer of failure, kept for the caller in case
-	// nothing better comes.
+	// failureAnswer is an error response of a target. It is sent to the caller if no other target
+	// serves the request.
 	failureAnswer *bufferedAnswer
-	// stream is what the caller has of a stream already.
+	// stream is the part of a stream that was already sent to the caller.
 	stream stream
-	// callerGone reports that the caller was found to have closed its connection.
+	// callerGone reports whether the caller was found to have closed its connection.
 	callerGone bool
-	// isTrial says that the content has ended targets and that no other of this entry's requests
-	// may run it meanwhile.
+	// isTrial reports whether this is a trial run of a content that has ended targets; no other
+	// request of this entry may run the content meanwhile.
 	isTrial bool
-	// capacity is what was known of the targets' places when none was left; nil before.
+	// capacity is the state of the targets' places when the request was refused for lack of one;
+	// nil otherwise.
 	capacity *board.Admission
 }
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP handles one request of a caller.
 func (e *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -111,22 +112,22 @@
 	}
 }
 
-// refusal is an answer of the relay's own.
+// refusal is an answer of the relay itself.
 type refusal struct {
 	status int
 	reason chestnutstep.Reason
-	// retryAfter is when the caller may come back; 0 for no word on it.
+	// retryAfter is the time after which the caller may retry; 0 omits Retry-After.
 	retryAfter time.Duration
 }
 
-// Error makes a refusal usable as an error.
+// Error returns the reason, so that a refusal can be used as an error.
 func (f refusal) Error() string { return string(f.reason) }
 
-// unreadyRetryAfter is when to come back to an entry that knows no configuration, or
-// none that is surely current: another entry is likely to know one.
+// unreadyRetryAfter is the Retry-After of an entry that has no configuration, or none that is
+// confirmed to be current. Another entry probably has one.
 const unreadyRetryAfter = 200 * time.Millisecond
 
-// accept checks who asks for what, and reads the body.
+// accept matches the route, authenticates the caller, checks the limits, and reads the body.
 func (q *request) accept() *refusal {
 	if q.view == nil {
 		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, unreadyRetryAfter}
@@ -162,7 +163,7 @@
 	return q.readBody(c.Limits.MaxBodyBytes)
 }
 
-// headerBytes is the size of headers on the wire.
+// headerBytes returns the size of the headers on the wire.
 func headerBytes(h http.Header) int {
 	n := 0
 	for name, values := range h {
@@ -173,8 +174,8 @@
 	return n
 }
 
-// refuseUnknown refuses a key or a route that the configuration does not hold, unless
-// a newer one may hold it.
+// refuseUnknown refuses a key or a route that the configuration does not contain. If a newer
+// configuration may contain it, the refusal is temporary.
 func (q *request) refuseUnknown(status int, reason chestnutstep.Reason) *refusal {
 	if q.IsBehind() || !q.isConfigCurrent() {
 		return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, unreadyRetryAfter}
@@ -182,16 +183,16 @@
 	return &refusal{status, reason, 0}
 }
 
-// revokeSafetyRatio is the part of the bound on keys up to which the configuration counts as
-// current. The bound runs from when a caller sent its request, which is before it is
-// checked here, and a proof is never later than it says: the rest is for clocks that
-// don't run alike. Each part less refuses keys sooner
-// after the source has fallen silent.
+// revokeSafetyRatio is the part of MaxRevokeTime for which a confirmed configuration counts as
+// current. MaxRevokeTime runs from when the caller sent its request, which is earlier than this
+// check, and the recorded time of a confirmation is never too late. The remaining part allows for
+// clocks that run at different rates. A smaller ratio makes entries refuse keys sooner after the
+// source has become unreachable.
 const revokeSafetyRatio = 0.94
 
-// isConfigCurrent says whether the configuration is surely new enough to decide on keys.
-// A process that was cut off or suspended would otherwise let in a key that was
-// taken away meanwhile. The boot clock goes on during a suspension.
+// isConfigCurrent reports whether the configuration was confirmed recently enough to decide on
+// keys. Otherwise a process that was cut off or suspended could accept a key that was revoked in
+// the meantime. The boot clock used here also advances during a suspension.
 func (q *request) isConfigCurrent() bool {
 	revoke := q.Bounds().MaxRevokeTime
 	if revoke <= 0 {
@@ -201,7 +202,7 @@
 	return clock.Now().Sub(q.Roster.VersionConfirmedAt()) <= limit
 }
 
-// pickService picks a service of the route by its weights, the same one for all tries.
+// pickService selects a service of the route by weight. All attempts of a request use the same one.
 func (q *request) pickService() string {
 	list := q.route.Splits
 	if len(list) == 1 {
@@ -240,8 +241,8 @@
 	return nil
 }
 
-// readAll reads a body; one whose length is not said up to a byte beyond most. Where the
-// length is said, as it mostly is, nothing is copied on the way.
+// readAll reads a body. If its length is unknown, it reads up to maxBytes+1 bytes. If it is known,
+// as for most requests, it allocates the body once.
 func readAll(r *http.Request, maxBytes int64) ([]byte, error) {
 	if r.ContentLength < 0 {
 		return io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
@@ -251,5 +252,5 @@
 	return body, err
 }
 
-// defaultMaxBodyBytes bounds a body in bytes where the configuration does not.
+// defaultMaxBodyBytes limits the size of a body if the configuration does not.
 const defaultMaxBodyBytes = 4 << 20
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -32,12 +32,12 @@
 	key     = "secret"
 	host    = "shop.example"
 	timeout = 400 * time.Millisecond
-	// stallTimeout is a time limit for tests whose verdict must not depend on how long the machine stood still.
+	// stallTimeout is a timeout for tests whose result must not depend on pauses of the machine.
 	stallTimeout  = 10 * time.Second
 	revokeTimeout = 5 * time.Second
 )
 
-// testRelay is a relay before three targets.
+// testRelay is a relay with its targets, three unless a test needs others.
 type testRelay struct {
 	targets      []*stand.Target
 	order        *stand.Order
@@ -53,13 +53,13 @@
 	return newTestRelayWithTimeout(t, timeout)
 }
 
-// newTestRelayWithTimeout is a rig whose routes have a time limit.
+// newTestRelayWithTimeout returns a testRelay whose routes have the given timeout.
 func newTestRelayWithTimeout(t *testing.T, limit time.Duration) *testRelay {
 	t.Helper()
 	return newTestRelayOf(t, limit, "i-a", "i-b", "i-c")
 }
 
-// newTestRelayOf is a rig before these targets.
+// newTestRelayOf returns a testRelay with the named targets.
 func newTestRelayOf(t *testing.T, limit time.Duration, names ...string) *testRelay {
 	t.Helper()
 	g := &testRelay{order: &stand.Order{}, roster: &roster.Roster{}, routeTimeout: limit}
@@ -84,8 +84,8 @@
 	return g
 }
 
-// newRelay is a relay before the targets of a roster; retries is what its budget allows of
-// its requests and beyond them.
+// newRelay returns a relay for the targets of a roster. retries sets the retry budget: as a ratio
+// of its requests, and a hundred times as much in addition.
 func newRelay(ros *roster.Roster, bounds config.Bounds, retries float64) *relay.Relay {
 	return &relay.Relay{
 		Domain: "d", Bounds: func() config.Bounds { return bounds },
@@ -98,7 +98,7 @@
 	}
 }
 
-// waitArrived waits until so many requests have reached the targets.
+// waitArrived waits until at least minArrived requests have reached the targets.
 func (g *testRelay) waitArrived(t *testing.T, minArrived int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -109,7 +109,7 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// publish puts a version in force whose workspace has these keys.
+// publish applies a configuration version whose workspace has the given keys.
 func (g *testRelay) publish(version uint64, keys ...string) {
 	c := &chestnutstep.Routing{
 		Version:     version,
@@ -137,7 +137,7 @@
 	}}}, false)
 }
 
-// doRequest sends one request on a connection of its own and says what came.
+// doRequest sends one request on a new connection and returns a summary of the answer.
 func (g *testRelay) doRequest(t *testing.T, kind string, headers ...string) string {
 	t.Helper()
 	g.requestCount++
@@ -145,13 +145,13 @@
 	return send(t, g.server, kind, id, "the body of "+id, headers...)
 }
 
-// send sends one request to an entry, on a connection of its own, and says what came.
+// send sends one request to an entry on a new connection and returns a summary of the answer.
 func send(t *testing.T, entry *httptest.Server, kind, id, body string, headers ...string) string {
 	t.Helper()
 	return sendAs(t, entry, key, kind, id, body, headers...)
 }
 
-// sendAs is send with a key.
+// sendAs is like send, with the given key.
 func sendAs(t *testing.T, entry *httptest.Server, key, kind, id, body string, headers ...string) string {
 	t.Helper()
 	path := "/" + kind + "/x"
@@ -187,7 +187,7 @@
 	return out
 }
 
-// ids lists the event ids of a stream.
+// ids returns the event ids of a stream.
 func ids(text string) string {
 	out := ""
 	for _, line := range strings.Split(text, "\n") {
@@ -198,7 +198,7 @@
 	return out
 }
 
-// countRequests says how many requests arrived at targets and how many ran.
+// countRequests returns how many requests arrived at targets, and how many of them ran.
 func (g *testRelay) countRequests() (arrived, ran int) {
 	for _, x := range g.targets {
 		arrived += x.Arrived()
@@ -207,10 +207,10 @@
 	return arrived, ran
 }
 
-// Targets refuse, fail, break off and answer wrongly, in an order that the script
-// gives. A caller whose slot is booked twice, or who is told "not run" of a booking
-// that stands, notices at the door; one who gets half an answer that looks whole
-// may never notice.
+// TestAnswers guards against requests that run twice, refusals that wrongly report "not run", and
+// incomplete answers that look complete, when targets refuse, fail, break off or answer wrongly in
+// the order given by the script. Callers would book a slot twice, or not detect that an answer is
+// incomplete.
 func TestAnswers(t *testing.T) {
 	datadriven.RunTest(t, "testdata/answers", func(t *testing.T, d *datadriven.TestData) string {
 		g := newTestRelay(t)
@@ -234,7 +234,7 @@
 
 func newRoster() *roster.Roster { return &roster.Roster{} }
 
-// markLeaving lets targets leave.
+// markLeaving marks targets as leaving.
 func (g *testRelay) markLeaving(names ...string) {
 	var b chestnutstep.Batch
 	for _, name := range names {
--- a/relay/run.go
+++ b/relay/run.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// busyRetryAfter is when to come back after no target could take the request.
+	// busyRetryAfter is the Retry-After if no target could accept the request.
 	busyRetryAfter = 250 * time.Millisecond
-	// minAttemptTime is the shortest time for which a further target is worth asking.
+	// minAttemptTime is the remaining time below which no further target is tried.
 	minAttemptTime = 20 * time.Millisecond
 )
 
-// run sends the request to targets until one has answered or none is left.
+// run sends the request to one target after the other until one has answered or none is left.
 func (q *request) run() {
 	for {
 		c, refused := q.chooseTarget()
@@ -44,8 +44,9 @@
 	}
 }
 
-// awaitCaches lets a request wait at an entry that has just started, until it is known
-// what targets hold, and no longer than its prefix is worth.
+// awaitCaches delays a request at an entry that has just started until the list of prefixes cached
+// by targets is available. It waits no longer than the time that a cached prefix of this size
+// saves.
 func (q *request) awaitCaches() {
 	if q.CachesKnown == nil || !q.service.IsEngine {
 		return
@@ -59,7 +60,8 @@
 	}
 }
 
-// canRetry says whether another target may be tried, and takes it from the budget.
+// canRetry reports whether the request may be sent to another target, and withdraws the retry from
+// the budget.
 func (q *request) canRetry(err error) bool {
 	if !q.attempts.CanRetry(q.route.IsIdempotent(), q.route.MaxAttempts) {
 		return false
@@ -75,14 +77,13 @@
 	return true
 }
 
-// hasReachedTarget says whether the target saw the request.
+// hasReachedTarget reports whether the target may have received the request.
 func hasReachedTarget(err error) bool {
 	var e link.ErrCall
 	return !errors.As(err, &e) || e.Reason != chestnutstep.ReasonDown
 }
 
-// attempt sends the request to one target. Done says that the caller has its final
-// answer.
+// attempt sends the request to one target. If done is true, the caller has received its answer.
 func (q *request) attempt(c *board.Choice) (done bool, err error) {
 	now, t := clock.Now(), c.Target
 	q.triedTargets = append(q.triedTargets, t.ID)
@@ -125,7 +126,7 @@
 	return true, nil
 }
 
-// countTokens counts where the prompt is expected to come from.
+// countTokens counts the tokens of the prompt by their expected source.
 func (q *request) countTokens(c *board.Choice) {
 	if c.Request.Tokens == 0 {
 		return
@@ -135,7 +136,7 @@
 	q.Meters.PromptTokens.Add(int64(max(c.Request.Tokens-c.ReusableTokens(), 0)), "read")
 }
 
-// buildCall builds the message for a target.
+// buildCall builds the request to a target.
 func (q *request) buildCall(c *board.Choice) *link.Call {
 	h := make(http.Header, len(q.r.Header)+4)
 	for name, values := range q.r.Header {
@@ -176,13 +177,15 @@
 }
 
 const (
-	// verifyRatio is the part of its objective that a request may wait for a connection which
-	// verifies that the target's host is there, and verifyLeast its least time.
+	// verifyRatio is the part of the latency objective for which a request may wait for a
+	// connection that verifies that the target's host is up; minVerifyTimeout is the minimum of
+	// that time.
 	verifyRatio      = 0.25
 	minVerifyTimeout = 250 * time.Millisecond
 )
 
-// dialTimeout bounds the opening of a connection that verifies a host, in time for another one.
+// dialTimeout limits the time to open a connection that verifies a host, so that enough time
+// remains for another target; 0 means no limit.
 func (q *request) dialTimeout(c *board.Choice) time.Duration {
 	if !c.NewConnection || q.route.LatencyObjective <= 0 {
 		return 0
@@ -190,8 +193,10 @@
 	return max(time.Duration(verifyRatio*float64(q.route.LatencyObjective)), minVerifyTimeout)
 }
 
-// onUnresponsive returns what is done when a target's host does not acknowledge the request: a request
-// that may run once more is given up there and goes to another target.
+// onUnresponsive returns the function that is called when the target's host does not acknowledge
+// the request. It reports whether the request must be abandoned there and retried on another
+// target, which requires that the request is idempotent and has attempts left, and that this
+// entry's own link is known to work.
 func (q *request) onUnresponsive(t *roster.Target) func() bool {
 	canRepeat := q.route.IsIdempotent() && q.attempts.Sent+1 < q.route.MaxAttempts
 	return func() bool {
@@ -202,8 +207,8 @@
 	}
 }
 
-// isConnectionHeader says whether the caller's Connection header names a header: such a one
-// belongs to the connection.
+// isConnectionHeader reports whether the caller's Connection header lists the header name, which
+// makes it a hop-by-hop header.
 func (q *request) isConnectionHeader(name string) bool {
 	for _, line := range q.r.Header["Connection"] {
 		for _, token := range splitList(line) {
@@ -215,7 +220,8 @@
 	return false
 }
 
-// urgency puts the more urgent routes first at the target.
+// urgency returns the urgency level for targets: the rank of the workspace or else of the route,
+// limited to 0 to 9.
 func (q *request) urgency() int {
 	rank := q.route.Rank
 	if q.workspace != nil && q.workspace.HasRank {
@@ -224,8 +230,8 @@
 	return min(max(rank, 0), 9)
 }
 
-// fingerprint names the content, so that one that crashes targets is known
-// again when its caller repeats it under another id or key.
+// fingerprint returns the fingerprint of the content. It does not include the id and the key, so
+// that a deadly content is recognized when its caller retries it with others.
 func (q *request) fingerprint() uint64 {
 	return crash.Fingerprint(q.requester().Workspace, q.r.Method+" "+q.r.RequestURI, q.body)
 }
--- a/relay/shed.go
+++ b/relay/shed.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	// maxHeadBytes is how many bytes of a request are looked at.
+	// maxHeadBytes is the number of bytes of a request that are examined.
 	maxHeadBytes = 4 << 10
-	// minShedRetryAfter and shedBackMost bound the time after which a caller may come back.
+	// minShedRetryAfter and maxShedRetryAfter bound the Retry-After of a rejection.
 	minShedRetryAfter = 100 * time.Millisecond
 	maxShedRetryAfter = 4 * time.Second
-	// shedAnswerCount is how many answers with different times are kept ready, and shedSpread
-	// the ratio of the longest time to the shortest among which one is drawn.
+	// shedAnswerCount is the number of prepared answers, each with a different Retry-After.
+	// shedRetrySpread is the ratio of the longest to the shortest time in the range from which one
+	// is drawn.
 	shedAnswerCount = 64
 	shedRetrySpread = 3.0
-	// rejectThreshold is the part from which on requests are refused. Below it refusals cost more
-	// than they save: callers come back on new connections.
+	// rejectThreshold is the reject ratio from which requests are rejected. Below it, rejections
+	// cost more than they save, because callers return on new connections.
 	rejectThreshold = 0.5
-	// maxShedLogged bounds the requests that are logged between two observations.
+	// maxShedLogged limits the rejections that are logged between two observations.
 	maxShedLogged = 2
 )
 
-// Shedder refuses requests unread while the entry's processor is full. A refusal costs a
-// fraction of a request that is parsed, and its connection is closed. Set the fields before
-// use.
+// Shedder rejects requests unread while the entry's processor is overloaded. A rejection closes the
+// connection and costs a fraction of parsing a request. Set the fields before use.
 type Shedder struct {
 	Relay *Relay
 
-	// isShedding reports whether requests are refused.
+	// isShedding reports whether requests are being rejected.
 	isShedding atomic.Bool
 	mu         sync.Mutex
 	shedder    admit.LoadShedder
-	// answers are refusals that are ready to be sent.
+	// answers are the prepared rejections, sorted by Retry-After.
 	answers [][]byte
-	// rejected counts since the last observation.
+	// rejected counts the rejections since the last observation.
 	rejected int
 	logged   int
 }
 
-// Observe takes the usual delay of work that was ready to run, and reports how many requests
-// were refused since the last time.
+// Observe records the typical scheduling delay of work that is ready to run. It returns the number
+// of requests rejected since the last call, and the current reject ratio.
 func (s *Shedder) Observe(now clock.Stamp, delay time.Duration) (rejected int, ratio float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,10 +61,11 @@
 	return rejected, s.shedder.RejectRatio()
 }
 
-// isActive reports whether requests are refused.
+// isActive reports whether requests are being rejected.
 func (s *Shedder) isActive() bool { return s.isShedding.Load() }
 
-// rejection decides on a request by its first bytes. Where it is refused, it returns the answer.
+// rejection decides on a request by its first bytes, and returns the answer if the request is
+// rejected, else nil.
 func (s *Shedder) rejection(head []byte) []byte {
 	id, key := s.Relay.Wire.Peek(head)
 	workspace := s.workspaceOf(key)
@@ -83,7 +84,8 @@
 	return s.pickAnswer()
 }
 
-// workspaceOf names who holds a key; unknown keys count as one.
+// workspaceOf returns the name of the workspace that has the key. All unknown keys count as one
+// workspace with an empty name.
 func (s *Shedder) workspaceOf(key string) string {
 	v := s.Relay.Roster.View()
 	if v == nil {
@@ -95,8 +97,9 @@
 	return ""
 }
 
-// pickAnswer returns a refusal. The less is taken, the later callers may come back; the times are
-// spread, so that they don't return together. The caller holds the lock.
+// pickAnswer returns a prepared rejection. The higher the reject ratio, the longer its Retry-After.
+// The times are spread at random so that callers don't return at the same time. The caller must
+// hold the lock.
 func (s *Shedder) pickAnswer() []byte {
 	const step = (maxShedRetryAfter - minShedRetryAfter) / (shedAnswerCount - 1)
 	if s.answers == nil {
@@ -115,7 +118,7 @@
 	s.Relay.Wire.SetRetryAfter(h, after)
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", http.StatusServiceUnavailable, http.StatusText(http.StatusServiceUnavailable))
-	_ = h.Write(&b) // a bytes.Buffer takes all
+	_ = h.Write(&b) // a bytes.Buffer never returns an error
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
--- a/relay/shed_test.go
+++ b/relay/shed_test.go
@@ -19,20 +19,20 @@
 	"chestnutstep.example/chestnutstep/relay"
 )
 
-// newSheddingListener serves the rig's relay behind a listener that may refuse requests unread.
+// newSheddingListener serves the relay behind a listener that can reject requests unread.
 func newSheddingListener(t *testing.T, g *testRelay, maxConns int) *relay.Listener {
 	t.Helper()
 	return serve(t, g, &relay.Listener{Relay: g.relay, MaxConns: maxConns, Shedder: &relay.Shedder{Relay: g.relay}})
 }
 
-// overload reports a long wait to the listener.
+// overload reports a long scheduling delay to the listener.
 func overload(l *relay.Listener) {
 	for range 40 {
 		l.Shedder.Observe(clock.Now(), time.Second)
 	}
 }
 
-// surge sends requests each on a connection of its own, and counts the answers by status.
+// surge sends n requests, each on a new connection, and counts the answers by status.
 func surge(t *testing.T, l *relay.Listener, n int, message string) map[int]int {
 	t.Helper()
 	got := make(map[int]int)
@@ -59,8 +59,9 @@
 	return got
 }
 
-// TestFullEntryRefusesUnread guards against a processor that is spent on requests which
-// come too late for their callers: the surplus gets a refusal that is true, at once.
+// TestFullEntryRefusesUnread guards against an overloaded entry that spends its processor time on
+// requests whose callers have already timed out. The excess must be rejected immediately, and a
+// rejected request must not reach a target.
 func TestFullEntryRefusesUnread(t *testing.T) {
 	g := newTestRelay(t)
 	l := newSheddingListener(t, g, 64)
@@ -82,7 +83,7 @@
 	assert.Equal(t, surge(t, l, 5, message)[http.StatusOK], 5)
 }
 
-// TestOtherWorkspacesPassAFullEntry guards against small workspaces that are refused for the
+// TestOtherWorkspacesPassAFullEntry guards against small workspaces that are rejected because of a
 // surge of a large one.
 func TestOtherWorkspacesPassAFullEntry(t *testing.T) {
 	g := newTestRelay(t)
@@ -93,12 +94,12 @@
 	overload(l)
 	got := surge(t, l, 20, fmt.Sprintf(format, "unknown"))
 	assert.Assert(t, got[http.StatusServiceUnavailable] > 0, "%v", got)
-	got = surge(t, l, 2, fmt.Sprintf(format, key)) // a fiftieth of what is taken, and less than half of it
+	got = surge(t, l, 2, fmt.Sprintf(format, key)) // a fiftieth of the accepted requests, below the even share of one half
 	assert.Equal(t, got[http.StatusOK], 2, "%v", got)
 }
 
-// TestKeptConnectionsAreRefusedToo guards against a surge on connections that callers keep:
-// their requests are never accepted anew.
+// TestKeptConnectionsAreRefusedToo guards against a surge on persistent connections, whose requests
+// don't pass through Accept.
 func TestKeptConnectionsAreRefusedToo(t *testing.T) {
 	g := newTestRelay(t)
 	l := newSheddingListener(t, g, 64)
@@ -117,7 +118,7 @@
 	assert.Assert(t, refused >= 15, "%d", refused)
 }
 
-// countingListener counts the connections that are asked of it.
+// countingListener counts the calls of SyscallConn.
 type countingListener struct {
 	*net.TCPListener
 	calls atomic.Int64
@@ -128,8 +129,9 @@
 	return l.TCPListener.SyscallConn()
 }
 
-// TestRejectionsYieldToRequests guards against an entry that only refuses: as long as connections wait, nothing else
-// gets its processor, neither answers under way nor callers who leave.
+// TestRejectionsYieldToRequests guards against an entry that does nothing but reject: while
+// connections are waiting, no other goroutine gets the processor, so that answers in progress stall
+// and callers who leave are not detected.
 func TestRejectionsYieldToRequests(t *testing.T) {
 	const callers, turns = 200, 16
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/relay/socket.go
+++ b/relay/socket.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDrainBytes bounds what is read of a request that is refused: a connection that is closed
-// over unread bytes is reset, and the answer may be lost.
+// maxDrainBytes limits the bytes read from a rejected request. If a connection is closed with
+// unread bytes, TCP resets it and the answer can be lost.
 const maxDrainBytes = 256 << 10
 
-// withFD runs a function on the descriptor of a connection or listener.
+// withFD calls f with the file descriptor of a connection or listener.
 func withFD(c any, f func(fd int)) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -25,11 +25,12 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// maxAcceptQueue bounds the connections that wait to be accepted: as many as are refused within
-// a tenth of a second. In a longer queue all wait until their callers give up.
+// maxAcceptQueue limits the queue of connections that wait to be accepted to the number that is
+// rejected within a tenth of a second. In a longer queue all connections would wait until their
+// callers time out.
 const maxAcceptQueue = 512
 
-// BoundQueue bounds the connections that wait at a listener.
+// BoundQueue sets the length of the accept queue of a listener to maxAcceptQueue.
 func BoundQueue(l net.Listener) error {
 	var err error
 	if failed := withFD(l, func(fd int) { err = unix.Listen(fd, maxAcceptQueue) }); failed != nil {
@@ -49,8 +50,8 @@
 	return pending
 }
 
-// acceptNonblock accepts a connection that waits; it reports false where none does. What comes
-// with a connection for its use in Go is left out, as most of them are closed at once.
+// acceptNonblock accepts a waiting connection; ok is false if there is none. It does not create a
+// net.Conn, as most of these connections are closed immediately.
 func acceptNonblock(l net.Listener) (fd int, ok bool) {
 	err := withFD(l, func(listener int) {
 		var err error
@@ -60,7 +61,7 @@
 	return fd, ok && err == nil
 }
 
-// readNonblock reads what waits, without waiting for more.
+// readNonblock reads the available bytes without blocking.
 func readNonblock(fd int, b []byte) int {
 	n, _, err := unix.Recvfrom(fd, b, unix.MSG_DONTWAIT)
 	if err != nil {
@@ -69,7 +70,8 @@
 	return n
 }
 
-// rejectFD answers and closes; more says that there may be more bytes to be read.
+// rejectFD sends the answer and closes the descriptor. more reports whether unread bytes may
+// remain.
 func rejectFD(fd int, answer []byte, more bool) {
 	if more {
 		drainFD(fd)
@@ -78,7 +80,7 @@
 	_ = unix.Close(fd)
 }
 
-// drainFD reads what waits and drops it.
+// drainFD reads and discards the available bytes.
 func drainFD(fd int) {
 	var b [maxHeadBytes]byte
 	for read := 0; read < maxDrainBytes; {
@@ -90,10 +92,10 @@
 	}
 }
 
-// drain reads what waits at a connection and drops it.
+// drain reads and discards the available bytes of a connection.
 func drain(c net.Conn) { _ = withFD(c, drainFD) }
 
-// connFromFD makes a connection of a descriptor, which it takes over.
+// connFromFD returns a net.Conn for a descriptor and takes ownership of the descriptor.
 func connFromFD(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "caller")
 	defer f.Close()
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -16,19 +16,19 @@
 	"chestnutstep.example/chestnutstep/link"
 )
 
-// maxEventBytes bounds one event of a stream in bytes.
+// maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// stream is what the caller has of a stream.
+// stream is the state of the stream sent to the caller.
 type stream struct {
 	started bool
 	lastID  int64
-	// events counts those of the present target.
+	// events counts the events received from the current target.
 	events int64
 }
 
-// forwardEvents passes events on as they come, each whole. A target may break off in
-// the middle of one: had the first half gone out, nothing could follow it.
+// forwardEvents forwards each event when it was received completely. If a target breaks off in the
+// middle of an event, a part that was already sent could not be continued by another target.
 func (q *request) forwardEvents(run *board.Attempt, a *link.Response) error {
 	flush := http.NewResponseController(q.w)
 	br := bufio.NewReaderSize(a, 1<<10)
@@ -62,19 +62,19 @@
 	}
 }
 
-// checkOrder says whether an event is the one that follows.
+// checkOrder returns an error if the event is not the next one.
 func (q *request) checkOrder(id int64) error {
 	if q.stream.started && id != q.stream.lastID+1 {
 		return link.ErrCall{
 			Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed,
-			Err: errors.Newf("event %d after %d", id, q.stream.lastID),
+			Err: errors.Newf("stream out of order: event %d after %d", id, q.stream.lastID),
 		}
 	}
 	return nil
 }
 
-// writeHead sends the head of the answer before the first event. It is that of the
-// first target also when others go on.
+// writeHead sends the head of the answer before the first event. If another target continues the
+// stream, the head remains that of the first one.
 func (q *request) writeHead(a *link.Response) {
 	if q.stream.started {
 		return
@@ -85,11 +85,11 @@
 	q.w.WriteHeader(a.Status)
 }
 
-// finishStream ends a stream; one without events has a head all the same.
+// finishStream ends a stream. A stream without events still needs a head.
 func (q *request) finishStream(a *link.Response) { q.writeHead(a) }
 
-// readEvent reads up to the blank line that ends an event. At the end of the
-// body it returns io.EOF, with what was left over.
+// readEvent reads up to the blank line that ends an event. At the end of the body it returns io.EOF
+// with the remaining bytes.
 func readEvent(br *bufio.Reader) (raw []byte, id int64, err error) {
 	for {
 		line, err := br.ReadSlice('\n')
@@ -98,7 +98,7 @@
 			return raw, 0, err
 		}
 		if len(raw) > maxEventBytes {
-			return raw, 0, errors.New("event too large")
+			return raw, 0, errors.New("stream event too large")
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
@@ -107,7 +107,7 @@
 		if rest, ok := bytes.CutPrefix(text, []byte("id:")); ok {
 			id, err = strconv.ParseInt(string(bytes.TrimSpace(rest)), 10, 64)
 			if err != nil {
-				return raw, 0, errors.Wrap(err, "event id")
+				return raw, 0, errors.Wrap(err, "parse event id")
 			}
 		}
 	}
--- a/relay/silent_test.go
+++ b/relay/unresponsive_test.go
@@ -15,7 +15,8 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// unresponsiveHost is a host that takes connections and, once its buffers are full, acknowledges nothing.
+// unresponsiveHost is a host that accepts connections and acknowledges nothing once its buffers are
+// full.
 type unresponsiveHost struct {
 	net.Listener
 	accepted atomic.Int32
@@ -32,7 +33,7 @@
 	}
 }
 
-// addUnresponsiveHost adds a target whose host is deaf.
+// addUnresponsiveHost adds a target on an unresponsive host.
 func (g *testRelay) addUnresponsiveHost(t *testing.T) *unresponsiveHost {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +48,7 @@
 	return d
 }
 
-// keepLinkActive lets another target answer all the time.
+// keepLinkActive makes another target answer continuously.
 func (g *testRelay) keepLinkActive(t *testing.T) {
 	v := g.roster.View()
 	x := v.ByID["i-a"]
@@ -61,7 +62,8 @@
 	}()
 }
 
-// send asks for a safe answer with a body that fits no socket's buffers.
+// sendLargeBody sends a safe request whose body exceeds all socket buffers, and returns the status
+// and the duration.
 func (g *testRelay) sendLargeBody(t *testing.T, id string) (int, time.Duration) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, g.server.URL+"/safe/x", strings.NewReader(strings.Repeat("x", 3500<<10)))
@@ -76,8 +78,8 @@
 	return resp.StatusCode, time.Since(began)
 }
 
-// TestUnresponsiveHostIsAbandonedInTime guards against requests that wait for a dead host until TCP gives
-// its connection up, though another target could serve them in time.
+// TestUnresponsiveHostIsAbandonedInTime guards against requests that wait for an unresponsive host
+// until TCP closes the connection, although another target could serve them in time.
 func TestUnresponsiveHostIsAbandonedInTime(t *testing.T) {
 	const tcpTimeout = 1200 * time.Millisecond
 	g := newTestRelayWithTimeout(t, 5*time.Second)
@@ -91,8 +93,8 @@
 	assert.Assert(t, d.accepted.Load() > 0, "no request went to the dead host")
 }
 
-// TestOwnLinkFailureIsNotTheTargets guards against an entry whose own link is down or full giving up
-// request after request, at targets that are sound.
+// TestOwnLinkFailureIsNotTheTargets guards against an entry whose own link is down or saturated and
+// which therefore abandons request after request on healthy targets.
 func TestOwnLinkFailureIsNotTheTargets(t *testing.T) {
 	b := &board.Board{}
 	g := newTestRelay(t)
--- a/relay/validate.go
+++ b/relay/validate.go
@@ -17,8 +17,8 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// validate says whether an answer's head can be that of the request, and whether
-// it says that the request ran.
+// validate checks whether the head of an answer belongs to this request. The error reports whether
+// the target ran the request.
 func (q *request) validate(a *link.Response, headers chestnutstep.TargetHeaders) error {
 	switch {
 	case headers.NotRun && (headers.ID == "" || headers.ID == q.ask.ID):
@@ -26,16 +26,16 @@
 		if headers.Misdirected {
 			reason = chestnutstep.ReasonDead
 		}
-		return link.ErrCall{Run: chestnutstep.RunNo, Reason: reason, Err: errors.Newf("status %d", a.Status)}
+		return link.ErrCall{Run: chestnutstep.RunNo, Reason: reason, Err: errors.Newf("target did not run the request: status %d", a.Status)}
 	case headers.ID != q.ask.ID:
-		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed, Err: errors.Newf("answer to %q", headers.ID)}
+		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed, Err: errors.Newf("response belongs to another request: %q", headers.ID)}
 	case !headers.IsSigned || a.Header.Get("Content-Encoding") != "":
-		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, Err: errors.Newf("status %d, not the target's own", a.Status)}
+		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, Err: errors.Newf("response with status %d is unsigned or has a content encoding", a.Status)}
 	}
 	return nil
 }
 
-// recordFailure takes note of a try without a usable answer.
+// recordFailure records an attempt without a usable answer.
 func (q *request) recordFailure(run *board.Attempt, t *roster.Target, err error) {
 	now := clock.Now()
 	var e link.ErrCall
@@ -59,10 +59,10 @@
 	q.recordTargetEnd(t, e, callerLeft)
 }
 
-// recordTargetEnd takes note of what a failure says of whether its target has ended.
+// recordTargetEnd passes a failure to the CrashTracker if it can mean that the target has ended.
 func (q *request) recordTargetEnd(t *roster.Target, e link.ErrCall, callerLeft bool) {
 	if listed := q.Roster.View().ByID[t.ID]; listed == nil || listed.Leaving || listed.StartedMs != t.StartedMs {
-		return // it ends as planned, or has ended before
+		return // the end is planned, or the target has already ended
 	}
 	u := UnfinishedRun{Target: t, Content: q.content, Events: q.stream.events, CallerLeft: callerLeft}
 	switch {
@@ -77,8 +77,8 @@
 	}
 }
 
-// awaitProof finds out whether a target has ended whose connection broke. Its caller's next try must
-// not be faster than that.
+// awaitProof waits until a probe has found whether the target of a broken connection has ended, for
+// up to proofTimeout. The content must not be retried before that.
 func (q *request) awaitProof(u UnfinishedRun) {
 	probeDone := q.Crashes.RecordBroken(clock.Now(), q.Pool, u)
 	limit := time.NewTimer(proofTimeout)
@@ -90,7 +90,7 @@
 	}
 }
 
-// outcome is what a failure says of the target's health.
+// outcome converts a failure to its meaning for the target's health.
 func outcome(e link.ErrCall, callerLeft bool) board.Outcome {
 	switch {
 	case callerLeft:
@@ -110,13 +110,13 @@
 	}
 }
 
-// isTimeout says that nothing answered in time.
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// finalRefusal is the final answer after the last try failed.
+// finalRefusal returns the final answer after the last attempt failed.
 func (q *request) finalRefusal(err error) refusal {
 	if q.attempts.NotRun() {
 		reason := chestnutstep.ReasonTarget
@@ -136,7 +136,7 @@
 	return refusal{http.StatusBadGateway, chestnutstep.ReasonLink, 0}
 }
 
-// answerFinal gives the caller the final answer that the tries allow.
+// answerFinal sends the final answer that is true after all attempts.
 func (q *request) answerFinal(f refusal) {
 	switch {
 	case q.hasCallerLeft():
@@ -144,7 +144,7 @@
 		q.log(event.RelayCanceled, event.Int("tries", int64(q.attempts.Sent)))
 	case q.stream.started:
 		q.logEnd(refusal{0, f.reason, 0})
-		panic(http.ErrAbortHandler) // a stream that ends early must not look whole
+		panic(http.ErrAbortHandler) // an incomplete stream must not look complete
 	case q.failureAnswer != nil:
 		q.failureAnswer.write(q.w)
 		q.logEnd(refusal{q.failureAnswer.status, f.reason, 0})
@@ -155,7 +155,7 @@
 	}
 }
 
-// refuse writes an answer of the relay's own.
+// refuse sends an answer of the relay itself.
 func (q *request) refuse(f refusal) {
 	if f.retryAfter > 0 {
 		q.Wire.SetRetryAfter(q.w.Header(), f.retryAfter)
--- a/relay/wait_test.go
+++ b/relay/wait_test.go
@@ -9,10 +9,10 @@
 	"chestnutstep.example/chestnutstep/place"
 )
 
-// All entries lost power, and callers come back before an entry knows what targets
-// hold. Sent at once, long prefixes are read anew, and all who come behind wait for
-// it. So they wait a little, and are served also when the word never comes, by a
-// service without caches, and by an entry that knows.
+// TestLongPrefixWaitsForCaches guards against requests sent before an entry that has just started
+// has the list of prefixes cached by targets. After all entries have restarted, long prefixes would
+// be computed again, and all later requests would wait for that. Requests wait for a limited time
+// and are then served without the list; requests to a service without caches don't wait.
 func TestLongPrefixWaitsForCaches(t *testing.T) {
 	const long = "Prefix-Hash: aa:6000,bb:10\r\n"
 	g := newTestRelay(t)
