--- a/retry/allowance.go
+++ b/retry/allowance.go
@@ -1,5 +1,7 @@
-// Package retry decides which refusals and breaks an entry may answer by trying
-// again, where, and out of which budget; and what the caller hears otherwise.
+// Package retry decides whether and where an entry retries a request after a refusal or a broken
+// answer, limits the retries by budgets, and maps each reason to the reply that the caller
+// receives. It ensures that retries add only a bounded share to the load during an outage, and that
+// a request which is not idempotent is never sent again once a target may have run it.
 package retry
 
 import (
@@ -9,40 +11,40 @@
 )
 
 const (
-	// DefaultRatio is the repeats allowed for each first offer. A tenth carries
-	// the crashes and broken links of ordinary days; in an outage it adds at
-	// most a tenth to the load of what is left.
+	// DefaultRatio is the number of retries allowed per first offer. A tenth covers the crashes and
+	// broken links of normal operation; in an outage it adds at most a tenth to the load of the
+	// remaining targets.
 	DefaultRatio = 0.1
-	// StepRatio is the steps down the ranking allowed for each first offer.
-	// Near a cap of 1.25 times the mean a request takes half a step on average;
-	// one whole step leaves room for twice that, and at saturation holds the
-	// offers at two for each request where tries alone would make them many.
+	// StepRatio is the number of steps down the ranking allowed per first offer. With a cap of 1.25
+	// times the mean, a request takes half a step on average; one step allows twice that. At
+	// saturation it limits the offers to two per request, where a limit of attempts alone would
+	// allow many.
 	StepRatio = 1.0
-	// DefaultRate is the repeats a second that an entry may always make. A
-	// quiet entry would otherwise earn its first repeat after ten requests. 350
-	// entries that all use it add 175 a second, under one part in a hundred of
-	// the 24,500 first offers they carry.
+	// DefaultRate is the number of retries per second that an entry can always make. Otherwise a
+	// quiet entry would earn its first retry only after ten requests. 350 entries that all use it
+	// add 175 retries per second, less than one percent of the 24,500 first offers that they
+	// handle.
 	DefaultRate = 0.5
-	// DefaultCapacity bounds what is saved up. 20 repeats are three seconds' worth
-	// at 70 requests a second: a quiet hour must not pay for a wave.
+	// DefaultCapacity limits the saved retries. 20 retries are earned in three seconds at 70
+	// requests per second: a quiet hour must not pay for a burst of retries.
 	DefaultCapacity = 20
 )
 
-// TokenBucket implements chestnutstep.Allowance: a token bucket that traffic and,
-// a little, time refill. It answers an outage in which many requests fail at
-// once: counted for each request, three tries triple the load on what is left,
-// and hold it down when the rest returns. Counted as a share of traffic, the
-// repeats of an outage never exceed that share.
+// TokenBucket implements chestnutstep.Allowance as a token bucket that is refilled by first offers
+// and, at a low rate, by time. It limits retries during an outage in which many requests fail at
+// once. With a limit per request instead, three attempts would triple the load on the remaining
+// targets and keep them overloaded when the others return. With a share of the traffic, the retries
+// never exceed that share.
 //
-// Set the fields before the first call. It is not safe for concurrent use.
+// Set the fields before the first call. A TokenBucket is not safe for concurrent use.
 type TokenBucket struct {
-	// Ratio is the repeats earned by each first offer; DefaultShare when 0.
+	// Ratio is the number of retries earned per first offer; 0 means DefaultRatio.
 	Ratio float64
-	// Rate is the repeats earned a second; DefaultFloor when 0.
+	// Rate is the number of retries earned per second; 0 means DefaultRate.
 	Rate float64
-	// Capacity bounds what is saved; DefaultBank when 0.
+	// Capacity limits the saved retries; 0 means DefaultCapacity.
 	Capacity float64
-	// Initial is what there is at the first call; 1 when 0.
+	// Initial is the number of retries at the first call; 0 means 1.
 	Initial float64
 
 	tokens     float64
@@ -51,9 +53,9 @@
 
 var _ chestnutstep.RetryBudget = (*TokenBucket)(nil)
 
-// NewStepBudget returns the budget for steps down the ranking. It is apart from that of
-// repeats: a step follows a true "not run" and costs a target one refused
-// offer, a repeat costs it a whole request.
+// NewStepBudget returns the budget for steps down the ranking. It is separate from the budget for
+// retries: a step follows a confirmed "not run" and costs a target one refused offer, whereas a
+// retry costs it a whole request.
 func NewStepBudget() *TokenBucket {
 	return &TokenBucket{Ratio: StepRatio}
 }
@@ -91,13 +93,13 @@
 	b.tokens = min(b.tokens+n, b.Capacity)
 }
 
-// Deposit counts a first offer.
+// Deposit adds the earnings of one first offer.
 func (b *TokenBucket) Deposit(now time.Time) {
 	b.refill(now)
 	b.add(b.Ratio)
 }
 
-// TryWithdraw takes one repeat from the budget; false means that none is left.
+// TryWithdraw takes one retry from the budget, and reports whether there was one.
 func (b *TokenBucket) TryWithdraw(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
--- a/retry/answer.go
+++ b/retry/answer.go
@@ -7,48 +7,49 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// scope is how far a reason reaches.
+// scope is the set of targets to which a reason applies.
 type scope uint8
 
 const (
-	// all: every target would say the same.
+	// scopeAll: every target would give the same reason.
 	scopeAll scope = iota
-	// here: it is a matter of this target, and another may take the request.
+	// scopeTarget: the reason applies to this target, and another one may accept the request.
 	scopeTarget
-	// broken: the target or the link failed during the run.
+	// scopeFailed: the target or the link failed during the run.
 	scopeFailed
 )
 
-// Reply is what a caller hears for a reason, in HTTP's terms.
+// Reply is the HTTP reply to the caller for a reason.
 type Reply struct {
 	// Status is the HTTP status.
 	Status int
-	// Title of the problem document, in plain words.
+	// Title of the problem document.
 	Title string
-	// Retryable says that the caller may come back with the same request, so that a
-	// Retry-After makes sense.
+	// Retryable reports whether the caller can repeat the same request, so that Retry-After is
+	// useful.
 	Retryable bool
-	// RetryAfter is when to come back if nothing better is known.
+	// RetryAfter is the default time after which the caller can retry.
 	RetryAfter time.Duration
 
 	scope scope
 }
 
 const (
-	// shortRetryAfter is for what passes within a second or so: a place comes free, a
-	// link comes back.
+	// shortRetryAfter is for conditions that pass within about a second: a place becomes free, or a
+	// link is restored.
 	shortRetryAfter = time.Second
-	// longRetryAfter is for what takes a cold start or an operator's move to pass.
+	// longRetryAfter is for conditions that last as long as a cold start or an operator's
+	// intervention.
 	longRetryAfter = 5 * time.Second
 )
 
-// replyByReason is the one table from reasons to what callers hear.
+// replyByReason maps every reason to the reply to the caller.
 //
-// 422 is for condemned content: the request is well formed and will never be
-// served as it is. 409 is for a ticket that another request spent, or that
-// carries a tombstone: the caller's view conflicts with what is recorded. 410
-// is for tickets whose agent or slot is gone for good: no repeat will tell
-// more. A refusal by ticket is never 503, as clients repeat that by themselves.
+// 422 is for condemned content: the request is well formed but will never be served in this form.
+// 409 is for a ticket that was used by another request or has a tombstone: the caller's state
+// conflicts with the recorded one. 410 is for a ticket whose agent or slot is gone permanently, so
+// that a retry gives no other result. A refusal because of the ticket is never 503, as clients
+// retry that automatically.
 var replyByReason = map[chestnutstep.Reason]Reply{
 	chestnutstep.ReasonFull:    {503, "The targets are at their load cap.", true, shortRetryAfter, scopeTarget},
 	chestnutstep.ReasonCold:    {503, "The target is in cold start.", true, longRetryAfter, scopeTarget},
@@ -91,13 +92,11 @@
 	chestnutstep.ReasonBusy:    {503, "The entry has too many requests in progress.", true, shortRetryAfter, scopeAll},
 }
 
-// statusCanceled is the status that proxies log for a caller who left; nobody
-// is there to read it.
+// statusCanceled is the status that proxies log when the caller has left. No caller receives it.
 const statusCanceled = 499
 
-// ReplyFor returns what a caller hears for a reason. A reason that is missing
-// here comes from a newer process: its caller hears that the gateway failed,
-// and is not asked to come back.
+// ReplyFor returns the reply for a reason. An unlisted reason comes from a newer process: the reply
+// is a gateway error and is not retryable.
 func ReplyFor(reason chestnutstep.Reason) Reply {
 	r, ok := replyByReason[reason]
 	if !ok {
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// budgetSafetyRatio is the part of the fleet's budget that entries use: they count
-	// for themselves, and their windows don't begin together.
+	// budgetSafetyRatio is the part of the fleet's budget that entries use. Each entry counts on
+	// its own, and their windows don't start at the same time.
 	budgetSafetyRatio = 0.7
 )
 
-// Bounds is what all entries together may repeat: Share of first sends, and
-// Slack beyond it within Window.
+// Bounds limits the retries of all entries together: Ratio of the first sends, plus Slack per
+// Window.
 type Bounds struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Budgets bounds the repeats to each service, over all entries. Each entry earns
-// a share of its own first sends and its part of what the fleet may send beyond
-// that. It answers an outage in which most requests fail: repeated freely, they
-// would double the load on what is left. It is safe for concurrent use.
+// Budgets limits the retries per service across all entries. Each entry earns a share of its own
+// first sends and its part of the fleet's slack. This bounds the load in an outage in which most
+// requests fail: without a limit, retries would double the load on the remaining targets. Budgets
+// is safe for concurrent use.
 type Budgets struct {
-	// Bounds of the fleet, which may change.
+	// Bounds returns the limits of the fleet, which can change.
 	Bounds func() Bounds
-	// Entries is how many entries share Slack.
+	// Entries returns the number of entries that share Slack.
 	Entries func() int
 
 	mu      sync.Mutex
@@ -45,23 +45,23 @@
 	bounds := b.Bounds()
 	a.Ratio = budgetSafetyRatio * bounds.Ratio
 	slack := budgetSafetyRatio * bounds.Slack / float64(max(b.Entries(), 1))
-	// Half at once, half over the window: no window gets more than the whole. Among
-	// many entries a part is less than one repeat: it is saved up, as one given to
-	// each at its start would make more repeats than the whole fleet may.
+	// Half of the slack is available immediately and half over the window, so that no window
+	// exceeds the total. With many entries, the part of one entry is less than one retry and
+	// accumulates. An initial retry for each entry would exceed the limit of the whole fleet.
 	a.Capacity = max(slack/2, 1)
 	a.Initial = slack / 2
 	a.Rate = slack / 2 / max(bounds.Window, time.Second).Seconds()
 	return a
 }
 
-// Earn counts a first send.
+// Earn adds the earnings of one first send.
 func (b *Budgets) Earn(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bucket(service).Deposit(now)
 }
 
-// Spend takes one repeat; false means that none is left.
+// Spend takes one retry from the budget, and reports whether there was one.
 func (b *Budgets) Spend(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -12,13 +12,12 @@
 	"chestnutstep.example/chestnutstep/retry"
 )
 
-// fleetBounds are those of an installation: a fifth of the requests, and 56 more, in
-// any ten seconds.
+// fleetBounds are realistic limits: a fifth of the requests plus 56 in any ten seconds.
 var fleetBounds = retry.Bounds{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 
-// A service fails all that it gets. Every entry repeats every request as often as it
-// may, and what is left of the service gets twice its load. The bound is over all
-// entries, whatever share of the callers each has.
+// TestBudgetsOverAllEntries guards against retries that double the load when a service fails all
+// requests. The limit must hold for all entries together, regardless of how the callers are
+// distributed over them.
 func TestBudgetsOverAllEntries(t *testing.T) {
 	for _, entries := range []int{1, 5, 24} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
@@ -51,14 +50,14 @@
 				sum += repeats
 				assert.Assert(t, float64(repeats) <= 0.2*float64(sent)+56, "%d repeats of %d", repeats, sent)
 			}
-			assert.Assert(t, sum > 0, "nothing is ever repeated")
+			assert.Assert(t, sum > 0, "no request was retried")
 		})
 	}
 }
 
-// A fleet of the planned size starts anew while a service fails: each entry's first
-// request fails, and each repeats it. What every entry may do once, 350 do at once,
-// and what is left of the service gets twice its load.
+// TestBudgetsOfManyEntriesThatJustStarted guards against a burst of retries when 350 entries start
+// while a service fails. If each entry had one initial retry, the remaining targets would receive
+// twice their load.
 func TestBudgetsOfManyEntriesThatJustStarted(t *testing.T) {
 	const entries = 350
 	now, repeats := time.Unix(0, 0), 0
@@ -75,9 +74,10 @@
 	assert.Assert(t, float64(repeats) <= 0.2*entries+56, "%d repeats", repeats)
 }
 
-// However the tries of a request end: what is not idempotent is never sent again once
-// it may have run, no more targets than the route allows may run it, and "not run" is
-// said only when no try may have run. A caller who is told "not run" books again.
+// TestAttempts guards against three faults, for any sequence of results: a request that is not
+// idempotent is sent again although it may have run, more targets run a request than the route
+// allows, or "not run" is reported although an attempt may have run. A caller who receives a wrong
+// "not run" books twice.
 func TestAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var attempts retry.Attempts
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -17,8 +17,8 @@
 	"chestnutstep.example/chestnutstep/script"
 )
 
-// parseReasons reads every reason of the root package from its source, so that one
-// which is added later can't be forgotten here.
+// parseReasons parses all reasons from the source of the root package, so that none can be missing
+// in the test.
 func parseReasons(t *testing.T) []chestnutstep.Reason {
 	f, err := parser.ParseFile(token.NewFileSet(), "../chestnutstep.go", nil, 0)
 	assert.NilError(t, err)
@@ -35,8 +35,8 @@
 	return all
 }
 
-// The table in testdata/reasons is the whole of what callers hear and entries
-// do, one reason a line: a change of policy shows as a change of that file.
+// TestEveryReason guards against unintended changes of policy: testdata/reasons lists the reply to
+// callers and the actions of entries for every reason, one per line.
 func TestEveryReason(t *testing.T) {
 	datadriven.RunTest(t, "testdata/reasons", func(t *testing.T, _ *datadriven.TestData) string {
 		var out strings.Builder
@@ -56,18 +56,17 @@
 
 func actionName(v Action) string { return [...]string{"end", "move", "attach", "repeat"}[v] }
 
-// fleetSim is the load of one model, second by second: what it can serve, what is
-// offered, and how much of what it takes above that is wasted on callers who
-// give up midway.
+// fleetSim simulates the load of one model in steps of a second: its capacity, the offers, and the
+// work that is wasted above the capacity on callers who give up.
 type fleetSim struct {
 	load        int
 	maxAttempts int
 	allowed     func(now time.Time) bool
 	recordFirst func(now time.Time)
-	waiting     [3]int // attempts of this second, by how many went before
+	waiting     [3]int // attempts of this second, by the number of earlier attempts
 }
 
-// simulateSecond plays one second and returns the offers and what was served.
+// simulateSecond simulates one second and returns the numbers of offers and of served requests.
 func (f *fleetSim) simulateSecond(now time.Time, capacity int) (offers, served int) {
 	f.waiting[0] = f.load
 	for range f.load {
@@ -91,8 +90,8 @@
 	return offers, served
 }
 
-// simulateOutage takes half of the capacity away for 20 seconds and gives it back. It
-// returns the most offers of a second, and what is served 20 seconds later.
+// simulateOutage halves the capacity for 20 seconds and then restores it. It returns the maximum
+// number of offers in a second, and the requests served per second 20 seconds after the outage.
 func simulateOutage(f *fleetSim) (maxOffers, served int) {
 	for n := range 60 {
 		capacity := 80
@@ -106,10 +105,10 @@
 	return maxOffers, served
 }
 
-// Half of the targets fail and return. With plain repeats the offers triple, and
-// the repeats alone keep the fleet saturated after it is whole again: callers
-// see errors until someone stops the traffic. With the budget the offers grow
-// by its share, and all is served when the targets are back.
+// TestOutageCausesNoRetryStorm guards against a retry storm when half of the targets fail and
+// return. With unlimited retries the offers triple and keep the fleet saturated after the targets
+// have returned. With the budget the offers grow only by its share, and all requests are served
+// afterwards.
 func TestOutageCausesNoRetryStorm(t *testing.T) {
 	var b TokenBucket
 	maxOffers, served := simulateOutage(&fleetSim{load: 70, maxAttempts: 3, allowed: b.TryWithdraw, recordFirst: b.Deposit})
@@ -119,14 +118,14 @@
 	})
 	t.Logf("70 requests a second, 80 can be served: at most %d offers and %d served after the outage; plain repeats %d and %d",
 		maxOffers, served, plainOffers, plainServed)
-	assert.Assert(t, maxOffers <= 70+DefaultCapacity, "the bank is all that adds to the share")
+	assert.Assert(t, maxOffers <= 70+DefaultCapacity, "more offers than the load and the capacity of the bucket allow")
 	assert.Equal(t, served, 70)
 	assert.Assert(t, plainOffers > 150 && plainServed < 40)
 }
 
-// All targets are full, and each request is offered down the ranking. With tries
-// alone each one costs five offers while there is least to spare; the budget of
-// steps holds it at two.
+// TestSaturationBoundsSteps guards against many offers per request when all targets are full. A
+// limit of attempts alone would allow five offers per request; the budget of steps limits them to
+// two.
 func TestSaturationBoundsSteps(t *testing.T) {
 	const tries, requests = 5, 10000
 	steps := NewStepBudget()
@@ -143,19 +142,19 @@
 	assert.Assert(t, offers <= 2*requests+requests/70+DefaultCapacity)
 }
 
-// An entry that carries a request every few seconds loses its link. Its budget
-// of a share would refuse the one repeat that it needs.
+// TestQuietEntryMayRepeat guards against a budget that refuses the only retry of an entry with
+// little traffic, because its share of that traffic is less than one retry.
 func TestQuietEntryMayRepeat(t *testing.T) {
 	var b TokenBucket
 	b.Deposit(script.Epoch)
 	assert.Assert(t, b.TryWithdraw(script.Epoch))
 	assert.Assert(t, !b.TryWithdraw(script.Epoch))
 	assert.Assert(t, b.TryWithdraw(script.Epoch.Add(2*time.Second)))
-	assert.Assert(t, !b.TryWithdraw(script.Epoch.Add(time.Second)), "a clock that goes back earns nothing")
-	night := script.Epoch.Add(10 * time.Hour)
+	assert.Assert(t, !b.TryWithdraw(script.Epoch.Add(time.Second)), "a retry was earned by a clock that went back")
+	later := script.Epoch.Add(10 * time.Hour)
 	n := 0
-	for b.TryWithdraw(night) {
+	for b.TryWithdraw(later) {
 		n++
 	}
-	assert.Equal(t, n, DefaultCapacity, "a quiet night must not pay for a wave")
+	assert.Equal(t, n, DefaultCapacity, "a quiet period saved more than the capacity")
 }
--- a/retry/verdict.go
+++ b/retry/verdict.go
@@ -5,27 +5,27 @@
 // Action is what an entry does after a refusal or a broken answer.
 type Action uint8
 
-// The verdicts.
+// The possible actions.
 const (
-	// End gives the caller the answer at once.
+	// End returns the answer to the caller immediately.
 	End Action = iota
-	// NextTarget offers the request to the next target of the ranking, out of the
-	// budget of Steps.
+	// NextTarget offers the request to the next target of the ranking. It is paid from the step
+	// budget.
 	NextTarget
-	// Reattach joins the request again at the same agent, by id and offset. It
-	// runs nothing anew and needs no budget.
+	// Reattach attaches to the same run again at the same agent, by id and offset. It starts no new
+	// run and needs no budget.
 	Reattach
-	// Repeat offers the request anew, out of the budget of repeats.
+	// Repeat offers the request again. It is paid from the retry budget.
 	Repeat
 )
 
-// Decide says how an entry may go on after a refusal or a break.
+// Decide returns the action of an entry after a refusal or a broken answer.
 //
-// A request that is not idempotent never leaves its agent: its ticket binds it
-// there, and no reason allows another run. An idempotent one moves on where the
-// next target may well say otherwise, and is repeated where a target failed it.
-// Reasons that the next target would give too end at once: moving on would make
-// every bad request cost as many offers as there are tries.
+// A request that is not idempotent never leaves its agent: its ticket binds it to that agent, and
+// no reason allows a second run. An idempotent request moves to the next target if that one may
+// accept it, and is repeated if a target failed during the run. Reasons that apply to all targets
+// end the request immediately; otherwise every invalid request would cost as many offers as there
+// are attempts.
 func Decide(reason chestnutstep.Reason, run chestnutstep.RunStatus, idempotent bool) Action {
 	if reason == chestnutstep.ReasonLink && run != chestnutstep.RunNo {
 		return Reattach
--- a/retry/verdicts.go
+++ b/retry/verdicts.go
@@ -2,22 +2,22 @@
 
 import "chestnutstep.example/chestnutstep"
 
-// Attempts sums up what the tries of one request proved. It is the one place that
-// says whether "not run" would be true.
+// Attempts summarizes the results of all attempts of one request. It is the only place that decides
+// whether "not run" is true.
 type Attempts struct {
-	// Sent is how many targets the request was sent to.
+	// Sent counts the targets to which the request was sent.
 	Sent int
-	// Unreached is how many could not be reached: nothing was sent.
+	// Unreached counts the targets that could not be reached, so that nothing was sent.
 	Unreached int
-	// PossibleRuns is how many of them may have begun to run it.
+	// PossibleRuns counts the targets that may have started to run the request.
 	PossibleRuns int
-	// MaybeRan says that one of them may have run it.
+	// MaybeRan reports whether a target may have run it.
 	MaybeRan bool
-	// Ran says that one of them did.
+	// Ran reports whether a target has run it.
 	Ran bool
 }
 
-// Record takes the end of one try.
+// Record records the result of one attempt.
 func (a *Attempts) Record(run chestnutstep.RunStatus) {
 	a.Sent++
 	switch run {
@@ -30,14 +30,13 @@
 	}
 }
 
-// NotRun says that no target ran the request or will.
+// NotRun reports whether it is certain that no target has run the request or will run it.
 func (a *Attempts) NotRun() bool { return !a.MaybeRan && !a.Ran }
 
-// CanRetry says whether the request may be sent to another target. One that is not
-// idempotent may have run once it was sent and no target said otherwise: a slot
-// confirmed twice shows as two people before one door. Each further target
-// counts against the route's tries. One that could not be reached does not, but
-// with unreachedMost of them the fault is more likely on this side.
+// CanRetry reports whether the request may be sent to another target. A request that is not
+// idempotent may not if a target can have run it: a slot would be booked twice. Each target to
+// which the request was sent counts against limit, the attempts of the route. A target that could
+// not be reached does not count; after maxUnreached of them the fault is probably on this side.
 func (a *Attempts) CanRetry(idempotent bool, limit int) bool {
 	if !idempotent && !a.NotRun() || a.Unreached >= maxUnreached {
 		return false
@@ -49,11 +48,11 @@
 }
 
 const (
-	// maxUnreached is how many targets that can't be reached are tried. A fifth
-	// of a service's targets may crash at once; six tries then find one that lives
-	// with all but one request in ten thousand.
+	// maxUnreached limits the unreachable targets that are tried. A fifth of a service's targets
+	// can crash at once; with six attempts, all but one request in ten thousand reach one that is
+	// up.
 	maxUnreached = 6
-	// maxNotRun is how many targets may refuse a request, whatever the route's
-	// tries, which bound where it may run.
+	// maxNotRun is the number of targets that may refuse a request without running it even if the
+	// route allows fewer attempts, as those only limit possible runs.
 	maxNotRun = 3
 )
