--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -18,8 +18,8 @@
 
 var epoch = time.Unix(0, 0)
 
-// The cap is rounded down in exact arithmetic: hundredths of a multiple times
-// tenths of a mean, as whole numbers.
+// TestCapIsTheMultipleRoundedDown guards against rounding errors of the cap. The expected value is
+// computed in exact integer arithmetic, from hundredths of a multiple and tenths of a mean.
 func TestCapIsTheMultipleRoundedDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hundredths := rapid.Int64Range(105, 300).Draw(t, "multiple x 100")
@@ -33,9 +33,9 @@
 	})
 }
 
-// At a small mean, rounding up breaks the multiple: with a mean of 1 and a
-// multiple of 1.25 a target would run 2, twice the mean, and one member's
-// floors are labelled at half the speed of another's.
+// TestRoundingUpBreaksTheMultiple guards against a cap that is rounded up. With a mean of 1 and a
+// multiple of 1.25 a target would run 2, twice the mean, and serve its requests at half the speed
+// of the others.
 func TestRoundingUpBreaksTheMultiple(t *testing.T) {
 	up := int(math.Ceil(1.25 * 1))
 	assert.Assert(t, float64(up) > 1.25*1)
@@ -44,10 +44,9 @@
 	assert.Equal(t, c.At(epoch), 1)
 }
 
-// All targets run three and the multiple is 1.25. More work is offered than
-// they may take, and what is turned away by all of them waits at its last one.
-// Where the mean counts only what runs, the cap stays at three for ever: callers
-// wait although every target has spare slots.
+// TestWaitingWorkRaisesCap guards against a cap that never rises. With all targets at three and a
+// multiple of 1.25, a mean that counts only running requests keeps the cap at three, and callers
+// wait although every target has free slots. Waiting requests must count too.
 func TestWaitingWorkRaisesCap(t *testing.T) {
 	const targets, demand = 10, 160
 	for _, waitingCounts := range []bool{false, true} {
@@ -66,9 +65,9 @@
 	}
 }
 
-// An agent loses its peers but not its target, and entries still reach it. Kept
-// for ever, the mean of the busy hour would let it run far over what the others
-// run at night; its callers would be the slow ones.
+// TestOldMeanErrsLow guards against an outdated mean. An agent that has lost its peers but is still
+// reached by entries would keep the mean of the busiest hour, and run far more than the other
+// targets at night.
 func TestOldMeanErrsLow(t *testing.T) {
 	c := Cap{Multiple: 1.25, Floor: 2, Slots: 64}
 	c.Measure(epoch, chestnutstep.Mean{Load: 20, Targets: 300, Age: 5 * time.Second})
@@ -90,9 +89,9 @@
 	assert.Equal(t, c.At(epoch), 8)
 }
 
-// A target in cold start falls over above what it can carry, and its callers'
-// answers break off. Work that it was given before the restart ends as well;
-// counted as proof, it would open the target that has just lost everything.
+// TestColdGrowsByWholeAnswersOnly guards against a cold target that is opened too early and fails
+// under a load that it can't carry yet. Requests that started before a restart must not count as
+// evidence for the restarted target.
 func TestColdGrowsByWholeAnswersOnly(t *testing.T) {
 	c := ColdCap{StartCap: 2, Slots: 16}
 	var caps []int
--- a/admit/back.go
+++ b/admit/back.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// retryAfterRatio is the part of its objective after which a refused request comes back:
-	// spread to twice that, it is still in time if it finds a place then.
+	// retryAfterRatio is the part of its objective after which a refused request should be retried.
+	// With jitter it can be twice as much, which is still in time if a place is free then.
 	retryAfterRatio = 1.0 / 6
-	// minRetryAfter is the least time after which a caller comes back to targets without
-	// a place: below it, repeats of refused work would cost more than the work.
+	// minRetryAfter is the minimum time before a retry when targets have no free place. Below it,
+	// retries of refused requests would cost more than the requests themselves.
 	minRetryAfter = 20 * time.Millisecond
-	// defaultRetryAfter is when one comes back that has no objective.
+	// defaultRetryAfter is the time before a retry for requests without an objective.
 	defaultRetryAfter = 250 * time.Millisecond
 )
 
-// RetryAfter is when a caller may come back that found no place. Places come free all the
-// time: one who asks again within its objective may still be served in time.
+// RetryAfter returns the time after which a caller that found no free place should retry. Places
+// become free continuously, so that a retry within the objective can still be served in time.
 func RetryAfter(id string, objective time.Duration) time.Duration {
 	if objective <= 0 {
 		return Jitter(id, defaultRetryAfter)
--- a/admit/cold.go
+++ b/admit/cold.go
@@ -1,22 +1,20 @@
 package admit
 
-// ColdCap is the cap of a target that has not proven warm since it started. The
-// zero value is cold, as an agent that starts knows nothing of its target:
-// taking a cold one for warm pushes it over, and its callers see answers break
-// off; taking a warm one for cold costs a few seconds of its share.
+// ColdCap is the cap of a target that has not been confirmed as warm since its start. The zero
+// value is cold, as an agent that starts has no information about its target. Treating a cold
+// target as warm overloads it, and callers see answers break off; treating a warm one as cold costs
+// a few seconds of its share.
 //
-// The cap doubles each time as many whole answers came as it allows at once:
-// one round without a fault at a load is the proof that this load is carried.
-// From 2 to 64 takes 62 answers. Steps by time instead of by success would
-// raise the cap of a target that hangs.
+// The cap doubles after as many complete answers as it allows at once: one round without a failure
+// is the evidence that the target carries this load. From 2 to 64 takes 62 answers. Growth by time
+// instead of success would raise the cap of a target that hangs.
 type ColdCap struct {
-	// StartCap is what a target in cold start can carry; below 1 it is read as 1.
+	// StartCap is the load that a target in cold start can carry; values below 1 mean 1.
 	StartCap int
-	// WarmupAnswers is how many whole answers a target needs before it carries more than
-	// Start; growing sooner pushes engines over. Below Start it is read
-	// as Start.
+	// WarmupAnswers is the number of complete answers before the cap first grows; growing sooner
+	// overloads engines. Values below StartCap mean StartCap.
 	WarmupAnswers int
-	// Slots is what a warm target can run; reaching it is being warm.
+	// Slots is the load that a warm target can run. A target that reaches it is warm.
 	Slots int
 
 	cap        int
@@ -25,7 +23,7 @@
 	generation uint64
 }
 
-// Reset says that the target lost what it had: all proof is void.
+// Reset records that the target has lost its state, and discards all evidence.
 func (c *ColdCap) Reset() {
 	c.cap = 0
 	c.answers = 0
@@ -33,11 +31,11 @@
 	c.generation++
 }
 
-// Generation changes with each Chill. Work keeps the era it started in, so that an
-// answer from before a restart proves nothing about the target after it.
+// Generation changes with each Reset. A request keeps the generation in which it started, so that
+// an answer from before a restart is no evidence about the restarted target.
 func (c *ColdCap) Generation() uint64 { return c.generation }
 
-// Cap returns what the target can carry now, and whether it is still cold.
+// Cap returns the load that the target can carry now, and whether it is still cold.
 func (c *ColdCap) Cap() (limit int, cold bool) {
 	slots := max(c.Slots, 1)
 	limit = min(max(c.cap, c.StartCap, 1), slots)
@@ -47,7 +45,7 @@
 	return limit, true
 }
 
-// RecordSuccess counts a whole answer to work of the given era.
+// RecordSuccess counts a complete answer to a request of the given generation.
 func (c *ColdCap) RecordSuccess(generation uint64) {
 	limit, cold := c.Cap()
 	if !cold || generation != c.generation {
@@ -63,7 +61,7 @@
 	c.warm = !cold
 }
 
-// requiredAnswers is how many whole answers prove the present cap.
+// requiredAnswers returns the number of complete answers required before the cap grows.
 func (c *ColdCap) requiredAnswers(limit int) int {
 	if c.cap <= max(c.StartCap, 1) {
 		return max(c.WarmupAnswers, limit)
@@ -71,8 +69,8 @@
 	return limit
 }
 
-// RecordFailure counts a bad answer to work of the given era: a cold target steps back
-// to half, as the last step may have been too much for it.
+// RecordFailure records a failed answer to a request of the given generation. It halves the cap of
+// a cold target, as the last increase may have been too much.
 func (c *ColdCap) RecordFailure(generation uint64) {
 	limit, cold := c.Cap()
 	if !cold || generation != c.generation {
--- a/admit/fair.go
+++ b/admit/fair.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// largestShareRatio is the part of what the largest workspace holds that any may hold.
+	// largestShareRatio is the part of the places of the largest workspace that every workspace may
+	// use.
 	largestShareRatio = 0.5
-	// reserveStep is the part of all places that is kept free, for each request within
-	// its share that found none, and reserveMost bounds it.
+	// reserveStep is the part of all places that is added to the reserve for each request that is
+	// within its share but found no place; maxReserve limits the reserve.
 	reserveStep = 0.03
 	maxReserve  = 0.4
-	// reserveHalfLife halves what is kept free when nobody needs it.
+	// reserveHalfLife is the half-life of the reserve while no request needs it.
 	reserveHalfLife = 3 * time.Second
-	// rankWeight is the share of a rank against that of the next more urgent one; 0 is
-	// the most urgent.
+	// rankWeight is the ratio of a rank's share to that of the next more urgent one; rank 0 is the
+	// most urgent.
 	rankWeight = 0.5
-	// demandWindow is how long after its last request a rank or a workspace still counts
-	// among those that share.
+	// demandWindow is how long after its last request a rank or a workspace counts among those that
+	// share the places.
 	demandWindow = time.Second
 )
 
-// FairLimiter counts who holds the places that an entry has given at the targets of one
-// service, and says whose request yields when places run out.
+// FairLimiter counts the places that an entry has given at the targets of one service, and decides
+// whose requests are refused when places run out.
 //
-// The load it answers: a workspace that sends many times its usual, or less urgent work
-// in great number, takes every place that comes free, and the rest are refused for a
-// load that is not theirs. One notices workspaces with usual traffic that are refused as
-// often as the one that surges. Places are shared evenly among workspaces, and then
-// among ranks, a more urgent one weighing twice the next; what one doesn't want the
-// others get. Short requests hold few places, so they hardly yield to long ones. The
-// zero value is ready.
+// It protects ordinary traffic from a workspace that sends many times its usual load, and urgent
+// requests from many less urgent ones: without shares, these would take every place that becomes
+// free, and all others would be refused equally often. Places are shared evenly among workspaces,
+// and among ranks by weight, a rank having twice the weight of the next less urgent one. Unused
+// shares are available to the others. Short requests occupy few places at a time and are rarely
+// refused because of long ones. The zero value is ready to use.
 type FairLimiter struct {
 	workspaces map[string]*usage
 	ranks      map[int]*usage
 	total      int
-	// reserve is the part of all places that is kept for requests within their share.
+	// reserve is the part of all places that is kept free for requests within their share.
 	reserve          float64
 	reserveUpdatedAt clock.Stamp
 }
 
-// usage has some places, and wanted one last at some moment.
+// usage counts the places of a workspace or rank, and holds the time of its last request.
 type usage struct {
 	running     int
 	requestedAt clock.Stamp
@@ -53,29 +53,29 @@
 	return u.running > 0 || now.Sub(u.requestedAt) < demandWindow
 }
 
-// Yield says before whom a request yields: the higher, the sooner.
+// Yield is the order in which requests are refused when places run out: higher values first.
 type Yield int
 
-// The yields. A workspace that is over its share yields before one that is not,
-// whatever the urgency: its own less urgent work yields first.
+// The values of Yield. A workspace over its share yields before one within its share regardless of
+// urgency; among its own requests, the less urgent ones yield first.
 const (
-	// YieldNone is a request of a workspace and rank within their shares.
+	// YieldNone is for a request whose workspace and rank are within their shares.
 	YieldNone Yield = iota
-	// YieldRank is one whose rank is over its share.
+	// YieldRank is for a request whose rank is over its share.
 	YieldRank
-	// YieldWorkspace is one whose workspace is over its share.
+	// YieldWorkspace is for a request whose workspace is over its share.
 	YieldWorkspace
-	// YieldBoth is one of both.
+	// YieldBoth is for a request whose rank and workspace are both over their shares.
 	YieldBoth
 )
 
-// yieldRatios is the part of the reserve that is closed to a request, by its Yield.
+// yieldRatios is the part of the reserve that a request may not use, by its Yield.
 var yieldRatios = [...]float64{YieldNone: 0, YieldRank: 0.25, YieldWorkspace: 0.75, YieldBoth: 1}
 
-// Admit says whether a request of a workspace gets a place where part of all places is
-// taken, and how soon it yields; where places are plenty nobody has to, and shares aren't
-// worked out. What is kept free for requests within their share is kept only while such
-// ones find no place: else places would stay free while others are refused.
+// Admit reports whether a request of a workspace gets a place, given the ratio of used places, and
+// its Yield. The shares are only computed when places are short; before, every request is admitted
+// with YieldNone. The reserve exists only while requests within their share find no place;
+// otherwise places would stay free while requests are refused.
 func (f *FairLimiter) Admit(now clock.Stamp, urgency int, workspace string, usedRatio float64) (free bool, y Yield) {
 	r, w := f.usageOf(urgency, workspace)
 	r.requestedAt, w.requestedAt = now, now
@@ -90,13 +90,13 @@
 	return usedRatio < 1-f.reserve*yieldRatios[y], y
 }
 
-// Reserve is the part of all places that is kept free.
+// Reserve returns the part of all places that is kept free.
 func (f *FairLimiter) Reserve(now clock.Stamp) float64 {
 	f.decayReserve(now)
 	return f.reserve
 }
 
-// RaiseReserve keeps at least a part of all places free, as another entry does.
+// RaiseReserve raises the reserve to at least ratio, the reserve of another entry.
 func (f *FairLimiter) RaiseReserve(now clock.Stamp, ratio float64) {
 	f.decayReserve(now)
 	f.reserve = min(max(f.reserve, ratio), maxReserve)
@@ -119,7 +119,7 @@
 	return y
 }
 
-// rankShare is the number of places that a rank may hold once one more is given.
+// rankShare returns the number of places that a rank may use, including the one being requested.
 func (f *FairLimiter) rankShare(now clock.Stamp, urgency int) float64 {
 	sum, own := 0.0, 0.0
 	for u, r := range f.ranks {
@@ -135,9 +135,9 @@
 	return float64(f.total+1) * own / sum
 }
 
-// workspaceShare is the number of places that each workspace may hold once one more is
-// given: an even share, or half of what the largest has if that is more. A small one
-// that holds a few above the even share is not the one whose load is too much.
+// workspaceShare returns the number of places that each workspace may use, including the one being
+// requested: an even share, or half of the places of the largest workspace if that is more. A small
+// workspace slightly above the even share is not the cause of the overload.
 func (f *FairLimiter) workspaceShare(now clock.Stamp) float64 {
 	n, largest := 0, 0
 	for _, w := range f.workspaces {
@@ -149,10 +149,10 @@
 	return max(float64(f.total+1)/float64(max(n, 1)), largestShareRatio*float64(largest))
 }
 
-// Start and End bracket a request that has a place.
+// Start records that a request occupies a place; each Start requires one End.
 func (f *FairLimiter) Start(urgency int, workspace string) { f.addRunning(urgency, workspace, 1) }
 
-// End gives the place back.
+// End records that a request has released its place.
 func (f *FairLimiter) End(urgency int, workspace string) { f.addRunning(urgency, workspace, -1) }
 
 func (f *FairLimiter) addRunning(urgency int, workspace string, n int) {
--- a/admit/pace.go
+++ b/admit/pace.go
@@ -6,9 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DurationEstimator is how long work holds a place at targets, as measured.
+// DurationEstimator estimates how long requests occupy a place at targets, from measurements.
 type DurationEstimator struct {
-	// Smoothing is the weight of one more measurement in the moving averages; 0.1 if unset.
+	// Smoothing is the weight of a new measurement in the moving averages; 0 means
+	// defaultSmoothing.
 	Smoothing float64
 
 	meanSeconds    float64
@@ -16,12 +17,13 @@
 	hasMeasurement bool
 }
 
-// defaultSmoothing lets the last ten or so measurements count. Fewer would follow every
-// long plan, more would keep refusing for a slow target long after it has recovered.
+// defaultSmoothing averages over about the last ten measurements. With fewer, each long request
+// would change the estimate; with more, a target that was slow would cause refusals long after it
+// has recovered.
 const defaultSmoothing = 0.1
 
-// Measure takes what one request took, however it ended: one that was cancelled
-// freed its place as much as one that was answered, and most are cancelled.
+// Measure records the duration and cost of one request. Canceled requests count too: they free
+// their place like answered ones, and most requests are canceled.
 func (e *DurationEstimator) Measure(took time.Duration, cost float64) {
 	s := max(0, took.Seconds())
 	if !e.hasMeasurement {
@@ -36,7 +38,8 @@
 	e.meanCost += smoothing * (max(cost, 1) - e.meanCost)
 }
 
-// Estimate is how long work of a cost holds a place; 0 while nothing is measured.
+// Estimate returns how long a request of the given cost occupies a place; 0 if nothing was
+// measured.
 func (e *DurationEstimator) Estimate(cost float64) time.Duration {
 	if !e.hasMeasurement {
 		return 0
@@ -44,11 +47,11 @@
 	return secondsToDuration(e.meanSeconds / e.meanCost * cost)
 }
 
-// Mean is how long the average request holds a place.
+// Mean returns how long the average request occupies a place.
 func (e *DurationEstimator) Mean() time.Duration { return secondsToDuration(e.meanSeconds) }
 
-// maxEstimate bounds every estimate: past an hour there is no difference to a
-// caller, and sums of such durations must not overflow.
+// maxEstimate limits every estimate. Beyond an hour there is no difference for callers, and sums of
+// estimates must not overflow.
 const maxEstimate = time.Hour
 
 func secondsToDuration(s float64) time.Duration {
@@ -58,10 +61,9 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// Jitter stretches a pause by up to its own length, by the hash of the id.
-// Callers that were refused in one second would otherwise return in one second,
-// be refused together again, and so on. A hash spreads as well as a random
-// number and gives the same answer each time.
+// Jitter extends a duration by up to its own length, based on the hash of the id. Otherwise callers
+// that were refused in the same second would return in the same second and be refused again. A hash
+// spreads them as well as a random number and is deterministic.
 func Jitter(id string, d time.Duration) time.Duration {
 	const steps = 1024
 	return d + d/steps*time.Duration(xxhash.Sum64String(id)%steps)
--- a/admit/shedder.go
+++ b/admit/shedder.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// targetDelay is how long work may wait for the processor before an entry counts as
-	// full.
+	// targetDelay is the maximum scheduling delay before an entry counts as overloaded.
 	targetDelay = 100 * time.Millisecond
-	// shedGain is the part of what is still taken that one observation refuses, for each
-	// time that the delay is as long as the target, and shedStep bounds it.
+	// shedGain is the part of the accepted requests by which one observation reduces them, per
+	// multiple of targetDelay; maxShedStep limits that part.
 	shedGain    = 0.2
 	maxShedStep = 0.25
-	// shedDecay is what is left of the refused part after an observation without delay.
+	// shedDecay is the factor by which an observation without delay reduces the reject ratio.
 	shedDecay = 0.93
-	// minShedRatio is the refused part that counts as none.
+	// minShedRatio is the reject ratio below which nothing is rejected.
 	minShedRatio = 0.02
-	// maxShedRatio keeps a few requests coming, whose delay shows when the load is over.
+	// maxShedRatio is the maximum reject ratio. A few requests are always accepted, as their delay
+	// shows when the overload has ended.
 	maxShedRatio = 0.98
-	// arrivalsHalfLife halves the count of a workspace's arrivals.
+	// arrivalsHalfLife is the half-life of the count of a workspace's arrivals.
 	arrivalsHalfLife = 500 * time.Millisecond
-	// minArrivals is the count below which a workspace is forgotten.
+	// minArrivals is the count below which a workspace is removed.
 	minArrivals = 0.01
 )
 
-// LoadShedder refuses requests before they are read while an entry gets more of them than its
-// processor can parse. It answers a surge that would make every request wait in the entry
-// beyond its deadline, and be parsed for nobody. Workspaces that send more than an even part
-// of what is taken are refused the surplus; the others are not refused. It uses the standing
-// delay of work that is ready to run; the zero value refuses nothing.
+// LoadShedder decides which requests an entry rejects unread while it receives more than its
+// processor can parse. Without it, every request in a surge would wait in the entry beyond its
+// deadline and be parsed in vain. The accepted requests are shared evenly: only workspaces that
+// send more than an even share have their excess rejected. The input is the scheduling delay of
+// work that is ready to run. The zero value rejects nothing.
 type LoadShedder struct {
-	// rejectRatio of the arrivals that is refused.
+	// rejectRatio is the part of the arrivals that is rejected.
 	rejectRatio float64
-	// arrivalLimit is the count of arrivals of one workspace up to which none is refused.
+	// arrivalLimit is the count of arrivals of one workspace up to which nothing is rejected.
 	arrivalLimit float64
 	arrivals     map[string]*arrivals
 }
 
-// arrivals are the requests of one workspace, counted with exponential decay.
+// arrivals counts the requests of one workspace with exponential decay.
 type arrivals struct {
 	count     float64
 	updatedAt clock.Stamp
-	// credit is what is left of the part that is taken; a request is taken for a whole.
+	// credit accumulates the accepted fraction of each request; one request is accepted when it
+	// reaches 1.
 	credit float64
 }
 
@@ -53,10 +54,10 @@
 	return a.count * math.Exp2(-now.Sub(a.updatedAt).Seconds()/arrivalsHalfLife.Seconds())
 }
 
-// RejectRatio is the part of the arrivals that is refused.
+// RejectRatio returns the part of the arrivals that is rejected.
 func (s *LoadShedder) RejectRatio() float64 { return s.rejectRatio }
 
-// Observe takes the usual delay of work since the last observation.
+// Observe records the typical scheduling delay since the last observation.
 func (s *LoadShedder) Observe(now clock.Stamp, delay time.Duration) {
 	if delay > targetDelay {
 		step := min(shedGain*delay.Seconds()/targetDelay.Seconds(), maxShedStep)
@@ -70,7 +71,8 @@
 	s.updateArrivalLimit(now)
 }
 
-// updateArrivalLimit finds the level at which the workspaces together get what is taken.
+// updateArrivalLimit computes the arrival limit at which all workspaces together get the accepted
+// part of the arrivals.
 func (s *LoadShedder) updateArrivalLimit(now clock.Stamp) {
 	counts := make([]float64, 0, len(s.arrivals))
 	sum := 0.0
@@ -96,7 +98,7 @@
 	}
 }
 
-// ShouldReject counts a request of a workspace, and reports whether it is refused.
+// ShouldReject counts a request of a workspace and reports whether to reject it.
 func (s *LoadShedder) ShouldReject(now clock.Stamp, workspace string) bool {
 	if s.arrivals == nil {
 		s.arrivals = make(map[string]*arrivals)
--- a/admit/shedder_test.go
+++ b/admit/shedder_test.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// parseTime is what a request that is taken costs the played processor, and shedTime
-	// one that is refused unread.
+	// parseTime is the simulated processor time of an accepted request, and rejectTime that of a
+	// rejected one.
 	parseTime  = 300 * time.Microsecond
 	rejectTime = 30 * time.Microsecond
-	// observeInterval is how often the delay is observed.
+	// observeInterval is the interval at which the delay is observed.
 	observeInterval = 50 * time.Millisecond
 	// callerTimeout is how long a caller waits for its request to be parsed.
 	callerTimeout = 500 * time.Millisecond
 )
 
-// processor plays an entry whose processor is what is full: requests wait for it in the
-// order in which they come.
+// processor simulates an entry whose bottleneck is its processor. Requests wait in order of
+// arrival.
 type processor struct {
 	shedder *admit.LoadShedder
-	// busyUntil is until when the processor has work.
+	// busyUntil is the time at which the processor has finished all its work.
 	busyUntil clock.Stamp
 	served    map[string]int
 	requested map[string]int
 	maxDelay  time.Duration
 }
 
-// run lets workspaces send for a while, each so many requests a second.
+// run simulates the traffic of workspaces for a duration, each with a rate in requests per second.
 func (p *processor) run(from clock.Stamp, d time.Duration, rates map[string]int) {
 	p.served, p.requested = make(map[string]int), make(map[string]int)
 	due := make(map[string]float64)
@@ -59,7 +59,7 @@
 	}
 }
 
-// process plays one request; counted ones are those behind the beginning of the surge.
+// process simulates one request. Requests at the beginning of the surge are not counted.
 func (p *processor) process(now clock.Stamp, workspace string, delay time.Duration, counted bool) {
 	if counted {
 		p.requested[workspace]++
@@ -88,8 +88,8 @@
 	return n
 }
 
-// TestFullEntryKeepsServing guards against an entry that parses requests for callers who
-// have given up: with three times what its processor parses it serves nobody in time.
+// TestFullEntryKeepsServing guards against an entry that parses requests for callers who have given
+// up. At three times the load that its processor can parse, it would serve no request in time.
 func TestFullEntryKeepsServing(t *testing.T) {
 	const start = clock.Stamp(time.Hour)
 	normal := map[string]int{"a": 300, "b": 300, "c": 300, "d": 300, "hot": 300}
@@ -99,9 +99,9 @@
 	best.run(start, 10*time.Second, normal)
 	assert.Equal(t, best.servedRatio("hot"), 1.0, "nothing is refused while the processor has time")
 
-	naive := &processor{}
-	naive.run(start, 10*time.Second, surge)
-	assert.Assert(t, naive.servedRatio("a") < 0.1, "%f in time without a shedder", naive.servedRatio("a"))
+	unprotected := &processor{}
+	unprotected.run(start, 10*time.Second, surge)
+	assert.Assert(t, unprotected.servedRatio("a") < 0.1, "%f in time without a shedder", unprotected.servedRatio("a"))
 
 	p := &processor{shedder: &admit.LoadShedder{}}
 	p.run(start, 10*time.Second, surge)
@@ -110,7 +110,7 @@
 		assert.Assert(t, p.servedRatio(workspace) >= 0.9, "%f of %s in time", p.servedRatio(workspace), workspace)
 	}
 	assert.Assert(t, float64(p.totalServed()) >= 0.8*float64(best.totalServed()), "%d in time, %d at its best", p.totalServed(), best.totalServed())
-	assert.Assert(t, p.maxDelay < 250*time.Millisecond, "a request that is taken waits for %s", p.maxDelay)
+	assert.Assert(t, p.maxDelay < 250*time.Millisecond, "an accepted request waited for %s", p.maxDelay)
 
 	after := start.Add(10 * time.Second)
 	p.run(after, 4*time.Second, normal)
--- a/admit/surge_test.go
+++ b/admit/surge_test.go
@@ -13,10 +13,10 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// startTime is a moment by the boot clock, above zero, which means never.
+// startTime is a time on the boot clock above zero, as zero means never.
 const startTime = clock.Stamp(time.Hour)
 
-// TestAdaptiveLimit plays the scripts of testdata/limit.
+// TestAdaptiveLimit runs the scripts of testdata/limit.
 func TestAdaptiveLimit(t *testing.T) {
 	var l AdaptiveLimit
 	now := startTime
@@ -45,7 +45,7 @@
 	})
 }
 
-// TestFairLimiter plays the scripts of testdata/fair.
+// TestFairLimiter runs the scripts of testdata/fair.
 func TestFairLimiter(t *testing.T) {
 	var f FairLimiter
 	now := startTime
@@ -67,7 +67,7 @@
 				}
 			case "ask":
 				free, _ := f.Admit(now, urgency, workspace, float64(count)/100)
-				y := f.yield(now, urgency, workspace) // Ask works it out only where places are short
+				y := f.yield(now, urgency, workspace) // Admit computes it only when places are short
 				fmt.Fprintf(&out, "%d %s yields %d, free %t\n", urgency, workspace, y, free)
 			}
 		}
@@ -94,9 +94,9 @@
 	return v
 }
 
-// A workspace sends fifty times its usual while nine others send what they always do,
-// to targets that carry half of it all. Without shares everybody is refused alike, so
-// that small workspaces lose half of their requests to a load that is not theirs.
+// TestHotWorkspaceIsRefusedForItsSurplus guards against small workspaces that are refused for the
+// load of a large one. One workspace sends fifty times its usual load; without shares all
+// workspaces are refused equally often, and the small ones lose half of their requests.
 func TestHotWorkspaceIsRefusedForItsSurplus(t *testing.T) {
 	const (
 		places   = 100
@@ -149,12 +149,12 @@
 			assert.Assert(t, servedRatio >= 0.9, "%.2f of the small ones' requests served", servedRatio)
 			continue
 		}
-		assert.Assert(t, servedRatio < 0.8, "%.2f without shares: the load is too light to show anything", servedRatio)
+		assert.Assert(t, servedRatio < 0.8, "%.2f without shares: the load is too low for this test", servedRatio)
 	}
 }
 
-// Callers that are refused in one moment and told one time come back in one moment, and
-// are refused together again: those that a spike turned away stay turned away.
+// TestRetryAfterIsSpread guards against callers that are refused at the same time, return at the
+// same time and are refused again.
 func TestRetryAfterIsSpread(t *testing.T) {
 	const objective = 600 * time.Millisecond
 	slots := make(map[time.Duration]int)
