--- a/member/example_test.go
+++ b/member/example_test.go
@@ -7,7 +7,7 @@
 	"chestnutstep.example/chestnutstep/member"
 )
 
-// A refusal by a host's agent counts for more than a list that lags.
+// A refusal by a host's agent takes precedence over an outdated list.
 func ExampleTracker() {
 	var t member.Tracker
 	now := time.Now()
--- a/member/member.go
+++ b/member/member.go
@@ -1,8 +1,8 @@
-// Package member holds what one process believes of the fleet's hosts. The
-// platform's lists lag and differ between processes for seconds, so a list is
-// one piece of evidence among others: refusals, failed calls and answers count
-// as well. Beliefs only order what a process tries first; whether a target
-// takes work is decided by the agent beside it.
+// Package member tracks which hosts of the fleet one process considers leaving or suspect. The
+// inputs are the platform's lists, reports of other processes, refusals, failed calls and
+// successful calls; lists alone are not sufficient, as they are outdated for seconds and differ
+// between processes. The result only affects which targets a process tries first: whether a target
+// accepts a request is decided by its agent.
 package member
 
 import (
@@ -12,69 +12,64 @@
 )
 
 const (
-	// leavingTTL is how long a host counts as leaving after the last word that said
-	// so, whatever others say meanwhile. Lists of different processes disagree
-	// for seconds; without a hold that outlasts them, work would swing to and
-	// from a leaving host with each list. Too long a hold only delays the return
-	// of a host that changed its mind.
+	// leavingTTL is how long a host counts as leaving after the last evidence for it, regardless of
+	// other reports. Lists of different processes disagree for seconds; with a shorter TTL,
+	// requests would move to and from a leaving host with each list. A longer TTL only delays the
+	// return of a host that stays after all.
 	leavingTTL = 15 * time.Second
-	// minProbeDelay is how long a host that failed is not tried again: longer than
-	// a dropped connection takes to be replaced, shorter than a caller's
-	// patience.
+	// minProbeDelay is how long a host is not tried again after its first failure. It is longer
+	// than it takes to replace a dropped connection, and shorter than callers wait.
 	minProbeDelay = 500 * time.Millisecond
-	// maxProbeDelay bounds the pause between tries: a host that is back serves again
-	// within about half a minute, and one that is gone costs an entry two failed
-	// calls a minute.
+	// maxProbeDelay limits the delay between two probes. A recovered host serves again within about
+	// half a minute, and a lost host costs an entry two failed calls per minute.
 	maxProbeDelay = 30 * time.Second
-	// backoffDecayInterval is how long a host must go without failure for its pause to halve. A
-	// host that comes and goes faster than that keeps its long pause.
+	// backoffDecayInterval is how long a host must have no failure for its probe delay to halve. A
+	// host that fails more often keeps its long delay.
 	backoffDecayInterval = 30 * time.Second
-	// maxBackoffLevel is where the pause reaches lastPause.
+	// maxBackoffLevel is the level at which the delay reaches maxProbeDelay.
 	maxBackoffLevel = 6
-	// recordTTL drops what is known of hosts that no list has named and no call has
-	// met for so long, so that memory follows the fleet and not its history.
+	// recordTTL is how long a record is kept for a host that was neither listed, reported nor
+	// called, so that the memory depends on the current size of the fleet and not on its history.
 	recordTTL = 10 * time.Minute
-	// minListRatio is the share of the known hosts that a list must name. A service
-	// that restarts may answer with a list that is empty or half filled; taken
-	// at its word it would take the whole fleet out of service. The largest real
-	// loss at once is one failure domain of three.
+	// minListRatio is the minimum length of a list as a ratio of the last accepted one. A platform
+	// service that restarts can return an empty or incomplete list, which would take the whole
+	// fleet out of service. The largest real loss at once is one failure domain of three.
 	minListRatio = 0.5
-	// shortListTimeout is how long a short list must last before it sets the measure
-	// for later ones. Hosts that it left out are not taken to have left even
-	// then: more than half of the fleet is not lost without a word.
+	// shortListTimeout is how long lists must remain short before their length becomes the new
+	// reference. Even then the missing hosts don't count as leaving, as more than half of the fleet
+	// does not leave without any other evidence.
 	shortListTimeout = time.Minute
 )
 
-// Host is a line of the platform's list.
+// Host is one line of the platform's list.
 type Host struct {
 	Name string
-	// Leaving says that the host takes no new work.
+	// Leaving reports whether the host is leaving and accepts no new requests.
 	Leaving bool
 }
 
-// record is what is known of one host.
+// record is the state of one host.
 type record struct {
-	listed  bool // named by the last list
-	leaving bool // said by the last list
-	// leavingAt is the last word that the host leaves.
+	listed  bool // named in the last list
+	leaving bool // marked as leaving in the last list
+	// leavingAt is the time of the last evidence that the host is leaving.
 	leavingAt time.Time
-	// seenAt is the last word of any kind.
+	// seenAt is the time of the last evidence of any kind.
 	seenAt time.Time
 
 	suspect      bool
 	backoffLevel int
 	failedAt     time.Time
-	// nextProbe is when one call may try a suspect host again.
+	// nextProbe is the time from which one call may try a suspect host again.
 	nextProbe time.Time
 }
 
-// Tracker holds the beliefs of one process. Its methods take the time and may be
-// called from many goroutines. The zero value knows nothing: all hosts are
-// taken to be well.
+// Tracker tracks the state of hosts for one process. It is safe for concurrent use; its methods
+// take the current time. In the zero value all hosts are available.
 type Tracker struct {
 	mu          sync.Mutex
 	hosts       map[string]*record
-	lastListLen int // hosts that the last good list named
+	lastListLen int // length of the last accepted list
 	shortSince  time.Time
 }
 
@@ -91,10 +86,9 @@
 	return r
 }
 
-// ApplyList takes the platform's list and returns the hosts whose leaving is news.
-// A host that was listed and no longer is has left, unless the list names far
-// fewer hosts than the one before: then it says false, and believes only what
-// the list says of the hosts that it names.
+// ApplyList applies the platform's list and returns the hosts whose leaving state changed. A host
+// that was listed before and is missing now is leaving. If the list is much shorter than the last
+// one, ok is false and missing hosts keep their state.
 func (t *Tracker) ApplyList(now time.Time, list []Host) (changed []Host, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +110,7 @@
 	return changed, ok
 }
 
-// checkListLen says whether a list is long enough to tell that hosts are gone.
+// checkListLen reports whether a list is long enough to treat missing hosts as leaving.
 func (t *Tracker) checkListLen(now time.Time, n int) bool {
 	if float64(n) >= minListRatio*float64(t.lastListLen) {
 		t.lastListLen, t.shortSince = n, time.Time{}
@@ -132,7 +126,8 @@
 	return false
 }
 
-// clearListed forgets which hosts were listed, so that their absence says nothing.
+// clearListed marks all hosts as not listed, so that their absence from the next list has no
+// effect.
 func (t *Tracker) clearListed() {
 	for _, r := range t.hosts {
 		r.listed = false
@@ -151,9 +146,10 @@
 	return changed
 }
 
-// ApplyReport takes another process's word about one host, age old. It returns true
-// when it is news worth passing on. Word that a host is live is only believed
-// over an older list, never over a word of leaving that is still held.
+// ApplyReport applies the report of another process about one host. age is the time since that
+// process made its observation. It returns true if the state changed, so that the report should be
+// forwarded. A report that a host is not leaving only overrides an older list, and never evidence
+// of leaving within leavingTTL.
 func (t *Tracker) ApplyReport(now time.Time, h Host, age time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,21 +173,21 @@
 	return !r.leavingAt.IsZero() && now.Sub(r.leavingAt) < leavingTTL
 }
 
-// RecordRefusal notes that the agent on a host refused work because it is leaving: the
-// surest word there is, and often the first.
+// RecordRefusal records that the agent on a host refused a request because the host is leaving.
+// This is the most reliable evidence and often the first.
 func (t *Tracker) RecordRefusal(now time.Time, host string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.recordFor(now, host).leavingAt = now
 }
 
-// RecordFailure notes that a call to a host failed to reach it.
+// RecordFailure records that a call could not reach a host.
 func (t *Tracker) RecordFailure(now time.Time, host string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recordFor(now, host)
 	if r.suspect && now.Before(r.nextProbe) {
-		return // calls that were under way together fail together: count once
+		return // concurrent calls fail together and count once
 	}
 	r.decayBackoff(now)
 	r.suspect, r.failedAt = true, now
@@ -199,9 +195,9 @@
 	r.backoffLevel = min(r.backoffLevel+1, maxBackoffLevel)
 }
 
-// RecordSuccess notes that a host was reached. A host that kept failing must stay well
-// for a pause of its level first, so that one that comes and goes doesn't draw
-// work each time it is up.
+// RecordSuccess records that a call reached a host. A host that failed repeatedly must have no
+// failure for the probe delay of its level before it is no longer suspect; otherwise an unstable
+// host would receive requests each time it is up.
 func (t *Tracker) RecordSuccess(now time.Time, host string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,7 +210,7 @@
 	}
 }
 
-// decayBackoff lowers the level by one for each calm period since the last failure.
+// decayBackoff lowers the level by one for each backoffDecayInterval since the last failure.
 func (r *record) decayBackoff(now time.Time) {
 	if r.failedAt.IsZero() {
 		return
@@ -226,7 +222,7 @@
 	return min(minProbeDelay<<level, maxProbeDelay)
 }
 
-// IsLeaving says whether a host is believed to take no new work.
+// IsLeaving reports whether a host is considered leaving.
 func (t *Tracker) IsLeaving(now time.Time, host string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -234,8 +230,8 @@
 	return r != nil && (r.leaving || r.isLeavingHeld(now))
 }
 
-// IsSuspect says whether a host failed and has not proven well since: it ranks
-// behind all others.
+// IsSuspect reports whether a host has failed and not recovered since. Suspect hosts rank behind
+// all others.
 func (t *Tracker) IsSuspect(_ time.Time, host string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -243,9 +239,9 @@
 	return r != nil && r.suspect
 }
 
-// Unavailable lists the hosts that are leaving or suspect, sorted: what an entry leaves
-// out of its ranking. It is one pass over the hosts, so that a ranking of
-// thousands of targets is only computed anew when this list has changed.
+// Unavailable returns the sorted names of the hosts that are leaving or suspect, which an entry
+// excludes from its ranking. It scans the hosts once, so that a ranking of thousands of targets
+// needs to be recomputed only when this list has changed.
 func (t *Tracker) Unavailable(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -259,9 +255,9 @@
 	return hosts
 }
 
-// AllowProbe says whether this call may try a suspect host in its usual place. It
-// says so once for each pause: were all calls let through when a pause ends, a
-// host that is still down would hold up all of them.
+// AllowProbe reports whether this call may try a suspect host at its usual rank. It returns true
+// once per probe delay: if all calls were allowed at the end of the delay, a host that is still
+// down would delay all of them.
 func (t *Tracker) AllowProbe(now time.Time, host string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// trackerAPI is what the scripts drive: the list or the naive version.
+// trackerAPI is implemented by Tracker and by the naive version.
 type trackerAPI interface {
 	ApplyList(now time.Time, list []Host) ([]Host, bool)
 	ApplyReport(now time.Time, h Host, age time.Duration) bool
@@ -21,7 +21,7 @@
 	AllowProbe(now time.Time, host string) bool
 }
 
-// naiveTracker believes whatever it heard last.
+// naiveTracker applies the last event without any hold or backoff.
 type naiveTracker struct{ leaving, down map[string]bool }
 
 func (n *naiveTracker) ApplyList(_ time.Time, list []Host) ([]Host, bool) {
@@ -46,10 +46,10 @@
 func (n *naiveTracker) IsSuspect(_ time.Time, host string) bool  { return n.down[host] }
 func (n *naiveTracker) AllowProbe(_ time.Time, host string) bool { return n.down[host] }
 
-// The scripts in testdata play lists that lag and disagree, hosts that flap and
-// services that forget. Each line is an event at a time, or asks for beliefs;
-// "swings" counts how often the belief about a host changed during the script,
-// beside the count of the naive version, which believes what it heard last.
+// TestTracker guards against hosts that are used or avoided wrongly because lists are outdated and
+// disagree, hosts are unstable, and platform services restart. Each line of a script in testdata is
+// an event at a time or a query. "swings" counts how often the state of a host changed during the
+// script, in comparison with the naive version, which applies the last event.
 func TestTracker(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var p *scriptRun
@@ -67,7 +67,7 @@
 	})
 }
 
-// scriptRun drives a list and the naive version with the same events.
+// scriptRun applies the same events to a Tracker and to the naive version.
 type scriptRun struct {
 	now      time.Time
 	trackers [2]trackerAPI
@@ -112,7 +112,7 @@
 	}
 }
 
-// applyEvent says whether the event was believed to be news.
+// applyEvent applies an event and reports whether it was accepted or changed the state.
 func applyEvent(b trackerAPI, now time.Time, event string, args []string) bool {
 	switch event {
 	case "list":
@@ -132,7 +132,7 @@
 	return true
 }
 
-// parseHosts reads names; a dash at the end says that the host is leaving.
+// parseHosts parses names; a trailing dash marks a host as leaving.
 func parseHosts(args []string) []Host {
 	var list []Host
 	for _, a := range args {
