--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -172,16 +172,16 @@
 func TestPoisonStopsAfterTwoTargets(t *testing.T) {
 	var worst, unprotected, slow, condemned int
 	for seed := range int64(2000) {
-		prompt, ignoring, lagging := newCrashSim(seed), newCrashSim(seed), newCrashSim(seed)
+		immediate, ignoring, delayed := newCrashSim(seed), newCrashSim(seed), newCrashSim(seed)
 		for n := range 40 {
-			prompt.offer(false, n == 0 && seed%2 == 0)
+			immediate.offer(false, n == 0 && seed%2 == 0)
 			ignoring.offer(true, false)
-			lagging.offer(false, true)
+			delayed.offer(false, true)
 		}
-		worst = max(worst, len(prompt.crashed))
+		worst = max(worst, len(immediate.crashed))
 		unprotected = max(unprotected, len(ignoring.crashed))
-		slow = max(slow, len(lagging.crashed))
-		condemned += prompt.countCondemned() + lagging.countCondemned()
+		slow = max(slow, len(delayed.crashed))
+		condemned += immediate.countCondemned() + delayed.countCondemned()
 	}
 	t.Logf("max targets lost of 8: %d, without the detector %d, with all reports late %d; popular requests condemned: %d",
 		worst, unprotected, slow, condemned)
--- a/crash/detector.go
+++ b/crash/detector.go
@@ -1,7 +1,8 @@
 // Package crash finds requests whose content crashes the targets that run them, so that such a
 // request is refused after it has crashed a few targets. Callers retry a request that failed:
 // without this package, a single request could crash all targets of a model one after the other,
-// and each crash would also end all other requests that run on the same target.
+// and each crash would also end all other requests that run on the same target. The symptom is
+// targets that become cold one after the other.
 //
 // Detector serves agents, which see every run of their target. All contents that run during a crash
 // become suspect and run exclusively from then on; a second crash condemns them. Quarantine serves
--- a/crash/quarantine.go
+++ b/crash/quarantine.go
@@ -28,8 +28,8 @@
 	// correlationThreshold is the number of other targets that must end within the window for a
 	// common failure to explain one loss of a content.
 	correlationThreshold = 2
-	// suspectTTL is how long a content is remembered that is not refused, because one target ended
-	// or because it has been served since; quarantineTTL is the same for a refused content.
+	// suspectTTL is how long a content that is not refused is remembered after its last loss;
+	// quarantineTTL is the same for a refused content.
 	suspectTTL    = 10 * time.Minute
 	quarantineTTL = 24 * time.Hour
 	// expireInterval is the minimum interval between two scans for expired entries.
@@ -166,8 +166,8 @@
 }
 
 // Admit returns how long a content is refused; 0 means that it may be sent to a target now. A
-// content with too many losses runs once at a time: if trial is true, the caller must call EndTrial
-// after the run.
+// content with at least quarantineThreshold losses runs once at a time: if trial is true, the
+// caller must call EndTrial after the run.
 func (q *Quarantine) Admit(now clock.Stamp, fingerprint uint64) (wait time.Duration, trial bool) {
 	wait, losses := q.Check(now, fingerprint)
 	if wait > 0 || losses < quarantineThreshold {
--- a/relay/deadly_test.go
+++ b/relay/deadly_test.go
@@ -320,13 +320,13 @@
 }
 
 // publishTarget publishes a new revision of a target.
-func (f *cluster) publishTarget(i int, born int64, leaving bool) {
+func (f *cluster) publishTarget(i int, startedMs int64, leaving bool) {
 	x := f.targets[i]
 	f.revision++
 	f.roster.Apply(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: f.revision, Facts: []chestnutstep.Fact{{
 		Kind: chestnutstep.FactInstance, Name: x.Name, Revision: f.revision,
 		Instance: &chestnutstep.Instance{
-			ID: x.Name, Service: "shop", Address: x.Address(), Domain: "d", Slots: 8, StartedMs: born, Leaving: leaving,
+			ID: x.Name, Service: "shop", Address: x.Address(), Domain: "d", Slots: 8, StartedMs: startedMs, Leaving: leaving,
 		},
 	}}}, false)
 	for _, e := range f.relays {
--- a/relay/ended.go
+++ b/relay/ended.go
@@ -34,7 +34,7 @@
 type brokenTarget struct {
 	key  uint32
 	id   string
-	born int64
+	startedMs int64
 	// usedAt is the time of the last access, and endedAt the time at which the end of the target
 	// was last confirmed; 0 means never.
 	usedAt, endedAt clock.Stamp
@@ -133,7 +133,7 @@
 	key := board.CacheKey(&t.Instance)
 	x := c.targets[key]
 	if x == nil {
-		x = &brokenTarget{key: key, id: t.ID, born: t.StartedMs}
+		x = &brokenTarget{key: key, id: t.ID, startedMs: t.StartedMs}
 		if c.targets == nil {
 			c.targets = make(map[uint32]*brokenTarget)
 		}
@@ -196,7 +196,7 @@
 	var list []share.Crash
 	for _, x := range c.targets {
 		t := v.ByID[x.id]
-		if x.hasEnded(now) || len(x.breaks) == 0 || t != nil && t.StartedMs == x.born {
+		if x.hasEnded(now) || len(x.breaks) == 0 || t != nil && t.StartedMs == x.startedMs {
 			continue
 		}
 		list = append(list, c.confirmEnd(now, x, "list")...)
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -12,7 +12,8 @@
 	"chestnutstep.example/chestnutstep/retry"
 )
 
-// fleetBounds are realistic limits: a fifth of the requests plus 56 in any ten seconds.
+// fleetBounds are the limits of a typical installation: a fifth of the requests plus 56 in any ten
+// seconds.
 var fleetBounds = retry.Bounds{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 
 // TestBudgetsOverAllEntries guards against retries that double the load when a service fails all
