--- a/relay/ended.go
+++ b/relay/ended.go
@@ -32,8 +32,8 @@
 
 // brokenTarget is a target with runs that recently ended without a complete answer.
 type brokenTarget struct {
-	key  uint32
-	id   string
+	key       uint32
+	id        string
 	startedMs int64
 	// usedAt is the time of the last access, and endedAt the time at which the end of the target
 	// was last confirmed; 0 means never.
