--- a/board/board.go
+++ b/board/board.go
@@ -1,6 +1,8 @@
-// Package board holds what an entry knows of targets from moment to moment:
-// requests in progress, its own and its peers', prompt parts in caches, recent
-// failures, and how much a cold target may still get.
+// Package board tracks the state of targets that an entry uses to place requests: requests in
+// progress (its own and those reported by peers), prompt parts in the targets' caches, recent
+// failures, and how many requests a cold target can still receive. Its inputs are the results
+// of the entry's own requests, reports from peers and the view of the roster. It does no I/O
+// and is safe for concurrent use.
 package board
 
 import (
@@ -20,63 +22,66 @@
 )
 
 const (
-	// maxParts bounds the prompt parts that are remembered, in about 100 bytes
-	// each. What a target has not read for long it has dropped anyway.
+	// maxParts limits the number of prompt parts in the index; each takes about 100 bytes. When
+	// the limit is reached, parts that were not read recently are evicted, as targets have most
+	// likely evicted them too.
 	maxParts = 20000
-	// cachedPartTTL is how long a part is believed to be in a cache without being
-	// read again.
+	// cachedPartTTL is how long a part counts as cached after it was last read.
 	cachedPartTTL = 30 * time.Minute
-	// pendingTokensUnit is the tokens in one unit of share.Load.Reading.
+	// pendingTokensUnit is the number of tokens in one unit of share.Load.PendingPrefill.
 	pendingTokensUnit = 100
 )
 
-// Board is safe for concurrent use. Set the fields before the first call.
+// Board holds the state of targets as one entry sees it. Set the exported fields before the
+// first call. It is safe for concurrent use.
 type Board struct {
-	// ColdBounds bounds what all entries together may send to a cold target in a second:
-	// over times its rate, and slack more. Nil for the defaults.
+	// ColdBounds returns the limits on what all entries together send to a cold target in a
+	// second: over times its rate, plus slack requests. If nil, the defaults apply.
 	ColdBounds func() (over, slack float64)
-	// Overloaded reports that work waits for this entry's own processor: its time-outs then say
-	// nothing of hosts. Nil for never.
+	// Overloaded reports whether work is waiting for this entry's own processor. Its timeouts
+	// are then no evidence of failed hosts. If nil, the entry is never overloaded.
 	Overloaded func() bool
-	// Self names this entry among Peers, Domain the failure domain that it is in.
+	// Self is this entry's address among its peers, and Domain the failure domain it runs in.
 	Self   netip.AddrPort
 	Domain string
 
 	mu      sync.Mutex
 	targets map[uint32]*targetState
-	// cachedParts is by the low half of a part's ID, and by target.
+	// cachedParts is indexed by the low 32 bits of the part's ID, then by the target's cache
+	// key.
 	cachedParts  map[uint32]map[uint32]cachedPart
 	cacheChanges []share.CachedPart
 	replaced     []uint32
 	peers        map[netip.AddrPort]*peer
 	peerLoads    map[uint32]share.Load
-	// services is what requests to each service hold, of this entry.
+	// services holds the state of this entry's requests, by service.
 	services map[string]*serviceState
-	// domains is what is known of the ways to failure domains.
+	// domains holds the reachability of failure domains, by name.
 	domains map[string]*domain
-	// listed are the caches that a target or a peer has listed whole.
+	// listed is the set of caches whose complete contents were listed by the target or a peer.
 	listed map[uint32]bool
-	// maxEntries is the largest number of entries that was known at once of late, and
-	// mostAt when there were that many.
+	// maxEntries is the largest number of entries known at the same time recently, and
+	// maxEntriesAt the time when that number was last reached.
 	maxEntries   int
 	maxEntriesAt clock.Stamp
-	// fleetVersion counts the changes of who is a member of the fleet.
+	// fleetVersion is incremented whenever a peer joins or leaves.
 	fleetVersion uint64
 	expiredAt    clock.Stamp
-	// unresponsive are targets that were found to be silent, for the peers; alert is until when
-	// more of them are to be expected, and answeredAt when any target last answered.
+	// unresponsive lists targets that were found unresponsive, for the next report to peers.
+	// Until alertUntil more of them are expected. answeredAt is the time of the last answer of
+	// any target.
 	unresponsive []uint32
 	alertUntil   clock.Stamp
 	answeredAt   clock.Stamp
 
-	// indexes index the targets of each service.
+	// indexes holds the index of each service's targets.
 	indexes map[string]*serviceIndex
 	scratch []place.Candidate
 }
 
-// targetState is what is known of one target.
+// targetState is the state of one target.
 type targetState struct {
-	// born is the start that health and cold are about.
+	// born is the start time of the instance that health, cold and limit describe.
 	born          int64
 	running       int
 	pendingTokens int
@@ -84,24 +89,24 @@
 	cold          coldBucket
 	limit         admit.AdaptiveLimit
 	suspicion     suspicion
-	// recentSent are this entry's own requests that peers may not know of.
+	// recentSent counts this entry's own requests that peers might not have a report of yet.
 	recentSent decayingCounter
-	// member is the target in the index of the newest view; nil before it is indexed.
+	// member is the target in the index of the newest view; nil if it is not indexed.
 	member *indexMember
-	// rank is this entry's place among those that may send to the target while it is cold,
-	// as of a number of changes of the fleet.
+	// rank is this entry's rank among the entries that can send to the target while it is cold,
+	// computed at rankVersion of the fleet.
 	rank        int
 	rankVersion uint64
 }
 
-// loadKey names a target in datagrams about what is in progress there. A restart
-// keeps it: requests that were sent just before it was noticed still count. With a key
-// of its own for each start, a target that had restarted would look idle while it is at
-// work, and get more than its multiple of the mean.
+// loadKey returns the key of a target in load reports. The key is the same for all instances of
+// a target, so that requests sent just before a restart was noticed still count. With a key per
+// instance, a restarted target would look idle while it is busy, and receive more than its
+// allowed multiple of the mean.
 func loadKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// CacheKey names an instance in datagrams about its cache. A restart is another instance,
-// which has nothing in its cache.
+// CacheKey returns the key of an instance in cache reports. It differs between restarts,
+// because a restarted instance has an empty cache.
 func CacheKey(t *chestnutstep.Instance) uint32 {
 	var d xxhash.Digest
 	d.Reset()
@@ -138,8 +143,8 @@
 	return s
 }
 
-// instanceState returns the state of a target. What was learned of an earlier start says
-// nothing of this one.
+// instanceState returns the key and the state of a target. State that describes an earlier
+// instance is reset.
 func (b *Board) instanceState(t *chestnutstep.Instance) (uint32, *targetState) {
 	key := loadKey(t.ID)
 	s := b.state(key)
@@ -150,7 +155,8 @@
 	return key, s
 }
 
-// candidate returns a target as a candidate for a request; false where it may not have it.
+// candidate returns a target as a candidate for a request, and false if the target cannot take
+// it.
 func (b *Board) candidate(l *lookup, m *indexMember) (place.Candidate, bool) {
 	if !m.usable || slices.Contains(l.criteria.Skip, m.ID) || !m.totals.allowed {
 		return place.Candidate{}, false
@@ -180,7 +186,8 @@
 	}, true
 }
 
-// Prune forgets all targets that are not listed: what they held is lost.
+// Prune removes the state of targets that are not in the view and have no requests in progress,
+// and the cached parts of instances that are not in it.
 func (b *Board) Prune(v *roster.View) {
 	live, caches := make(map[uint32]bool, len(v.ByID)), make(map[uint32]bool, len(v.ByID))
 	for _, t := range v.ByID {
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -20,7 +20,8 @@
 
 var engine = &chestnutstep.Service{Name: "s", IsEngine: true, ColdRate: 14, ColdStart: 3 * time.Second}
 
-// newView has targets t0, t1, ...; those beyond warm stay cold for a minute.
+// newView returns a view of the targets t0, t1, ...; those from index warm on are cold for a
+// minute.
 func newView(n, warm int) *roster.View {
 	v := &roster.View{Services: make(map[string][]*roster.Target), ByID: make(map[string]*roster.Target)}
 	for i := range n {
@@ -38,7 +39,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-// newFleet is entries that hear each other.
+// newFleet returns n entries that have exchanged one report with each other.
 func newFleet(n int) []*board.Board {
 	list := make([]*board.Board, n)
 	for i := range list {
@@ -48,7 +49,7 @@
 	return list
 }
 
-// exchangeReports lets each entry tell all others.
+// exchangeReports merges a report of each entry into all others.
 func exchangeReports(list []*board.Board, now clock.Stamp) {
 	for i, from := range list {
 		r := &share.Report{From: addr(i), Loads: from.Loads(), CachedParts: from.CacheChanges(), Replaced: from.ReplacedTargets()}
@@ -60,7 +61,7 @@
 	}
 }
 
-// ids lists candidates.
+// ids joins the IDs of candidates.
 func ids(list []place.Candidate) string {
 	out := ""
 	for _, c := range list {
@@ -69,10 +70,9 @@
 	return out
 }
 
-// A target restarts while all entries have much to send. Each allows what the target
-// carries, and all together many times that: it falls over, again and again, and
-// callers see its answers break off. The bound is over all entries: 14 a second,
-// half as much again, and 5.
+// TestColdTargetOverAllEntries guards against a restarted target that is overloaded because
+// each entry sends what one target can carry, and all entries together many times that. The
+// bound covers all entries: 14 requests a second, times 1.5, plus 5.
 func TestColdTargetOverAllEntries(t *testing.T) {
 	for _, n := range []int{1, 5, 24, 350} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -96,16 +96,16 @@
 	}
 }
 
-// manyEntries is the planned size, and manyGap how often an entry hears from each of
-// that many others within the bytes that it may spend.
+// manyEntries is the planned fleet size, and manyReportGap the time between two reports of the
+// same peer at that size, as limited by the byte budget.
 const (
 	manyEntries   = 350
 	manyReportGap = 12 * time.Second
 	manyRounds    = int(manyReportGap / (500 * time.Millisecond))
 )
 
-// exchangeSomeReports lets each entry tell a few others, as many entries do: each pair talks once
-// in manyGap.
+// exchangeSomeReports merges a report of each entry into a few others, as in a large fleet:
+// each pair exchanges reports once per manyReportGap.
 func exchangeSomeReports(list []*board.Board, now clock.Stamp, round int) {
 	for i, from := range list {
 		r := &share.Report{From: addr(i), Loads: from.Loads()}
@@ -117,10 +117,9 @@
 	}
 }
 
-// A fleet of the planned size, in which entries hear from each other rarely. One that
-// takes the few it heard of late for all would use a part of the budget of cold
-// targets, and of repeats, that is eight times too large; each target that restarts
-// falls over at once.
+// TestManyEntriesKeepColdBounds guards against an entry of a large fleet that counts only the
+// peers that reported recently. Its part of the cold budget and of the retry budget would be
+// eight times too large, and each restarted target would be overloaded at once.
 func TestManyEntriesKeepColdBounds(t *testing.T) {
 	entries, v := make([]*board.Board, manyEntries), newView(1, 0)
 	for i := range entries {
@@ -149,7 +148,7 @@
 	assert.Assert(t, len(sent) > 5, "only %d in three seconds: a cold target is never warmed", len(sent))
 }
 
-// busiestSecond is the most of what was sent within a second.
+// busiestSecond returns the largest number of requests sent within one second.
 func busiestSecond(sent []clock.Stamp) int {
 	maxCount := 0
 	for i := range sent {
@@ -162,7 +161,8 @@
 	return maxCount
 }
 
-// An entry that hears nobody does not know how many others send.
+// TestColdTargetOfIsolatedEntry guards against an entry without peer reports that uses the
+// whole cold budget although it does not have the number of other senders.
 func TestColdTargetOfIsolatedEntry(t *testing.T) {
 	b, v := &board.Board{Self: addr(1)}, newView(1, 0)
 	sent := 0
@@ -175,9 +175,9 @@
 	assert.Assert(t, sent >= 1 && sent <= 4, "%d", sent)
 }
 
-// What one entry sends, the others see within a round of datagrams, and forget when
-// it falls silent: otherwise all send to the target that looks idle, or none to one
-// that a dead entry kept busy.
+// TestLoadsOfPeers guards against loads of peers that are missed or kept too long: without them
+// all entries send to the target that looks idle; if they do not expire, a dead entry keeps a
+// target looking busy.
 func TestLoadsOfPeers(t *testing.T) {
 	entries, v := newFleet(3), newView(2, 2)
 	var runs []*board.Attempt
@@ -206,9 +206,9 @@
 	return list
 }
 
-// A prefix is fetched only from a target that has read it. One that is still reading
-// has nothing to give: whoever fetches there reads it a second time. A target that
-// restarted has nothing either.
+// TestCachedParts guards against fetching a prefix from a target that has not finished reading
+// it, where the fetch makes it read the prefix a second time, or from a restarted target, whose
+// cache is empty.
 func TestCachedParts(t *testing.T) {
 	entries, v := newFleet(2), newView(2, 2)
 	a, b := entries[0], entries[1]
@@ -235,8 +235,9 @@
 	assert.Equal(t, a.Candidates(start, v, engine, board.Criteria{Parts: parts(5, 6)})[1].CachedTokens, 0, "it was never read")
 }
 
-// All entries have lost their memory, and targets say what they hold. Most of it
-// belongs to single requests: peers are told only of what is asked for again.
+// TestListedPartsAreReportedWhenRequested guards against reports that grow after all entries
+// restart and targets list their caches: most listed parts belong to single requests, so peers
+// receive only those that another request uses.
 func TestListedPartsAreReportedWhenRequested(t *testing.T) {
 	b, v := &board.Board{Self: addr(1)}, newView(1, 1)
 	b.RecordCache(start, &v.ByID["t0"].Instance, parts(1, 2, 3))
@@ -250,8 +251,9 @@
 	}
 }
 
-// A target can't be reached: it rests, longer after each failure, and is tried when
-// nothing else is left. One whose address another instance answers is told to all.
+// TestHealth guards against targets that get requests while they are unreachable: they are
+// skipped with a growing backoff and used only if no other is left. A target whose address
+// belongs to another instance is reported to all peers.
 func TestHealth(t *testing.T) {
 	entries, v := newFleet(2), newView(2, 2)
 	a, b := entries[0], entries[1]
@@ -266,8 +268,8 @@
 	assert.Equal(t, ids(b.Candidates(start.Add(time.Second), v, engine, board.Criteria{})), "t0 ")
 }
 
-// A target fails part of its requests while its health check is good. Callers see
-// errors for as long as it gets its share.
+// TestFailingTarget guards against a target that fails part of its requests while its health
+// check passes: callers would get errors for as long as it receives its usual share.
 func TestFailingTarget(t *testing.T) {
 	b, v := &board.Board{Self: addr(1)}, newView(2, 2)
 	for range 12 {
@@ -280,13 +282,13 @@
 	choice, ok := place.Pick(list, place.Donor{}, place.Request{Key: 1})
 	assert.Assert(t, ok)
 	assert.Equal(t, list[choice.Index].ID, "t1")
-	// It is tried again after a while.
+	// The failure ratio decays, so that the target is used again.
 	b.Start(start, v.ByID["t0"], engine, nil, 0, board.Caller{}).End(start.Add(20*time.Second), board.Canceled)
 	assert.Equal(t, b.Candidates(start.Add(20*time.Second), v, engine, board.Criteria{})[0].FailureRatio, 0.0)
 }
 
-// A fleet is made smaller. For minutes the entries that fell silent may still send;
-// after that the rest share the whole budget.
+// TestSmallerFleet guards against a fleet that was made smaller and never gets its whole budget
+// back. For a few minutes the missing entries still count, as they can still be sending.
 func TestSmallerFleet(t *testing.T) {
 	entries, v := newFleet(24), newView(1, 1)
 	b := entries[0]
@@ -297,7 +299,8 @@
 	assert.Assert(t, b.EntryCount() < 24)
 }
 
-// An installation allows little beyond a cold target's rate: fewer entries send there.
+// TestColdBoundsOfOperators guards against ignoring tight configured bounds for cold targets:
+// they must reduce the number of entries that send there.
 func TestColdBoundsOfOperators(t *testing.T) {
 	entries, v := newFleet(24), newView(1, 0)
 	slow := *engine
--- a/board/choose.go
+++ b/board/choose.go
@@ -11,71 +11,76 @@
 )
 
 const (
-	// sampleSize is how many targets with a place a choice looks at, beside those that hold the
-	// prefix: the least loaded of so many is hardly worse than that of all.
+	// sampleSize is how many targets with free capacity a choice evaluates, in addition to
+	// those that hold the prefix. The least loaded of this sample has almost the same load as
+	// the least loaded of all.
 	sampleSize = 16
-	// maxHolders bounds the holders of a prefix that a choice looks at: parts that many
-	// prompts share are in every cache.
+	// maxHolders limits how many holders of a prefix a choice evaluates: parts shared by many
+	// prompts are in every cache.
 	maxHolders = 32
 )
 
-// Criteria says what a request wants of a target.
+// Criteria describes which targets can take a request.
 type Criteria struct {
 	Parts []chestnutstep.PromptPart
-	// Domain of the entry.
+	// Domain is the failure domain of the entry.
 	Domain string
-	// DomainAllowed says whether targets of a failure domain may have the request; nil
-	// for all.
+	// DomainAllowed reports whether targets of a failure domain can take the request; nil
+	// allows all.
 	DomainAllowed func(domain string) bool
-	// Skip are targets that had the request already.
+	// Skip lists targets that already received the request.
 	Skip []string
-	// IncludeDown may be used when nothing else is left.
+	// IncludeDown includes targets that are marked down, for use if no other is left.
 	IncludeDown bool
-	// Caller asks for a place; nil where the request has one.
+	// Caller is set if the request needs a place; nil if it already has one.
 	Caller *Caller
-	// CapFactor is the multiple of the mean load that no target may carry; 0 where none is set.
+	// CapFactor is the multiple of the mean load that no target should exceed; 0 for the
+	// default.
 	CapFactor float64
-	// VerifyHost says that a dead host would cost the request more than a handshake: it may run
-	// only once, or has lost time already.
+	// VerifyHost is set if a dead host would cost the request more than a handshake, because
+	// the request must run at most once or has already lost time.
 	VerifyHost bool
 }
 
-// Choice is the target for a request.
+// Choice is the result of choosing a target for a request.
 type Choice struct {
-	// Target is nil where there is none for the request.
+	// Target is nil if no target can take the request.
 	Target *roster.Target
 	place.Candidate
 	Request place.Request
-	// Donor is where the missing prefix is fetched from; the zero Donor for nowhere.
+	// Donor is the target to fetch the missing prefix from; the zero Donor if it is not
+	// fetched.
 	Donor place.Donor
-	// Cost is the expected milliseconds to the first byte.
+	// Cost is the expected time to the first byte, in milliseconds.
 	Cost float64
-	// NewConnection says that the request should open a connection, to verify that the host is there.
+	// NewConnection reports whether the request should open a connection to verify that the
+	// host is reachable.
 	NewConnection bool
-	// Eligible is the number of targets that might have taken the request.
+	// Eligible is the number of targets that could have taken the request.
 	Eligible int
-	// Admission is what is known of the places; Free where the request did not ask for one.
+	// Admission is the result of admission; it is admitted if the request did not ask for a
+	// place.
 	Admission Admission
 }
 
-// ReusableTokens is the tokens of the prompt that the target need not read.
+// ReusableTokens returns the number of prompt tokens that the target does not have to read.
 func (c *Choice) ReusableTokens() int { return max(c.CachedTokens, c.Donor.CachedTokens) }
 
-// lookup is what holds for all targets during one choice.
+// lookup holds the values that are the same for all targets during one choice.
 type lookup struct {
 	now         clock.Stamp
 	service     *chestnutstep.Service
 	criteria    *Criteria
 	serviceTime time.Duration
 	patience    time.Duration
-	// requestsPerSlot is how many requests each slot of a target may have.
+	// requestsPerSlot is how many requests a target can have per slot.
 	requestsPerSlot float64
 	totals          place.Totals
 	ceiling         float64
 }
 
-// Choose picks the target for a request. Its cost does not grow with the number of targets,
-// but where hardly any of them has a place.
+// Choose selects the target for a request. Its cost does not grow with the number of targets,
+// unless few of them have free capacity.
 func (b *Board) Choose(now clock.Stamp, v *roster.View, service *chestnutstep.Service, criteria Criteria, req place.Request) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,7 +130,7 @@
 	return l
 }
 
-// computeTotals adds up the targets that may take the request.
+// computeTotals sums up the targets that can take the request.
 func (b *Board) computeTotals(l *lookup, ix *serviceIndex) {
 	l.totals = place.Totals{}
 	b.setAllowedDomains(l, ix)
@@ -151,7 +156,7 @@
 	}
 }
 
-// setAllowedDomains notes which failure domains may have the request.
+// setAllowedDomains marks the failure domains whose targets can take the request.
 func (b *Board) setAllowedDomains(l *lookup, ix *serviceIndex) {
 	for _, a := range ix.totals {
 		allowed := l.criteria.DomainAllowed == nil || l.criteria.DomainAllowed(a.domain)
@@ -168,7 +173,7 @@
 	l.totals.Unlimited = l.totals.Unlimited || a.unlimited > 0
 }
 
-// subtractSkipped takes a target that had the request already out of the sums.
+// subtractSkipped removes a target that already received the request from the totals.
 func (l *lookup) subtractSkipped(b *Board, m *indexMember) {
 	running := float64(b.runningAt(m))
 	l.totals.Targets--
@@ -179,9 +184,9 @@
 	l.totals.Unreported -= b.unreported(l.now, m.state, l.requestsPerSlot*float64(m.Slots))
 }
 
-// shortlist lists the targets worth a closer look: in the order of the request's hash until
-// enough of them have a place, and those that hold the prefix. All are listed where few have
-// a place. The list is valid until the next call.
+// shortlist returns the targets to evaluate: in the order of the request's hash until enough of
+// them have free capacity, plus those that hold the prefix. It returns all targets if few have
+// free capacity. The list is valid until the next call.
 func (b *Board) shortlist(l *lookup, ix *serviceIndex, req *place.Request) []place.Candidate {
 	ix.choiceSeq++
 	list := b.scratch[:0]
@@ -207,7 +212,7 @@
 	return list
 }
 
-// addHolders adds the targets that hold enough of the prefix and were not looked at yet.
+// addHolders appends the targets that hold enough of the prefix and are not in the list yet.
 func (b *Board) addHolders(l *lookup, ix *serviceIndex, req *place.Request, list []place.Candidate) []place.Candidate {
 	if req.Shared <= 0 {
 		return list
@@ -236,9 +241,9 @@
 	return list
 }
 
-// donor returns the target with the longest prefix to fetch from; of several the
-// least loaded, as fetches from one run one after the other. One that is leaving
-// may give while it still answers: what only it holds is lost otherwise.
+// donor returns the target with the longest prefix to fetch from, and among equals the least
+// loaded, because a target serves fetches one after the other. A leaving target can be the
+// donor while it still answers: the parts that only it holds would otherwise be lost.
 func (b *Board) donor(now clock.Stamp, ix *serviceIndex, parts []chestnutstep.PromptPart) place.Donor {
 	var best place.Donor
 	for i := len(parts) - 1; i >= 0 && best.CachedTokens == 0; i-- {
@@ -255,7 +260,7 @@
 	return best
 }
 
-// compareDonor puts a target in the place of the best donor if it is better.
+// compareDonor replaces best with m if m is the better donor.
 func (b *Board) compareDonor(now clock.Stamp, best *place.Donor, m *indexMember, parts []chestnutstep.PromptPart) {
 	cached := b.cachedTokens(now, m.cacheKey, parts, true)
 	load := float64(b.runningAt(m))
--- a/board/choose_test.go
+++ b/board/choose_test.go
@@ -19,7 +19,7 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// plainChoice chooses as Choose does, by looking at every target.
+// plainChoice is the reference for Choose: it evaluates every target.
 func plainChoice(b *board.Board, now clock.Stamp, v *roster.View, criteria board.Criteria, req place.Request) (place.Choice, []place.Candidate) {
 	list := b.Candidates(now, v, engine, criteria)
 	byID := make(map[string]*place.Candidate, len(list))
@@ -47,13 +47,13 @@
 	return c, list
 }
 
-// history is a random history of a board.
+// history applies random steps to a board.
 type history struct {
 	b    *board.Board
 	v    *roster.View
 	now  clock.Stamp
 	runs []*board.Attempt
-	// joined counts the targets that joined.
+	// joined is the number of targets that joined.
 	joined int
 }
 
@@ -85,7 +85,8 @@
 	}
 }
 
-// change takes one target out, or lets it leave, or adds one; the others stay as they are.
+// change removes a target, toggles its leaving state, or adds a target; the others stay the
+// same.
 func (h *history) change(t *rapid.T, x *roster.Target) {
 	list := slices.Clone(h.v.Services["s"])
 	i := slices.Index(list, x)
@@ -109,8 +110,8 @@
 	h.v = v
 }
 
-// TestChooseMatchesPlainChoice guards against an index that has lost track of the targets: totals,
-// holders and the order by hash have to be those that a look at every target gives.
+// TestChooseMatchesPlainChoice guards against an index that diverges from the targets: totals,
+// holders and hash order must equal those computed over all targets.
 func TestChooseMatchesPlainChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "targets")
@@ -138,7 +139,7 @@
 	})
 }
 
-// sameTotals compares the sums of the index with those over all targets.
+// sameTotals compares the totals of the index with those computed over all targets.
 func sameTotals(t *rapid.T, h *history, criteria board.Criteria) {
 	var want place.Totals
 	for _, c := range h.b.Candidates(h.now, h.v, engine, criteria) {
@@ -153,8 +154,8 @@
 	assert.Assert(t, math.Abs(got.Taken()-want.Taken()) < 0.02, "%f and %f", got.Taken(), want.Taken())
 }
 
-// TestSampledChoiceIsNearlyLeastLoaded guards against a look at too few targets: the least loaded of
-// those has to be hardly busier than the least loaded of all.
+// TestSampledChoiceIsNearlyLeastLoaded guards against a sample that is too small: the least
+// loaded target of the sample must have almost the load of the least loaded of all.
 func TestSampledChoiceIsNearlyLeastLoaded(t *testing.T) {
 	b, v := &board.Board{Self: addr(0)}, newView(300, 300)
 	for i := range 6000 {
@@ -169,7 +170,7 @@
 	assert.Assert(t, maxRunning <= 34 && minRunning >= 10, "%.0f to %.0f in progress, 20 on average", minRunning, maxRunning)
 }
 
-// busyBoard is a board that knows of many targets, with a request in ten in progress.
+// busyBoard returns a board with n targets, ten requests in progress at each, and 300 peers.
 func busyBoard(n int) (*board.Board, *roster.View) {
 	b, v := &board.Board{Self: addr(0)}, newView(n, n)
 	for i := range 10 * n {
@@ -181,7 +182,7 @@
 	return b, v
 }
 
-// doRequest is all that the board does for one request.
+// doRequest makes all the calls to the board that one request needs.
 func doRequest(b *board.Board, v *roster.View, now clock.Stamp, i uint64) {
 	criteria := board.Criteria{Parts: parts(1, 10+i%1000, 1e9+i), Domain: "d", Caller: &board.Caller{Workspace: "w", Objective: time.Second}}
 	c := b.Choose(now, v, engine, criteria, place.Request{Key: 10 + i%1000, Tokens: 3000, Shared: 2000})
@@ -190,7 +191,7 @@
 	r.End(now, board.Served)
 }
 
-// BenchmarkChoose plays requests against fleets of several sizes, 1 ms apart.
+// BenchmarkChoose measures requests 1 ms apart against fleets of several sizes.
 func BenchmarkChoose(bm *testing.B) {
 	for _, n := range []int{51, 300, 1000, 2700} {
 		bm.Run(fmt.Sprint(n), func(bm *testing.B) {
@@ -214,8 +215,8 @@
 	}
 }
 
-// TestSuspicionsOfPeers guards against every entry finding out by a request of its own that a host is
-// gone, and against one that is cut off closing targets for all.
+// TestSuspicionsOfPeers guards against every entry detecting a dead host with a request of its
+// own, and against an isolated entry that closes targets for all others.
 func TestSuspicionsOfPeers(t *testing.T) {
 	entries, v := newFleet(2), newView(2, 2)
 	a, b := entries[0], entries[1]
@@ -243,7 +244,7 @@
 	assert.Assert(t, !b.Candidates(start, v, engine, board.Criteria{})[0].Suspected, "it answers here")
 }
 
-// BenchmarkView plays a target that joins and one that leaves before each request.
+// BenchmarkView measures a request after one target joined and one left.
 func BenchmarkView(bm *testing.B) {
 	for _, n := range []int{51, 2700} {
 		bm.Run(fmt.Sprint(n), func(bm *testing.B) {
@@ -261,8 +262,8 @@
 	}
 }
 
-// TestEmptyCachesAreListed guards against entries that ask again and again for what a target holds
-// that is known to hold nothing.
+// TestEmptyCachesAreListed guards against entries that request the contents of a cache
+// repeatedly although it is known to be empty.
 func TestEmptyCachesAreListed(t *testing.T) {
 	entries, v := newFleet(2), newView(1, 1)
 	a, b := entries[0], entries[1]
@@ -271,8 +272,9 @@
 	assert.Assert(t, b.CacheListed(&v.ByID["t0"].Instance))
 }
 
-// TestOverloadedEntrySuspectsNoTarget guards against an entry without processor whose time-outs have it
-// verify every host, time out again, and send all to the few hosts that it doesn't suspect.
+// TestOverloadedEntrySuspectsNoTarget guards against an overloaded entry whose own timeouts
+// make it verify every host, time out again, and send all requests to the few hosts that it
+// does not suspect.
 func TestOverloadedEntrySuspectsNoTarget(t *testing.T) {
 	overloaded := true
 	b, v := &board.Board{Self: addr(0), Overloaded: func() bool { return overloaded }}, newView(3, 3)
--- a/board/cold.go
+++ b/board/cold.go
@@ -12,21 +12,20 @@
 )
 
 const (
-	// maxAssigned is how many entries send to one cold target. Each may send a
-	// request at any moment, so that all entries of a large fleet together would
-	// exceed any rate.
+	// maxAssigned is the maximum number of entries that send to one cold target. Each can send
+	// a request at any moment, so all entries of a large fleet together would exceed any rate.
 	maxAssigned = 6
-	// coldRateRatio is the part of a cold target's rate that is used: what is on the
-	// way when a target turns cold takes the rest.
+	// coldRateRatio is the part of a cold target's rate that is used. Requests already in
+	// flight when a target turns cold take the rest.
 	coldRateRatio    = 0.9
 	defaultFleetSize = 6 // used until the first peer report arrives
-	// defaultColdOverage and slackDefault stand in where operators set no bounds.
+	// defaultColdOverage and defaultColdSlack apply if operators set no bounds.
 	defaultColdOverage = 1.5
 	defaultColdSlack   = 5.0
 )
 
-// coldBucket is this entry's allowance for one cold target: one request at once,
-// and its part of the target's rate.
+// coldBucket is this entry's token bucket for one cold target: a burst of one request, refilled
+// at this entry's part of the target's rate.
 type coldBucket struct {
 	tokens  float64
 	last    clock.Stamp
@@ -44,8 +43,8 @@
 
 func (c *coldBucket) take() { c.tokens-- }
 
-// canSendCold says whether this entry may send a request to a cold target now. The
-// target's rate is divided over its assigned entries: the first few by hash.
+// canSendCold reports whether this entry can send a request to a cold target now. The target's
+// rate is divided among its assigned entries: the first few by hash.
 func (b *Board) canSendCold(now clock.Stamp, key uint32, s *targetState, service *chestnutstep.Service) bool {
 	n := b.entryCount()
 	k := min(n, b.assignedEntries(service.ColdRate))
@@ -56,8 +55,8 @@
 	return s.cold.tokens >= 1
 }
 
-// assignedEntries is how many entries may send to one cold target: each may send one
-// request at any moment beside the steady rate.
+// assignedEntries returns how many entries can send to one cold target: each can send one
+// request at any moment in addition to the steady rate.
 func (b *Board) assignedEntries(rate float64) int {
 	overage, slack := defaultColdOverage, defaultColdSlack
 	if b.ColdBounds != nil {
@@ -67,8 +66,8 @@
 	return min(max(allowed, 1), maxAssigned)
 }
 
-// entryCount is how many entries there are. One that knows of fewer than before may be
-// the one that is cut off: the others still send.
+// entryCount returns the number of entries. An entry that sees fewer than before can be the one
+// that is isolated, while the others still send; so the recent maximum counts.
 func (b *Board) entryCount() int {
 	if len(b.peers) == 0 {
 		return max(b.maxEntries, defaultFleetSize)
@@ -76,25 +75,26 @@
 	return max(b.maxEntries, len(b.peers)+1)
 }
 
-// isAssigned says whether this entry is among the first k by hash.
+// isAssigned reports whether this entry is among the first k by hash for a target.
 func (b *Board) isAssigned(key uint32, k int) bool { return b.rank(key) < k }
 
-// IsAssigned says whether this entry is among the first k that look after a
-// target.
+// IsAssigned reports whether this entry is among the first k entries by hash that are
+// responsible for a target.
 func (b *Board) IsAssigned(t *chestnutstep.Instance, k int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.isAssigned(loadKey(t.ID), k)
 }
 
-// IsFirstOf reports whether this entry comes before some others in looking after a target.
+// IsFirstOf reports whether this entry ranks before all of others in the responsibility for a
+// target.
 func (b *Board) IsFirstOf(t *chestnutstep.Instance, others []netip.AddrPort) bool {
 	key := loadKey(t.ID)
 	own := rankHash(b.Self, key)
 	return !slices.ContainsFunc(others, func(p netip.AddrPort) bool { return rankHash(p, key) < own })
 }
 
-// cachedRank is rank, worked out anew only when the fleet has changed.
+// cachedRank returns rank, recomputed only if the fleet has changed.
 func (b *Board) cachedRank(s *targetState, key uint32) int {
 	if s.rankVersion != b.fleetVersion || b.fleetVersion == 0 {
 		s.rank, s.rankVersion = b.rank(key), b.fleetVersion
@@ -102,7 +102,7 @@
 	return s.rank
 }
 
-// rank is this entry's place among the known ones, by hash.
+// rank returns the number of known peers that come before this entry by hash.
 func (b *Board) rank(key uint32) int {
 	own := rankHash(b.Self, key)
 	before := 0
@@ -114,7 +114,7 @@
 	return before
 }
 
-// Rank is this entry's place among the known ones.
+// Rank returns this entry's rank among the known entries, from 0.
 func (b *Board) Rank() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/board/domain.go
+++ b/board/domain.go
@@ -13,57 +13,57 @@
 )
 
 const (
-	// minTimedOut is how many targets of a failure domain fall silent before it counts as
-	// silent itself: one may have died alone.
+	// minTimedOut is how many targets of a failure domain must time out before the domain
+	// counts as unreachable: a single target can be dead on its own.
 	minTimedOut = 2
-	// timeoutWindow is the time within which they do: as long as two tries in a row take
-	// to find out.
+	// timeoutWindow is the time within which these timeouts must occur: as long as two
+	// consecutive attempts take to fail.
 	timeoutWindow = 1500 * time.Millisecond
-	// probeTimeout is how long the one request that finds out whether a domain is back may
-	// take, until the next one is sent: a connection that can't be opened is given up
-	// sooner.
+	// probeTimeout is how long the request that probes an unreachable domain can take before
+	// the next one is sent. It is longer than dialTimeout.
 	probeTimeout = 500 * time.Millisecond
-	// probeSpread is the time over which entries of a failure domain look again, one after the
-	// other.
+	// probeSpread is the time over which the entries of a failure domain distribute their
+	// probes.
 	probeSpread = 2 * time.Second
-	// dialTimeout is how long a connection that can't be opened takes: an answer since it was
-	// begun shows that the target is gone, not its domain.
+	// dialTimeout is how long a failed connection attempt takes. An answer of the domain after
+	// the attempt began shows that only the target is down.
 	dialTimeout = 400 * time.Millisecond
 )
 
-// domain is what is known of the way to a failure domain.
+// domain tracks whether a failure domain is reachable.
 //
-// The fault it answers: a domain is cut off or without power, and its targets answer
-// nothing. Found out one by one, each costs a request the time in which a connection is
-// given up, again and again for as long as the domain is away. Where several fall silent
-// and none answers, the others are left alone too, but for one request at a time. In a
-// large fleet an entry sends too little to find out by itself: it goes by what the
-// entries of its own failure domain see as well, whose way is the same.
+// If a domain loses its network or power, none of its targets answers. Detected target by
+// target, each of them costs a request its dial timeout, repeatedly for as long as the domain
+// is down. If several targets time out and none answers, the domain therefore gets only one
+// request at a time. In a large fleet an entry sends too few requests to detect this alone, so
+// it also uses the reports of peers in its own failure domain, which use the same network path.
 type domain struct {
-	// timedOut gives when each target fell silent, since the last answer of any.
+	// timedOut is the time of each target's last timeout since any target answered.
 	timedOut  map[uint32]clock.Stamp
 	downUntil clock.Stamp
 	backoff   time.Duration
-	// probing says that a request is on its way that finds out whether it is back.
+	// probing is set while a request is in flight that probes whether the domain is reachable
+	// again.
 	probing bool
-	// answeredAt is when a target there last answered this entry or a near one.
+	// answeredAt is when a target of the domain last answered this entry or a peer in its own
+	// domain.
 	answeredAt clock.Stamp
-	// answeredLocally is when one last answered this entry.
+	// answeredLocally is when a target of the domain last answered this entry.
 	answeredLocally clock.Stamp
-	// peerTimeouts is what other entries of the own failure domain saw last.
+	// peerTimeouts is the last timeout report of each peer in this entry's own failure domain.
 	peerTimeouts map[netip.AddrPort]timeouts
 }
 
-// timeouts is what one entry saw of a domain that does not answer it.
+// timeouts is the report of one peer about a domain that does not answer it.
 type timeouts struct {
 	last    clock.Stamp
 	targets int
 }
 
-// isUnreachable says that the domain gets no requests now.
+// isUnreachable reports whether the domain gets no requests now.
 func (d *domain) isUnreachable(now clock.Stamp) bool { return d != nil && now < d.downUntil }
 
-// recordTimeout notes that a target did not answer.
+// recordTimeout records that a target did not answer.
 func (d *domain) recordTimeout(now clock.Stamp, key uint32) {
 	d.expire(now)
 	d.timedOut[key] = now
@@ -75,7 +75,7 @@
 	d.markUnreachable(now, min(max(2*d.backoff, minDownTime), maxDownTime))
 }
 
-// expire drops what was seen too long ago.
+// expire removes timeouts older than timeoutWindow.
 func (d *domain) expire(now clock.Stamp) {
 	for k, at := range d.timedOut {
 		if now.Sub(at) > timeoutWindow {
@@ -94,7 +94,7 @@
 	d.downUntil = max(d.downUntil, now.Add(backoff))
 }
 
-// recordResponse notes that a target answered, whatever it said.
+// recordResponse records that a target answered, with any result.
 func (d *domain) recordResponse(now clock.Stamp) {
 	clear(d.timedOut)
 	clear(d.peerTimeouts)
@@ -102,13 +102,13 @@
 	d.downUntil, d.backoff, d.probing = 0, 0, false
 }
 
-// recordAnswer notes an answer to this entry.
+// recordAnswer records an answer to this entry.
 func (d *domain) recordAnswer(now clock.Stamp) {
 	d.answeredLocally = now
 	d.recordResponse(now)
 }
 
-// merge takes what a near entry has seen.
+// merge applies a report of a peer in this entry's own failure domain.
 func (d *domain) merge(now clock.Stamp, from netip.AddrPort, r share.DomainHealth, probeDelay time.Duration) {
 	if r.AnsweredAgo >= 0 {
 		d.answeredAt = max(d.answeredAt, stampFromAge(now, r.AnsweredAgo))
@@ -125,11 +125,12 @@
 	}
 }
 
-// hasAnswered reports whether a target has answered since the last request to one that did not.
+// hasAnswered reports whether a target has answered since the connection attempt of the last
+// timeout began.
 func (d *domain) hasAnswered() bool { return d.answeredAt > d.lastTimeout().Add(-dialTimeout) }
 
-// hasTimedOutForAll reports whether several targets did not answer several of this entry and the
-// near ones.
+// hasTimedOutForAll reports whether several entries, counting this one and the peers of its
+// domain, had timeouts, at several targets in total.
 func (d *domain) hasTimedOutForAll() bool {
 	entries, targets := len(d.peerTimeouts), len(d.timedOut)
 	if targets > 0 {
@@ -141,7 +142,7 @@
 	return entries >= minTimedOut && targets >= minTimedOut
 }
 
-// lastTimeout is when a target last did not answer, here or at a near entry.
+// lastTimeout returns the time of the last timeout here or at a peer of the own domain.
 func (d *domain) lastTimeout() clock.Stamp {
 	last := clock.Stamp(0)
 	for _, at := range d.timedOut {
@@ -153,8 +154,8 @@
 	return last
 }
 
-// deferProbe leaves the domain alone for as long as what entries of the own failure domain
-// saw counts. They don't all look again at the same moment: wait is this entry's turn.
+// deferProbe marks the domain down for as long as the timeouts of peers count. probeDelay
+// differs by entry, so that entries do not all probe at the same moment.
 func (d *domain) deferProbe(now clock.Stamp, probeDelay time.Duration) {
 	if until := d.lastTimeout().Add(timeoutWindow + probeDelay); until > now {
 		d.backoff = max(d.backoff, minDownTime)
@@ -162,15 +163,15 @@
 	}
 }
 
-// recordStart notes a request to the domain: while it is not known to be back, no other
-// follows for a while.
+// recordStart records a request to the domain. While the domain is not known to be reachable,
+// this request is the probe and no other is sent for probeTimeout.
 func (d *domain) recordStart(now clock.Stamp) {
 	if d != nil && d.backoff > 0 {
 		d.downUntil, d.probing = max(d.downUntil, now.Add(probeTimeout)), true
 	}
 }
 
-// report says what this entry has seen of late; false for nothing.
+// report returns this entry's recent observations of the domain; false if there are none.
 func (d *domain) report(now clock.Stamp, name string) (share.DomainHealth, bool) {
 	d.expire(now)
 	r := share.DomainHealth{
@@ -183,7 +184,8 @@
 	return r, r.AnsweredAgo >= 0 || r.TimedOutAgo >= 0
 }
 
-// ageMillis is how long ago something was, in milliseconds; -1 for too long.
+// ageMillis returns the age of a time in milliseconds; -1 if it is zero or older than
+// timeoutWindow.
 func ageMillis(now, at clock.Stamp) int16 {
 	if at == 0 || now.Sub(at) > timeoutWindow {
 		return -1
@@ -191,15 +193,15 @@
 	return int16(now.Sub(at).Milliseconds())
 }
 
-// stampFromAge is the inverse of age.
+// stampFromAge is the inverse of ageMillis.
 func stampFromAge(now clock.Stamp, ms int16) clock.Stamp {
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// DomainKey names a failure domain in datagrams.
+// DomainKey returns the key of a failure domain in reports.
 func DomainKey(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// domainOf returns what is known of a failure domain.
+// domainOf returns the state of a failure domain, creating it if needed.
 func (b *Board) domainOf(name string) *domain {
 	d := b.domains[name]
 	if d == nil {
@@ -209,18 +211,18 @@
 	return d
 }
 
-// recordDomainOutcome notes what the end of a request says of the way to a domain.
+// recordDomainOutcome updates the reachability of a domain from the outcome of a request.
 func (b *Board) recordDomainOutcome(now clock.Stamp, name string, key uint32, o Outcome) {
 	switch o {
 	case Unreachable:
 		b.domainOf(name).recordTimeout(now, key)
 	case Served, Failed, Refused, Replaced, ConnRefused:
 		b.domainOf(name).recordAnswer(now)
-	case Broken, Canceled: // a connection that broke says nothing of the way there
+	case Broken, Canceled: // a connection that breaks later is no evidence about reachability
 	}
 }
 
-// DomainReports lists what this entry has seen of failure domains of late, for the peers.
+// DomainReports returns this entry's recent observations of failure domains, for its peers.
 func (b *Board) DomainReports(now clock.Stamp) []share.DomainHealth {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -233,7 +235,7 @@
 	return list
 }
 
-// mergeDomains takes what another entry of the own failure domain has seen.
+// mergeDomains applies the reports of a peer in this entry's own failure domain.
 func (b *Board) mergeDomains(now clock.Stamp, from netip.AddrPort, list []share.DomainHealth) {
 	for _, r := range list {
 		for name, d := range b.domains {
@@ -244,8 +246,8 @@
 	}
 }
 
-// probeDelay is this entry's turn among the near ones to find out whether a domain is back; it
-// changes with each time that one finds out that it is not.
+// probeDelay returns this entry's delay within probeSpread before it probes a domain. It
+// changes with the time of the last timeout, so that the first entry to probe varies.
 func (b *Board) probeDelay(name string, d *domain) time.Duration {
 	round := d.lastTimeout() / clock.Stamp(time.Second)
 	h := xxhash.Sum64String(fmt.Sprintf("%s %s %d", b.Self, name, round))
--- a/board/domain_test.go
+++ b/board/domain_test.go
@@ -14,10 +14,10 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// dialTime is how long a request waits for a connection that can't be opened.
+// dialTime is how long a request waits for a connection that cannot be opened.
 const dialTime = 400 * time.Millisecond
 
-// newDomainView is a view of targets in some failure domains.
+// newDomainView returns a view of n failure domains with the same number of targets each.
 func newDomainView(n, each int) *roster.View {
 	v := newView(n*each, n*each)
 	for i, t := range v.Services["s"] {
@@ -26,14 +26,13 @@
 	return v
 }
 
-// A failure domain of ten targets among three is cut off for six seconds. Found out one
-// by one, each of its targets costs a caller 400 ms, again and again: about one try for
-// each target and each pause. One notices as many slow answers as the domain has targets,
-// every few seconds.
+// TestUnreachableDomainGetsFewRequests guards against detecting a lost failure domain target by
+// target. One of three domains with ten targets each is cut off for six seconds; without
+// detection each of its targets costs a caller 400 ms after every backoff.
 func TestUnreachableDomainGetsFewRequests(t *testing.T) {
 	const (
 		cutAt = 2 * time.Second
-		// detectionTime is when the first tries have failed.
+		// detectionTime is when the first attempts have failed.
 		detectionTime = dialTime + 100*time.Millisecond
 		backAt        = 8 * time.Second
 		end           = 12 * time.Second
@@ -71,8 +70,8 @@
 	assert.Assert(t, served > 10, "the domain is back, and got %d requests", served)
 }
 
-// Two targets of a large domain die in the same second, while the others answer. The
-// domain is not away: its callers would be sent to another for nothing.
+// TestTwoDeadTargetsAreNoUnreachableDomain guards against marking a large domain unreachable
+// because two of its targets fail in the same second while the others answer.
 func TestTwoDeadTargetsAreNoUnreachableDomain(t *testing.T) {
 	b, v := &board.Board{Self: addr(0)}, newDomainView(2, 10)
 	list := v.Services["s"]
@@ -95,14 +94,15 @@
 	assert.Equal(t, available, 8)
 }
 
-// sparseTraffic is a fleet whose entries send a request a second each: of a failure domain that is cut off
-// each sees one target every few seconds.
+// sparseTraffic is a fleet whose entries send one request a second each, so that each entry
+// reaches one target of a lost failure domain every few seconds.
 type sparseTraffic struct {
 	boards []*board.Board
 	view   *roster.View
-	// isDead says whether a target does not answer at a time.
+	// isDead reports whether a target does not answer at a given time.
 	isDead func(t *roster.Target, now clock.Stamp) bool
-	// sent counts the requests to each failure domain, silent those that got no answer, by second.
+	// sent counts the requests to each failure domain by second, unanswered those without an
+	// answer.
 	sent, unanswered map[string][]int
 
 	r    *rand.Rand
@@ -139,7 +139,8 @@
 	return f
 }
 
-// run plays the seconds: requests, answers, and reports between entries, each of which reaches one other.
+// run simulates fewSeconds seconds of requests, answers and reports; each report goes to one
+// random peer.
 func (f *sparseTraffic) run() {
 	const tick = 10 * time.Millisecond
 	for now := start; now < start.Add(fewSeconds*time.Second); now = now.Add(tick) {
@@ -183,8 +184,9 @@
 	f.open = kept
 }
 
-// TestUnreachableDomainIsDetectedByPeers guards against a large fleet that finds a lost failure domain only when the list of
-// targets drops it: each entry sends too little there to find out by itself.
+// TestUnreachableDomainIsDetectedByPeers guards against a large fleet that detects a lost
+// failure domain only when the list of targets drops it, because each entry sends too little
+// there to detect it alone.
 func TestUnreachableDomainIsDetectedByPeers(t *testing.T) {
 	const from, to = 4, 9
 	f := newSparseTraffic(func(x *roster.Target, now clock.Stamp) bool {
@@ -201,8 +203,8 @@
 	assert.Assert(t, f.sent["d0"][fewSeconds-1] >= f.sent["d0"][from-1]/2, "the domain is back: %v", f.sent["d0"])
 }
 
-// TestDeadTargetsAreNoUnreachableDomain guards against a sound failure domain that entries leave alone for a few of its
-// targets that are dead.
+// TestDeadTargetsAreNoUnreachableDomain guards against entries that avoid a healthy failure
+// domain because a few of its targets are dead.
 func TestDeadTargetsAreNoUnreachableDomain(t *testing.T) {
 	f := newSparseTraffic(func(x *roster.Target, now clock.Stamp) bool {
 		return x.Domain == "d0" && now >= start.Add(4*time.Second) && board.DomainKey(x.ID)%4 == 0
--- a/board/export_test.go
+++ b/board/export_test.go
@@ -7,11 +7,11 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// MaxDownTime is the longest time for which a target is left alone, for tests.
+// MaxDownTime exports maxDownTime, the longest backoff of a target, for tests.
 const MaxDownTime = maxDownTime
 
-// Candidates lists all targets that may take a request now, in the order of the view: the
-// plain version of what Choose looks at.
+// Candidates returns all targets that can take a request now, in the order of the view. It is
+// the reference implementation of the selection in Choose.
 func (b *Board) Candidates(now clock.Stamp, v *roster.View, service *chestnutstep.Service, criteria Criteria) []place.Candidate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +44,7 @@
 	return best
 }
 
-// Admit asks for a place at all of the candidates.
+// Admit runs admission against the totals of a list of candidates.
 func (b *Board) Admit(now clock.Stamp, service string, list []place.Candidate, caller Caller) Admission {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,7 +56,7 @@
 	return b.admit(now, service, sum.Taken(), caller)
 }
 
-// Totals adds up the targets as Choose does.
+// Totals returns the totals of the targets as Choose computes them.
 func (b *Board) Totals(now clock.Stamp, v *roster.View, service *chestnutstep.Service, criteria Criteria) place.Totals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/board/health.go
+++ b/board/health.go
@@ -6,52 +6,51 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// Outcome is how a request ended at a target.
+// Outcome is the result of a request at a target.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	// Served is a whole answer.
+	// Served is a complete answer.
 	Served Outcome = iota
-	// Failed is an answer that says failure, or a broken one.
+	// Failed is an answer with an error status or an incomplete answer.
 	Failed
-	// Refused says that the target is full.
+	// Refused is a rejection because the target is full.
 	Refused
-	// Unreachable says that no connection could be opened: nothing answered.
+	// Unreachable is a connection attempt without any response.
 	Unreachable
-	// ConnRefused says that none could be opened, as the host said itself.
+	// ConnRefused is a connection attempt that the host rejected.
 	ConnRefused
-	// Replaced says that another instance has the address.
+	// Replaced is an answer from another instance at the target's address.
 	Replaced
-	// Broken says that the connection broke before any answer.
+	// Broken is a connection that failed before any answer.
 	Broken
-	// Canceled says nothing about the target: the caller left.
+	// Canceled is a request canceled by the caller; it is no evidence about the target.
 	Canceled
 )
 
 const (
-	// minDownTime and downMost bound the time that a target which can't be reached
-	// is left alone. Each try costs a request its dial limit.
+	// minDownTime and maxDownTime bound the backoff of an unreachable target. Each attempt
+	// costs a request its dial timeout.
 	minDownTime = 500 * time.Millisecond
 	maxDownTime = 2 * time.Second
-	// replacedDownTime is how long an instance whose address another one answers is
-	// left alone: until the list of targets no longer names it, which takes a few
-	// heartbeats. Without it requests are sent there again and
-	// again, out of their few tries.
+	// replacedDownTime is the backoff of an instance whose address belongs to another instance:
+	// until the list of targets drops it, which takes a few heartbeats. Without it, requests
+	// would spend their few attempts there repeatedly.
 	replacedDownTime = 10 * time.Second
-	// failureWeight is the weight of the newest answer in the share of failures: about
-	// the last dozen answers count.
+	// failureWeight is the weight of the newest answer in the failure ratio: about the last
+	// dozen answers count.
 	failureWeight = 0.12
-	// failureThreshold is the share of failures below which a target counts as sound: some
-	// services answer one request in six with a failure of their own.
+	// failureThreshold is the failure ratio below which a target counts as healthy: some
+	// services answer one request in six with an error of their own.
 	failureThreshold = 0.3
-	// failureHalfLife halves the share of failures of a target that gets nothing, so that it
-	// is tried again.
+	// failureHalfLife is the half-life of the failure ratio of a target that gets no requests,
+	// so that it is used again.
 	failureHalfLife = 1500 * time.Millisecond
 )
 
-// health judges a target by its answers alone: health checks are good while a
-// target fails part of its requests.
+// health tracks the health of a target by its answers only, because health checks can pass
+// while a target fails part of its requests.
 type health struct {
 	downUntil clock.Stamp
 	backoff   time.Duration
@@ -80,7 +79,7 @@
 	}
 }
 
-// markDown leaves the target alone, longer after each failure in a row.
+// markDown marks the target down, with a backoff that doubles after each consecutive failure.
 func (h *health) markDown(now clock.Stamp) {
 	if now < h.downUntil {
 		return
@@ -101,7 +100,7 @@
 	h.updatedAt = now
 }
 
-// failureRatio is the share of failures above what is usual.
+// failureRatio returns the failure ratio, or 0 below failureThreshold.
 func (h *health) failureRatio() float64 {
 	if h.ratio < failureThreshold {
 		return 0
--- a/board/holds.go
+++ b/board/holds.go
@@ -9,17 +9,17 @@
 // cachedPart is a prompt part in a target's cache.
 type cachedPart struct {
 	at clock.Stamp
-	// ready says that the target has read it: before that there is nothing to
-	// fetch, and whoever tries reads it a second time.
+	// ready reports whether the target has read the part. Before that it cannot be fetched, and
+	// a fetch makes the target read it a second time.
 	ready bool
-	// listed says that only the target itself named it: most of such parts belong
-	// to one request, and are not reported to peers until another asks for it.
+	// listed reports whether only the target's own list named the part. Most of these parts
+	// belong to one request; they are not reported to peers until another request uses them.
 	listed bool
 }
 
-// cachedTokens counts the tokens of the leading parts in a target's cache: a part is of
-// use only if all before it are there too. With ready, parts that are still being
-// read don't count.
+// cachedTokens returns the number of tokens in the leading parts that are in a target's cache:
+// a part can be reused only if all parts before it are cached. With onlyReady, parts that are
+// still being read do not count.
 func (b *Board) cachedTokens(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, onlyReady bool) int {
 	n := 0
 	for _, p := range parts {
@@ -32,8 +32,8 @@
 	return n
 }
 
-// recordParts notes that a target reads parts. The last part is the request's own: no
-// other request asks for it.
+// recordParts records that a target reads parts. The last part belongs to this request only and
+// is not recorded.
 func (b *Board) recordParts(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, ready bool) {
 	if len(parts) == 0 {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// recordPart notes a part in a cache, and says whether that is new.
+// recordPart records a part in a cache, and reports whether peers need the update.
 func (b *Board) recordPart(now clock.Stamp, part, key uint32, ready bool) bool {
 	m := b.cachedParts[part]
 	if m == nil {
@@ -60,7 +60,7 @@
 	return !known || ready && !old.ready || old.listed
 }
 
-// dropUnready forgets parts that a target did not read after all.
+// dropUnready removes parts that a target did not finish reading.
 func (b *Board) dropUnready(key uint32, parts []chestnutstep.PromptPart) {
 	for _, p := range parts {
 		if m := b.cachedParts[uint32(p.ID)]; m != nil && !m[key].ready {
@@ -69,7 +69,7 @@
 	}
 }
 
-// RecordCache notes what a target itself says of its cache.
+// RecordCache records the contents of a cache as listed by the target.
 func (b *Board) RecordCache(now clock.Stamp, t *chestnutstep.Instance, parts []chestnutstep.PromptPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,14 +80,14 @@
 	b.listed[CacheKey(t)] = true
 }
 
-// CacheListed says whether a target's cache was listed whole, by itself or by a peer.
+// CacheListed reports whether a target's complete cache was listed, by itself or by a peer.
 func (b *Board) CacheListed(t *chestnutstep.Instance) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.listed[CacheKey(t)]
 }
 
-// CacheLists returns all that is known of caches, for a peer that has just started.
+// CacheLists returns all known cache contents, for a peer that has just started.
 func (b *Board) CacheLists(now clock.Stamp) []share.CacheList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,7 +117,7 @@
 	return lists
 }
 
-// MergeCacheLists notes what a peer knows of caches.
+// MergeCacheLists applies the cache lists of a peer.
 func (b *Board) MergeCacheLists(now clock.Stamp, lists []share.CacheList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,7 +125,7 @@
 	b.mergeCacheLists(now, lists)
 }
 
-// recordListed notes a part that a target named, unless more is known of it.
+// recordListed records a part that a target listed, unless the part is already known.
 func (b *Board) recordListed(now clock.Stamp, key, part uint32) {
 	if _, known := b.cachedParts[part][key]; known {
 		return
@@ -134,7 +134,7 @@
 	b.cachedParts[part][key] = cachedPart{at: now, ready: true, listed: true}
 }
 
-// evictOld makes room.
+// evictOld removes parts that were not read recently, and all parts if that is not enough.
 func (b *Board) evictOld(now clock.Stamp) {
 	for part, m := range b.cachedParts {
 		for key, h := range m {
--- a/board/index.go
+++ b/board/index.go
@@ -7,25 +7,26 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// serviceIndex is the index of a service's targets. It is kept up to date by what changes them, so
-// that a choice looks at a few of them instead of all.
+// serviceIndex is the index of a service's targets. It is updated incrementally, so that a
+// choice evaluates a few targets instead of all.
 type serviceIndex struct {
 	view *roster.View
-	// members are by their slot on the ring; nil for a slot that is free.
+	// members is indexed by slot on the ring; nil for a free slot.
 	members []*indexMember
 	ring    place.Ring
-	// caches finds members by the key of their cache.
+	// caches holds the members by cache key.
 	caches map[uint32]*indexMember
 	totals map[string]*domainTotals
-	// individual are the members that the areas don't sum up.
+	// individual lists the members that are not in domainTotals.
 	individual []*indexMember
-	// recentlySent are those that got requests of this entry that peers may not know of.
+	// recentlySent lists the members with requests of this entry that peers might not have a
+	// report of yet.
 	recentlySent []*indexMember
-	// choiceSeq numbers the choices, and change the changes of the view.
+	// choiceSeq is the number of the current choice, and viewSeq that of the current view.
 	choiceSeq, viewSeq uint64
 }
 
-// indexMember is a target of a group.
+// indexMember is a target in the index of a service.
 type indexMember struct {
 	*roster.Target
 	slot          int
@@ -35,20 +36,21 @@
 	usable        bool
 	individual    bool
 	recentlySent  bool
-	// choiceSeq is the last choice that has looked at it, and change the last view that has it.
+	// choiceSeq is the last choice that evaluated the member, and viewSeq the last view that
+	// contains it.
 	choiceSeq, viewSeq uint64
 }
 
-// domainTotals sums up the usual members of a failure domain: usable, warm, reachable, and without a
-// limit of their own.
+// domainTotals sums up the members of a failure domain that need no individual evaluation:
+// usable, warm, reachable, and without a binding limit of their own.
 type domainTotals struct {
 	domain string
-	// allowed reports whether the request of the present choice may go there.
+	// allowed reports whether the request of the current choice can go to the domain.
 	allowed bool
 	targets int
 	running int
 	slots   int
-	// unlimited are those that publish no slots.
+	// unlimited is the number of targets that publish no slots.
 	unlimited int
 }
 
@@ -61,7 +63,7 @@
 	}
 }
 
-// serviceIndex returns the index of a service for a view.
+// serviceIndex returns the index of a service, updated to the view.
 func (b *Board) serviceIndex(now clock.Stamp, v *roster.View, service *chestnutstep.Service) *serviceIndex {
 	ix := b.indexes[service.Name]
 	if ix == nil {
@@ -75,8 +77,7 @@
 	return ix
 }
 
-// updateIndex brings the index up to a list of targets. What is known of those that are as they were
-// is not worked out anew.
+// updateIndex updates the index to a list of targets. Entries of unchanged targets are kept.
 func (b *Board) updateIndex(now clock.Stamp, ix *serviceIndex, list []*roster.Target) {
 	ix.viewSeq++
 	var joined, removed []string
@@ -109,7 +110,7 @@
 	}
 }
 
-// insert puts a target into the index.
+// insert adds a target to the index.
 func (b *Board) insert(now clock.Stamp, ix *serviceIndex, t *roster.Target, slot int) {
 	key, s := b.instanceState(&t.Instance)
 	m := &indexMember{Target: t, slot: slot, key: key, cacheKey: CacheKey(&t.Instance), state: s, usable: ix.view.Usable(t), viewSeq: ix.viewSeq}
@@ -133,7 +134,7 @@
 	}
 }
 
-// remove takes a target out of the index, but for the lists that settle looks through.
+// remove removes a target from the index, except from the lists that refreshTotals prunes.
 func (ix *serviceIndex) remove(m *indexMember, running int) {
 	if !m.individual {
 		m.totals.add(m, running, -1)
@@ -148,17 +149,18 @@
 	ix.members[m.slot] = nil
 }
 
-// canAggregate reports whether the sums of the failure domain say all of the target.
+// canAggregate reports whether the totals of the failure domain describe the target completely.
 func (m *indexMember) canAggregate(now clock.Stamp) bool {
 	return m.usable && now >= m.ColdUntil && !m.state.health.isDown(now) && !m.state.limit.IsBinding(now)
 }
 
-// runningAt is the number of requests in progress at a target, of all entries.
+// runningAt returns the number of requests in progress at a target, from all entries.
 func (b *Board) runningAt(m *indexMember) int {
 	return m.state.running + int(b.peerLoads[m.key].Running)
 }
 
-// countIndividually takes a target out of the sums: more has to be known of it than they say.
+// countIndividually removes a target from the totals, because it now needs individual
+// evaluation.
 func (b *Board) countIndividually(s *targetState) {
 	m := s.member
 	if m == nil || m.individual {
@@ -170,7 +172,7 @@
 	ix.individual = append(ix.individual, m)
 }
 
-// recordSent counts a request that peers may not know of.
+// recordSent counts a request that peers might not have a report of yet.
 func (b *Board) recordSent(now clock.Stamp, s *targetState) {
 	s.recentSent.add(now)
 	m := s.member
@@ -182,20 +184,20 @@
 	ix.recentlySent = append(ix.recentlySent, m)
 }
 
-// addRunning counts requests that began at a target, or ended.
+// addRunning adds n to the number of requests in progress at the target.
 func (s *targetState) addRunning(n int) {
 	s.running += n
 	s.addToTotals(n)
 }
 
-// addToTotals keeps the sums of the failure domain.
+// addToTotals adds n to the running requests of the failure domain's totals.
 func (s *targetState) addToTotals(n int) {
 	if m := s.member; m != nil && !m.individual {
 		m.totals.running += n
 	}
 }
 
-// refreshTotals puts targets that have become usual back into the sums.
+// refreshTotals adds targets that no longer need individual evaluation to the totals again.
 func (b *Board) refreshTotals(now clock.Stamp, ix *serviceIndex) {
 	kept := ix.individual[:0]
 	for _, m := range ix.individual {
@@ -213,7 +215,7 @@
 	ix.pruneRecentlySent(now)
 }
 
-// pruneRecentlySent drops the targets whose last requests peers know of by now.
+// pruneRecentlySent drops the targets whose recent requests peers have reports of by now.
 func (ix *serviceIndex) pruneRecentlySent(now clock.Stamp) {
 	kept := ix.recentlySent[:0]
 	for _, m := range ix.recentlySent {
--- a/board/peers.go
+++ b/board/peers.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// loadTTL is how long a peer's loads count: longer than the longest pause
-	// between datagrams of a few dozen entries, and short enough that those of a
-	// dead peer don't keep targets looking busy.
+	// loadTTL is how long the loads of a peer count: longer than the longest pause between
+	// datagrams in a fleet of a few dozen entries, and short enough that a dead peer's loads do
+	// not keep targets looking busy.
 	loadTTL = 1500 * time.Millisecond
-	// firstReportTTL is how long a peer that spoke once counts as a member: entries of a
+	// firstReportTTL is how long a peer counts as a member after its first report: entries of a
 	// large fleet get reports of each other many seconds apart.
 	firstReportTTL = 30 * time.Second
-	// maxMissedReports is how many of its usual gaps a member may be silent.
+	// maxMissedReports is how many of its usual report intervals a member can miss.
 	maxMissedReports = 3
-	// gapDecay is the part by which a long gap is forgotten at each datagram.
+	// gapDecay is the part by which maxGap decays at each report.
 	gapDecay = 0.25
 )
 
-// peer is another entry. Its loads are worth something only while they are fresh; as
-// one of the fleet, among whom budgets are divided, it counts for as long as its
-// silence is usual. Entries of a large fleet get reports of a part of the others within
-// loadKeep: taken for the whole fleet, each would use too large a part of its budgets.
+// peer is the state of another entry. Its loads count only while they are fresh. For the
+// division of budgets it counts as a member for much longer: entries of a large fleet get
+// reports of only a part of the others within loadTTL, and an entry that counted only those
+// would use too large a part of the budgets.
 type peer struct {
 	lastSeen clock.Stamp
-	// maxGap is the longest time of late between two of its datagrams; 0 after one.
+	// maxGap is the longest recent time between two of its reports; 0 after the first one.
 	maxGap time.Duration
 	loads  []share.Load
 }
 
-// recordReport notes a datagram.
+// recordReport records the arrival of a report.
 func (p *peer) recordReport(now clock.Stamp) {
 	if p.lastSeen != 0 {
 		p.maxGap = max(now.Sub(p.lastSeen), p.maxGap-time.Duration(gapDecay*float64(p.maxGap)))
@@ -40,7 +40,7 @@
 	p.lastSeen = now
 }
 
-// ttl is how long a silent peer counts as a member.
+// ttl returns how long the peer counts as a member without reports.
 func (p *peer) ttl() time.Duration {
 	if p.maxGap == 0 {
 		return firstReportTTL
@@ -48,9 +48,9 @@
 	return max(maxMissedReports*p.maxGap, loadTTL)
 }
 
-// ReplacedTargets returns the instances that were found since the last call to have lost their address
-// to another one. Each entry would otherwise find out by a request of its own, out of the
-// fleet's retry budget.
+// ReplacedTargets returns the keys of the targets found, since the last call, to have lost
+// their address to another instance. Without the report each entry would detect this with a
+// request of its own, at the cost of the fleet's retry budget.
 func (b *Board) ReplacedTargets() []uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +59,7 @@
 	return list
 }
 
-// Loads lists what this entry has in progress.
+// Loads returns this entry's requests in progress, by target.
 func (b *Board) Loads() []share.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,7 +77,7 @@
 	return list
 }
 
-// Kept lists the places that this entry keeps free.
+// Kept returns the part of places that this entry keeps free, by service.
 func (b *Board) Kept(now clock.Stamp) []share.Reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,8 +90,9 @@
 	return list
 }
 
-// mergeKept keeps as much free as a peer does. An entry that kept less would give away
-// what the others leave, and what a workspace is refused there it gets here.
+// mergeKept raises the reserved part of each service to that of a peer. An entry that reserved
+// less would give away the places that the others keep free, and admit a workspace that the
+// others reject.
 func (b *Board) mergeKept(now clock.Stamp, list []share.Reservation) {
 	for _, k := range list {
 		for _, u := range b.services {
@@ -102,7 +103,7 @@
 	}
 }
 
-// CacheChanges returns what this entry's requests have changed in targets' caches since the last
+// CacheChanges returns the changes of targets' caches by this entry's requests since the last
 // call.
 func (b *Board) CacheChanges() []share.CachedPart {
 	b.mu.Lock()
@@ -112,7 +113,7 @@
 	return list
 }
 
-// MergeReport takes a peer's report.
+// MergeReport applies the report of a peer.
 func (b *Board) MergeReport(now clock.Stamp, r *share.Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,7 +156,7 @@
 	}
 }
 
-// mergeCacheLists takes whole caches from a peer.
+// mergeCacheLists records complete cache lists from a peer.
 func (b *Board) mergeCacheLists(now clock.Stamp, lists []share.CacheList) {
 	for _, l := range lists {
 		l.Each(func(part uint32) { b.recordListed(now, l.Target, part) })
@@ -163,7 +164,7 @@
 	}
 }
 
-// addLoads puts a peer's loads into the sums, or takes them out.
+// addLoads adds a peer's loads to the sums, or subtracts them with sign -1.
 func (b *Board) addLoads(loads []share.Load, sign int) {
 	for _, l := range loads {
 		s := b.peerLoads[l.Target]
@@ -181,15 +182,16 @@
 	}
 }
 
-// maxEntriesTTL is how long entries that fell silent still count in budgets: longer than
-// a cut lasts behind which they go on sending, and short enough that a fleet which
-// was made smaller gets its whole budget back.
+// maxEntriesTTL is how long entries that stopped reporting still count in budgets: longer than
+// a network partition lasts, during which they continue to send, and short enough that a fleet
+// that was made smaller gets its whole budget back.
 const maxEntriesTTL = 5 * time.Minute
 
-// expireInterval is how often it is looked for peers that fell silent.
+// expireInterval is the minimum time between two scans for expired peers.
 const expireInterval = 50 * time.Millisecond
 
-// expire forgets the loads of peers that are silent, and peers that are silent for long.
+// expire drops the loads of peers whose last report is older than loadTTL, and peers past their
+// ttl.
 func (b *Board) expire(now clock.Stamp) {
 	if now.Sub(b.expiredAt) < expireInterval && b.expiredAt != 0 {
 		return
@@ -211,14 +213,14 @@
 	}
 }
 
-// PeerCount is how many other entries there are, as far as is known.
+// PeerCount returns the number of known peers.
 func (b *Board) PeerCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.peers)
 }
 
-// EntryCount is how many entries share the fleet's budgets.
+// EntryCount returns the number of entries that share the fleet's budgets.
 func (b *Board) EntryCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/board/run.go
+++ b/board/run.go
@@ -8,10 +8,10 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// Attempt is a request in progress at a target. End it once.
+// Attempt is a request in progress at a target. Call End exactly once.
 type Attempt struct {
 	board *Board
-	// key of the target, and cache that of its instance.
+	// key is the load key of the target, and cacheKey the cache key of its instance.
 	key           uint32
 	cacheKey      uint32
 	parts         []chestnutstep.PromptPart
@@ -21,21 +21,22 @@
 	service       *serviceState
 	caller        Caller
 	startedAt     clock.Stamp
-	// runningAtStart is what the target had when the request came to it.
+	// runningAtStart is the number of requests at the target, this one included, when it
+	// started.
 	runningAtStart float64
 	slots          int
 	isEngine       bool
 }
 
-// Caller asks, and how soon an answer is wanted.
+// Caller identifies the workspace of a request, its urgency and its latency objective.
 type Caller struct {
 	Workspace string
-	// Urgency is the request's rank: 0 is the most urgent.
+	// Urgency is the rank of the request's urgency: 0 is the most urgent.
 	Urgency   int
 	Objective time.Duration
 }
 
-// Start counts a request at a target.
+// Start records the start of a request at a target.
 func (b *Board) Start(now clock.Stamp, t *roster.Target, service *chestnutstep.Service, parts []chestnutstep.PromptPart, cachedTokens int, caller Caller) *Attempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +60,7 @@
 	return r
 }
 
-// FirstByte says that the target has read the prompt.
+// FirstByte records the first byte of the answer: the target has read the prompt.
 func (r *Attempt) FirstByte(now clock.Stamp) {
 	r.board.mu.Lock()
 	defer r.board.mu.Unlock()
@@ -80,7 +81,7 @@
 	r.pendingTokens = 0
 }
 
-// End says how the request ended.
+// End records the outcome of the request.
 func (r *Attempt) End(now clock.Stamp, o Outcome) {
 	r.board.mu.Lock()
 	defer r.board.mu.Unlock()
--- a/board/suspicion.go
+++ b/board/suspicion.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// suspicionTTL is how long a target whose host did not answer, here or at a peer, is
-	// suspected, unless it answers.
+	// suspicionTTL is how long a target stays suspected after its host did not answer this
+	// entry or a peer, unless it answers earlier.
 	suspicionTTL = 2 * time.Second
-	// alertWindow is how long after the last suspicion of any target requests that
-	// verify hosts open a connection: hosts mostly fall silent together.
+	// alertWindow is how long after the last suspicion of any target requests with VerifyHost
+	// open a connection: hosts usually fail in groups.
 	alertWindow = 2 * time.Second
-	// livenessTTL is how long an answer proves that a host is there.
+	// livenessTTL is how long an answer of a target proves that its host is reachable.
 	livenessTTL = 100 * time.Millisecond
-	// linkLivenessTTL is how recent an answer of any target has to be to prove this host's own link.
+	// linkLivenessTTL is the maximum age of an answer of any target that proves that this
+	// host's own link works.
 	linkLivenessTTL = 100 * time.Millisecond
 )
 
-// suspicion is what is known of whether a target's host is there.
+// suspicion tracks whether a target's host is reachable.
 type suspicion struct {
 	until clock.Stamp
 	// answeredAt is when the target last answered this entry.
@@ -29,14 +30,15 @@
 
 func (s *suspicion) isActive(now clock.Stamp) bool { return now < s.until }
 
-// recordAnswer notes a sign of life.
+// recordAnswer records an answer and clears the suspicion.
 func (s *suspicion) recordAnswer(now clock.Stamp) { s.answeredAt, s.until = now, 0 }
 
-// raise makes the target suspected.
+// raise marks the target suspected.
 func (s *suspicion) raise(now clock.Stamp) { s.until = now.Add(suspicionTTL) }
 
-// RecordUnresponsive notes that a target's host does not acknowledge a request, and reports whether that
-// says something of the target: where nothing answers, this host's own link may be the cause.
+// RecordUnresponsive records that a target's host does not acknowledge a request. It returns
+// false and records nothing if this entry is overloaded or no target has answered recently: the
+// cause can then be this host's own link.
 func (b *Board) RecordUnresponsive(now clock.Stamp, t *roster.Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,7 +54,7 @@
 
 func (b *Board) isOverloaded() bool { return b.Overloaded != nil && b.Overloaded() }
 
-// raiseSuspicion makes a target suspected, here and at the peers.
+// raiseSuspicion marks a target suspected, here and in the next report to peers.
 func (b *Board) raiseSuspicion(now clock.Stamp, s *targetState, key uint32) {
 	if !s.suspicion.isActive(now) {
 		b.unresponsive = append(b.unresponsive, key)
@@ -61,8 +63,8 @@
 	b.alertUntil = now.Add(alertWindow)
 }
 
-// mergeSuspicions takes the targets that did not answer a peer. They still get requests:
-// the peer may be the one that is cut off.
+// mergeSuspicions marks targets suspected that did not answer a peer. They still get requests,
+// because the peer can be the one that is isolated.
 func (b *Board) mergeSuspicions(now clock.Stamp, keys []uint32) {
 	for _, key := range keys {
 		b.alertUntil = now.Add(alertWindow)
@@ -72,9 +74,9 @@
 	}
 }
 
-// needsHandshake reports whether a request should open a connection, to verify that the host is
-// there. An entry that is overloaded verifies nothing: its handshakes time out at sound hosts too,
-// and each would have the next requests verify theirs.
+// needsHandshake reports whether a request should open a connection to verify that the host is
+// reachable. An overloaded entry does not verify hosts: its handshakes time out at healthy
+// hosts too, and each timeout would make the next requests verify theirs.
 func (b *Board) needsHandshake(now clock.Stamp, s *targetState, verify bool) bool {
 	if b.isOverloaded() {
 		return false
@@ -85,7 +87,7 @@
 	return verify && now < b.alertUntil && now.Sub(s.suspicion.answeredAt) > livenessTTL
 }
 
-// Suspicions returns the targets that were found to be silent since the last call.
+// Suspicions returns the keys of targets found unresponsive since the last call.
 func (b *Board) Suspicions() []uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/board/usage.go
+++ b/board/usage.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// patienceRatio is the part of its objective that a request may wait for a slot;
-	// the rest is for the way and for reading the prompt.
+	// patienceRatio is the part of its latency objective that a request can wait for a slot;
+	// the rest covers the network and reading the prompt.
 	patienceRatio = 0.5
-	// lateRatio is the part of its objective after which a first byte counts as late.
+	// lateRatio is the part of its latency objective after which a first byte counts as late.
 	lateRatio = 0.8
-	// minEngineSlotRatio is the part of an engine's slots that a limit leaves it: its memory
-	// may hold fewer requests than it has slots.
+	// minEngineSlotRatio is the part of an engine's slots below which its limit does not fall:
+	// its memory can hold fewer requests than it has slots.
 	minEngineSlotRatio = 0.5
-	// paceSmoothing lets the last hundred or so requests to a service count, long ones and
-	// short ones: a limit that follows the last few swings with their mix.
+	// paceSmoothing is the weight of the newest duration. About the last hundred requests to a
+	// service count: a limit that follows only the last few swings with their mix of long and
+	// short ones.
 	paceSmoothing = 0.01
-	// typicalReportAge is the usual age of what peers report of their requests.
+	// typicalReportAge is the usual age of the loads that peers report.
 	typicalReportAge = 50 * time.Millisecond
-	// maxUnreportedRatio is the part of a target's limit that requests of peers may take that
-	// they have not reported.
+	// maxUnreportedRatio is the part of a target's limit that estimated unreported requests of
+	// peers can take.
 	maxUnreportedRatio = 0.5
 )
 
-// serviceState is what this entry's requests to one service hold.
+// serviceState is the state of this entry's requests to one service.
 type serviceState struct {
-	// key names the service in datagrams.
+	// key is the key of the service in reports.
 	key  uint32
 	pace admit.DurationEstimator
 	fair admit.FairLimiter
@@ -49,9 +50,9 @@
 	return u
 }
 
-// minLimit is the lowest limit of a target: below it, places would stay free. An
-// entry that has reports of only some of the others counts only their requests and its own: it
-// keeps to their part.
+// minLimit returns the lowest limit of a target; a lower one would leave places unused. An
+// entry that has recent reports of only some peers counts only their requests and its own, so
+// its minimum is reduced to their part.
 func (b *Board) minLimit(now clock.Stamp, slots int, engine bool) float64 {
 	limit := float64(slots) * b.reportingRatio(now)
 	if engine {
@@ -60,7 +61,7 @@
 	return max(limit, 1)
 }
 
-// reportingRatio is the part of the entries, this one among them, whose requests are known.
+// reportingRatio returns the part of the entries whose requests are known, this entry included.
 func (b *Board) reportingRatio(now clock.Stamp) float64 {
 	n := 1
 	for _, p := range b.peers {
@@ -71,16 +72,16 @@
 	return float64(n) / float64(max(b.entryCount(), n))
 }
 
-// unreported are the requests that peers have sent to a target since their last reports,
-// taken to be as many as this entry has sent, and at most a part of what it may have.
-// Without it all entries see the same free place and give it away, each to a request of its
-// own. Without the bound one request of this entry would close a target before hundreds of
-// peers, however idle it is.
+// unreported estimates the requests that peers have sent to a target since their last reports:
+// as many from each as this entry has sent, capped at a part of the limit. Without the
+// estimate, all entries see the same free place and each gives it to a request of its own.
+// Without the cap, one request of this entry would close an idle target if there are hundreds
+// of peers.
 func (b *Board) unreported(now clock.Stamp, s *targetState, limit float64) float64 {
 	return min(s.recentSent.at(now)*float64(len(b.peers)), maxUnreportedRatio*limit)
 }
 
-// decayingCounter counts what was sent of late.
+// decayingCounter counts recent requests with exponential decay.
 type decayingCounter struct {
 	count float64
 	last  clock.Stamp
@@ -94,7 +95,8 @@
 	return c.count * unreportedDecay[ms]
 }
 
-// unreportedDecay is the part of a burst that peers may not know of, by its age in milliseconds.
+// unreportedDecay is the part of a burst that peers might not have a report of, by its age in
+// milliseconds.
 var unreportedDecay = func() (list [10 * int(typicalReportAge/time.Millisecond)]float64) {
 	for ms := range list {
 		list[ms] = math.Exp2(-float64(ms) * float64(time.Millisecond) / float64(typicalReportAge))
@@ -104,21 +106,21 @@
 
 func (c *decayingCounter) add(now clock.Stamp) { c.count, c.last = c.at(now)+1, now }
 
-// Admission says whether a request finds a place.
+// Admission is the result of asking for a place.
 type Admission struct {
 	Admitted bool
-	// Reason of a refusal.
+	// Reason is the reason of a rejection.
 	Reason chestnutstep.Reason
-	// Taken is the part of the places that is taken, and Yield how soon the request
-	// yields to others.
+	// Taken is the part of the places that is taken, and Yield how early the request yields to
+	// others.
 	Taken float64
 	Yield admit.Yield
-	// Kept is the part of the places that is kept for requests within their share.
+	// Kept is the part of the places that is reserved for requests within their share.
 	Kept float64
 }
 
-// admit says whether a request may take a place where a part of all places is taken, while
-// others ask for places too.
+// admit decides whether a request can take a place, given the part of all places that is taken
+// and the share of its workspace.
 func (b *Board) admit(now clock.Stamp, service string, taken float64, caller Caller) Admission {
 	r := Admission{Taken: taken, Reason: chestnutstep.ReasonFull}
 	u := b.serviceState(service)
@@ -131,15 +133,15 @@
 	return r
 }
 
-// Places is what is known of a service's places.
+// Places is the state of a service's places.
 type Places struct {
 	Service string
-	// Taken is the part that was taken at the last request, 1 and more for all, and Kept
-	// the part that is kept for requests within their share.
+	// Taken is the part that was taken at the last request, 1 or more if all are taken. Kept is
+	// the part that is reserved for requests within their share.
 	Taken, Kept float64
 }
 
-// Places lists the services to which requests came.
+// Places returns the state of the places of each service that received requests.
 func (b *Board) Places(now clock.Stamp) []Places {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,7 +152,8 @@
 	return list
 }
 
-// recordFirstByte takes the time to the first byte.
+// recordFirstByte compares the time to the first byte with the objective and adjusts the limit
+// of the target.
 func (r *Attempt) recordFirstByte(now clock.Stamp) {
 	if r.caller.Objective <= 0 {
 		return
@@ -162,7 +165,7 @@
 	r.board.state(r.key).limit.RecordInTime(r.runningAtStart)
 }
 
-// recordLate notes that the target had more than it could begin in time.
+// recordLate records that the target had more requests than it could start in time.
 func (r *Attempt) recordLate(now clock.Stamp) {
 	minLimit := r.board.minLimit(now, r.slots, r.isEngine)
 	s := r.board.state(r.key)
@@ -170,7 +173,7 @@
 	s.limit.RecordLate(now, r.runningAtStart, r.slots, minLimit)
 }
 
-// release gives the place back.
+// release returns the place of the request.
 func (r *Attempt) release(now clock.Stamp, o Outcome) {
 	r.service.fair.End(r.caller.Urgency, r.caller.Workspace)
 	switch o {
--- a/board/usage_test.go
+++ b/board/usage_test.go
@@ -10,10 +10,9 @@
 	"chestnutstep.example/chestnutstep/board"
 )
 
-// Three idle targets of a few slots stand behind 27 entries, and one entry gets a few
-// requests at once. It can't know what the others send meanwhile; taken to be as much from
-// each of them, its own few would fill all targets, and callers would hear "full" from a
-// service that is hardly used.
+// TestFewRequestsDontFillAnIdleService guards against rejecting a burst at a nearly idle
+// service. With 27 entries and three targets of few slots, an entry that assumes as many
+// unreported requests from each peer as it sent itself would count all targets as full.
 func TestFewRequestsDontFillAnIdleService(t *testing.T) {
 	plain := &chestnutstep.Service{Name: "s", LatencyObjective: 150 * time.Millisecond}
 	entries, v := newFleet(27), newView(3, 3)
