--- a/place/place.go
+++ b/place/place.go
@@ -1,11 +1,11 @@
-// Package place chooses the target for a request, where no agent stands between
-// entry and target. It is pure.
+// Package place chooses the target of a request from candidates with known load, cached prefix
+// and health. It is used where no agent runs next to the targets. It is pure: it does no I/O
+// and reads no clock.
 //
-// The load it answers: many chats share long prompt prefixes, and a few prefixes
-// take much of the traffic. Placed by load alone, each prefix is read anew at
-// every target, and the reading delays the tokens of all others there. Placed by
-// prefix alone, the target of a popular prefix is overloaded. The choice here weighs
-// both in one unit, milliseconds of the caller's time.
+// Many chats share long prompt prefixes, and a few prefixes take much of the traffic. Placement
+// by load alone makes every target read every prefix, which delays the tokens of the other
+// requests there. Placement by prefix alone overloads the target of a popular prefix. This
+// package weighs both in one unit: milliseconds of the caller's time.
 package place
 
 import (
@@ -15,95 +15,97 @@
 )
 
 const (
-	// PrefillRate is how many prompt tokens an engine reads in a millisecond: the
-	// slower end of what current engines do. It only has to be right relative to
-	// Share.
+	// PrefillRate is the number of prompt tokens that an engine reads per millisecond: the slow
+	// end of current engines. It only has to be right relative to LoadCost.
 	PrefillRate = 60.0
-	// LoadCost is what each request in progress adds to the time of the next one,
-	// in milliseconds: a token takes longer for everyone in the batch.
+	// LoadCost is how much each request in progress adds to the time of the next one, in
+	// milliseconds: a larger batch makes each token slower.
 	LoadCost = 1.5
-	// FetchRate is how many tokens of cache an engine takes over from another in
-	// a millisecond, its own set-up included at usual prompt lengths.
+	// FetchRate is the number of tokens of cache that an engine imports from another per
+	// millisecond, including its setup time at usual prompt lengths.
 	FetchRate = 600.0
-	// minFetchTokens is the shortest missing prefix that is worth fetching: below
-	// that, the set-up takes as long as reading.
+	// minFetchTokens is the shortest missing prefix that is fetched: below that, the setup
+	// takes as long as reading.
 	minFetchTokens = 128
 	// SpreadRatio is the part of the allowed multiple of the mean load above which a target
-	// gets no request that another could take: what peers do in the same moment adds
-	// the rest.
+	// gets no request if another target can take it. The rest is reserved for requests that
+	// peers send at the same moment.
 	SpreadRatio = 0.75
-	// DefaultCapFactor is the multiple where none is set.
+	// DefaultCapFactor is the multiple of the mean load if none is configured.
 	DefaultCapFactor = 2.0
-	// spreadSlack lets a target take a few requests more. Where it has a handful, one or
-	// two above a multiple of the mean are chance, and sending them away from their
-	// prefix moves it to one target after the other.
+	// spreadSlack is added to the ceiling of each target, in requests. With a handful of
+	// requests per target, one or two above a multiple of the mean are random variation, and
+	// moving them away from their prefix would move the prefix from target to target.
 	spreadSlack = 2.0
-	// otherDomainCost is what another failure domain costs, in milliseconds: the way
-	// there and back for each of the request and the answer.
+	// otherDomainCost is the cost of another failure domain, in milliseconds: one round trip
+	// each for the request and the answer.
 	otherDomainCost = 6.0
-	// failureCost is added for a target that failed much of what it got of late,
-	// times the share that failed. It outweighs any wait that a caller accepts.
+	// failureCost is multiplied by the recent failure ratio of a target, in milliseconds. It
+	// exceeds any wait that a caller accepts.
 	failureCost = 4000.0
-	// suspectCost is added for a target whose host did not answer of late, in milliseconds: less
-	// than finding out that it is gone, as much as reading a long prefix elsewhere.
+	// suspectCost is the cost of a target whose host did not answer recently, in milliseconds:
+	// less than detecting that it is gone, and as much as reading a long prefix elsewhere.
 	suspectCost = 100.0
-	// tieBreakCost breaks ties by hash, so that entries that place the same prefix for
-	// the first time at the same moment choose the same target.
+	// tieBreakCost breaks ties by hash, in milliseconds, so that entries that place a new
+	// prefix at the same moment choose the same target.
 	tieBreakCost = 3.0
 )
 
-// Candidate is a target that may take the request.
+// Candidate is a target that can take the request.
 type Candidate struct {
 	ID      string
 	Address string
-	// Running is the requests in progress there, of all entries.
+	// Running is the number of requests in progress at the target, from all entries.
 	Running float64
-	// Slots is how many run at once.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Unreported is the requests there, estimated, that other entries have not reported.
+	// Unreported is the estimated number of requests at the target that other entries have not
+	// reported yet.
 	Unreported float64
-	// Limit is how many requests it may have so that one more begins in time; 0 for
-	// no limit.
+	// Limit is the number of requests below which one more starts in time; 0 for no limit.
 	Limit float64
-	// PendingTokens is the prompt tokens that were sent and are not read yet.
+	// PendingTokens is the number of prompt tokens that were sent and are not read yet.
 	PendingTokens float64
-	// CachedTokens is the tokens of the request's leading parts in the cache.
+	// CachedTokens is the number of tokens of the request's leading parts in the cache.
 	CachedTokens int
-	// FailureRatio is the share of recent requests that failed: 0 to 1.
+	// FailureRatio is the ratio of recent requests that failed, from 0 to 1.
 	FailureRatio float64
-	// Suspected says that its host did not answer of late.
+	// Suspected is set if the target's host did not answer recently.
 	Suspected bool
-	// OtherDomain says that it is in another failure domain.
+	// OtherDomain is set if the target is in another failure domain than the entry.
 	OtherDomain bool
-	// Cold targets take a request only while they have allowance left.
+	// Cold is set if the target is cold; it is a candidate only while its token bucket allows a
+	// request.
 	Cold bool
-	// HashRank is the target's place among those that the hash of the prefix names, from 1 to
-	// Choices; 0 for the others.
+	// HashRank is the target's rank in the hash order of the prefix, from 1 to HashCandidates;
+	// 0 for all others.
 	HashRank int
 }
 
-// hasCapacity says that one more request would begin in time.
+// hasCapacity reports whether one more request would start in time.
 func (c *Candidate) hasCapacity() bool { return c.Limit <= 0 || c.Running+c.Unreported < c.Limit }
 
-// Fits reports whether one more request would begin in time and keep the target below a ceiling.
+// Fits reports whether one more request would start in time and keep the load at or below the
+// ceiling.
 func (c *Candidate) Fits(ceiling float64) bool { return c.hasCapacity() && c.Running+1 <= ceiling }
 
-// Totals sum up the targets that may take a request.
+// Totals sums up the targets that can take a request.
 type Totals struct {
-	// Targets is how many there are, and Warm how many of them are not cold.
+	// Targets is the number of targets, and Warm the number of those that are not cold.
 	Targets, Warm int
-	// Running is the requests in progress at all of them, Busy those at the warm ones.
+	// Running is the number of requests in progress at all targets, and WarmRunning at the warm
+	// ones.
 	Running, WarmRunning float64
-	// Unreported is the requests, estimated, that other entries have not reported.
+	// Unreported is the estimated number of requests that other entries have not reported yet.
 	Unreported float64
-	// Capacity is the sum of their limits.
+	// Capacity is the sum of the limits.
 	Capacity float64
-	// Unlimited reports that a target has no limit, or that a cold one has a place for a request
-	// now: it carries little by intention.
+	// Unlimited is set if a target has no limit, or a cold target has capacity for a request
+	// now: its load is low on purpose.
 	Unlimited bool
 }
 
-// Add counts one target.
+// Add adds one target.
 func (t *Totals) Add(c *Candidate) {
 	t.Targets++
 	t.Running += c.Running
@@ -116,7 +118,7 @@
 	}
 }
 
-// Taken is the part of all places that is taken, 1 and more where no target has one left.
+// Taken returns the part of all places that is taken, 1 or more if no target has a free one.
 func (t *Totals) Taken() float64 {
 	if t.Unlimited || t.Targets == 0 {
 		return 0
@@ -124,8 +126,8 @@
 	return (t.Running + t.Unreported) / max(t.Capacity, 1)
 }
 
-// Ceiling is the load that no target should exceed, where none may carry more than a multiple
-// of the mean. Cold targets carry little by intention; counted, they would lower the mean.
+// Ceiling returns the load that no target should exceed, as a multiple of the mean load plus
+// some slack. Cold targets are excluded: their load is low on purpose and would lower the mean.
 func (t *Totals) Ceiling(capFactor float64) float64 {
 	if t.Warm == 0 {
 		return math.Inf(1)
@@ -140,44 +142,43 @@
 type Donor struct {
 	ID      string
 	Address string
-	// CachedTokens is the tokens of the request's leading parts that it can give.
+	// CachedTokens is the number of tokens of the request's leading parts that it can provide.
 	CachedTokens int
 	Running      float64
 }
 
-// Request is a request to be placed.
+// Request describes the request to place.
 type Request struct {
-	// Key of the prefix that the request shares with others, or of the request
-	// itself where it shares none.
+	// Key is the hash of the prefix that the request shares with others, or of the request
+	// itself if it shares none.
 	Key uint64
-	// Tokens of the prompt, 0 where the service has no cache.
+	// Tokens is the length of the prompt; 0 if the service has no cache.
 	Tokens int
-	// Shared is the tokens of the prompt that other requests share.
+	// Shared is the number of prompt tokens that other requests share.
 	Shared int
-	// Ceiling is the load that no target should exceed, see Totals.
+	// Ceiling is the load that no target should exceed, see Totals.Ceiling.
 	Ceiling float64
 }
 
-// Choice is a target, and where it fetches from.
+// Choice is the chosen target and whether it fetches the prefix.
 type Choice struct {
 	Index int
-	// Fetch says that the missing prefix is worth fetching from the donor.
+	// Fetch reports whether the missing prefix should be fetched from the donor.
 	Fetch bool
-	// Cost is the expected milliseconds to the first byte, for logs.
+	// Cost is the expected time to the first byte in milliseconds, for logs.
 	Cost float64
 }
 
-// HashCandidates is how many targets the hash of a request names. Entries know of each
-// other's requests some hundred milliseconds late, and all the same: had each of them
-// the choice among all targets, all would send to the one that was least loaded when
-// they last heard. Among a few, by a hash that differs from prefix to prefix, what one of
-// them takes too much the others don't.
+// HashCandidates is how many targets the hash of a request selects. Reports of load are some
+// hundred milliseconds old, and the same at all entries: if each entry chose among all targets,
+// all would send to the one that was least loaded at the last report. With a few targets by
+// hash, which differ from prefix to prefix, the excess of one prefix is balanced by the others.
 const HashCandidates = 3
 
-// Pick returns the best candidate; false where there is none. It looks among targets
-// that hold some of the prefix and the one that the hash of the request names first, then
-// among a few that it names, then among all below the ceiling, then among all. Entries that
-// need a new prefix at the same moment so send it to the same target, where it is read once.
+// Pick returns the best candidate, or false if there is none. It considers, in this order:
+// holders of the prefix and the first target by hash, holders and the first targets by hash,
+// all targets below the ceiling, all with capacity, all targets. Thus entries that need a new
+// prefix at the same moment send it to the same target, where it is read once.
 func Pick(list []Candidate, donor Donor, req Request) (Choice, bool) {
 	passes := [...]func(c *Candidate, req *Request) bool{holderOrFirst, holderOrHashed, belowCeiling, withCapacity, anyTarget}
 	for _, allowed := range passes {
@@ -203,19 +204,21 @@
 func anyTarget(*Candidate, *Request) bool { return true }
 
 // minHolderRatio is the part of a shared prefix that makes a target a holder of it. Many
-// prompts begin with the same instructions: with any part of a prefix enough, all
-// entries that know no loads would send to the first targets that have read those.
+// prompts begin with the same instructions: if any part were enough, all entries without load
+// reports would send to the first targets that have read those instructions.
 const minHolderRatio = 0.5
 
-// MinHolderTokens is how many leading tokens of a shared prefix make a target a holder of it.
+// MinHolderTokens returns how many leading tokens of a shared prefix make a target a holder of
+// it.
 func MinHolderTokens(shared int) int {
 	return max(int(math.Ceil(minHolderRatio*float64(shared))), minFetchTokens)
 }
 
-// isHolder reports whether a target holds enough of the request's prefix to be chosen for it.
+// isHolder reports whether a target has enough of the request's prefix cached to be chosen for
+// it.
 func isHolder(c *Candidate, req *Request) bool { return c.CachedTokens >= MinHolderTokens(req.Shared) }
 
-// cheapest is the candidate of least cost among those that are allowed.
+// cheapest returns the candidate with the lowest cost among the allowed ones.
 func cheapest(list []Candidate, donor Donor, req *Request, allowed func(c *Candidate, req *Request) bool) Choice {
 	best := Choice{Index: -1, Cost: math.Inf(1)}
 	for i := range list {
@@ -230,7 +233,8 @@
 	return best
 }
 
-// expectedCost is the expected time to the first byte, and whether fetching shortens it.
+// expectedCost returns the expected time to the first byte in milliseconds, and whether
+// fetching the prefix shortens it.
 func expectedCost(c *Candidate, donor Donor, req *Request) (float64, bool) {
 	ms := c.Running*LoadCost + c.PendingTokens/PrefillRate + c.FailureRatio*failureCost
 	if c.Slots > 0 && c.Running >= float64(c.Slots) {
@@ -252,16 +256,16 @@
 }
 
 const (
-	// queueCost is what each request beyond the slots adds: it waits for a whole
-	// request to end.
+	// queueCost is added for each request beyond the slots, in milliseconds: it waits for
+	// another request to end.
 	queueCost = 40.0
-	// fetchCost stands for what a fetch costs beside time: both links, and the
-	// memory at the taker. It keeps a request with its prefix unless the load
-	// there is higher by several requests.
+	// fetchCost accounts for the resources that a fetch uses in addition to time: both links,
+	// and memory at the receiver. It keeps a request with its prefix unless the load there is
+	// higher by several requests.
 	fetchCost = 60.0
 )
 
-// unitHash is a number from 0 to 1 that is fixed for a target and key.
+// unitHash returns a number from 0 to 1 that is fixed for a target and key.
 func unitHash(id string, key uint64) float64 {
 	h := xxhash.Sum64String(id) ^ key*0x9e3779b97f4a7c15
 	h ^= h >> 29
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -14,10 +14,10 @@
 
 func TestMain(m *testing.M) { script.Main(m, 100) }
 
-// simulation is a small fleet of engines on whole steps of time: each request occupies its
-// target for a while, and reading a prompt delays all that run beside it.
+// simulation is a small fleet of engines in discrete time steps. Each request occupies its
+// target for a number of steps, and reading a prompt delays all requests that run concurrently.
 type simulation struct {
-	running       [][]int // the steps at which requests end, by target
+	running       [][]int // steps at which requests end, by target
 	pendingTokens []float64
 	cached        []map[uint64]bool
 	prefilled     int
@@ -61,7 +61,7 @@
 	return list, donor
 }
 
-// pick names candidates, and works out their ceiling, by looking at all of them.
+// pick computes the hash ranks and the ceiling over all candidates and calls place.Pick.
 func pick(list []place.Candidate, donor place.Donor, req place.Request) (place.Choice, bool) {
 	var ids []string
 	var sum place.Totals
@@ -96,7 +96,7 @@
 	return c
 }
 
-// pickByLoad is the naive version that looks at load alone.
+// pickByLoad is a naive placement by load alone.
 func pickByLoad(p *simulation, _ uint64) place.Choice {
 	best := 0
 	for i := range targets {
@@ -107,12 +107,12 @@
 	return place.Choice{Index: best}
 }
 
-// pickByPrefix is the naive version that looks at the prefix alone.
+// pickByPrefix is a naive placement by prefix alone.
 func pickByPrefix(_ *simulation, key uint64) place.Choice {
 	return place.Choice{Index: int(key % targets)}
 }
 
-// run plays requests whose prefix keys come from next, some each step.
+// run simulates requests with prefix keys from nextKey, perStep of them each step.
 func (p *simulation) run(pick picker, perStep float64, nextKey func(r *rand.Rand) uint64) {
 	r := rand.New(rand.NewPCG(1, 2))
 	due := 0.0
@@ -124,7 +124,7 @@
 	}
 }
 
-// step lets a step pass: requests end, prompts are read.
+// step advances one step: requests end and prompts are read.
 func (p *simulation) step(step int) {
 	mean := 0.0
 	for i := range targets {
@@ -161,10 +161,10 @@
 	p.running[i] = append(p.running[i], step+requestSteps)
 }
 
-// evenKey asks for one of 40 prefixes.
+// evenKey draws one of 40 prefixes.
 func evenKey(r *rand.Rand) uint64 { return r.Uint64N(40) }
 
-// hotKey asks for one prefix in half of all requests.
+// hotKey draws one prefix for half of all requests.
 func hotKey(r *rand.Rand) uint64 {
 	if r.Uint64N(2) == 0 {
 		return 7
@@ -172,9 +172,9 @@
 	return evenKey(r)
 }
 
-// Many chats share long prefixes. By load alone each target reads each prefix, and
-// whoever sits beside waits for it; by prefix alone the target of a popular one
-// drowns. Callers notice both as a late first word.
+// TestPrefixesAndLoad guards against placement by load alone, where each target reads each
+// prefix and delays the other requests, and by prefix alone, where the target of a popular
+// prefix is overloaded. Callers see both as a late first byte.
 func TestPrefixesAndLoad(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -196,8 +196,8 @@
 	}
 }
 
-// A burst of requests for one prefix that no target holds yet: all at one moment.
-// Spread over all targets, each would read it.
+// TestBurstForNewPrefix guards against spreading simultaneous requests for a prefix that no
+// target holds over all targets, each of which would read it.
 func TestBurstForNewPrefix(t *testing.T) {
 	p := newSimulation()
 	for range 8 {
@@ -206,8 +206,8 @@
 	assert.Assert(t, p.prefilled <= 2*prefixTokens, "%d", p.prefilled)
 }
 
-// TestNewPrefixGoesToOneTarget guards against entries that need a new prefix at the same
-// moment and, as each knows other loads, have it read by a target each.
+// TestNewPrefixGoesToOneTarget guards against entries that need a new prefix at the same moment
+// and, with different views of the load, have it read by one target each.
 func TestNewPrefixGoesToOneTarget(t *testing.T) {
 	req := place.Request{Key: 77, Tokens: 9000, Shared: 8000}
 	got := make(map[string]bool)
@@ -225,8 +225,8 @@
 	assert.Equal(t, len(got), 1, "%v", got)
 }
 
-// All targets are far over their slots: a request still goes to the least loaded one
-// rather than to none, as targets queue by urgency.
+// TestSaturation guards against rejecting a request when all targets exceed their slots: it
+// goes to the least loaded one, as targets queue by urgency.
 func TestSaturation(t *testing.T) {
 	var list []place.Candidate
 	for i := range 4 {
@@ -239,7 +239,8 @@
 	assert.Assert(t, !ok)
 }
 
-// Idle targets share what comes: all entries would send to the first of the list.
+// TestIdleTargetsShare guards against entries that all send to the first idle target of the
+// list.
 func TestIdleTargetsShare(t *testing.T) {
 	list := []place.Candidate{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	got := make([]int, 3)
@@ -252,9 +253,9 @@
 	}
 }
 
-// Entries heard the same loads a moment ago, and each has a request for a prefix that
-// nobody holds. All would send to the one target that was least loaded then; its users
-// wait while the others idle.
+// TestStaleLoadsDontOverloadATarget guards against entries with the same load reports that all
+// send requests for new prefixes to the target that was least loaded then, while the others
+// idle.
 func TestStaleLoadsDontOverloadATarget(t *testing.T) {
 	var list []place.Candidate
 	for i := range 20 {
@@ -272,9 +273,9 @@
 	assert.Assert(t, chosen >= 1 && chosen <= 8, "%d of 24", chosen)
 }
 
-// All prompts of a kind begin with the same instructions, and a few targets have read
-// them. Entries that know no loads would all send to those few, whatever follows the
-// instructions: a caller waits behind a crowd while a thousand targets idle.
+// TestCommonPartDoesNotOverloadItsHolders guards against the few targets that have read the
+// common instructions of many prompts: entries without load reports would send all these
+// prompts there, whatever follows the instructions.
 func TestCommonPartDoesNotOverloadItsHolders(t *testing.T) {
 	const instructions = 500
 	var list []place.Candidate
@@ -293,9 +294,9 @@
 	assert.Assert(t, chosen <= 5, "%d of 24", chosen)
 }
 
-// Targets have five requests each, and the one that holds a prefix has nine: chance, not a
-// crowd. Sent to another, the request has its prefix moved there, and so has the next one:
-// links and memory are spent on chats that would have been served as soon where they were.
+// TestFewRequestsStayWithTheirPrefix guards against moving a request away from its prefix for a
+// random difference in load: nine requests at the holder, five at the others. Each move costs
+// link bandwidth and memory without an earlier answer.
 func TestFewRequestsStayWithTheirPrefix(t *testing.T) {
 	var list []place.Candidate
 	for i := range 9 {
@@ -309,8 +310,8 @@
 	assert.Assert(t, !c.Fetch)
 }
 
-// However popular a prefix is, no target gets a request that puts it over twice the mean
-// and three, while another could take it: its other callers would wait for one chat.
+// TestPopularPrefixStaysBelowCeiling guards against a popular prefix that puts a target over
+// twice the mean plus three requests while another target could take the request.
 func TestPopularPrefixStaysBelowCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []place.Candidate
@@ -330,9 +331,8 @@
 	})
 }
 
-// A target turns cold while all its slots are taken, and the others are full as well. It
-// may get a request now and then, but has no place for one: taken for free, it would let
-// every caller through to targets that can't begin in time.
+// TestFullColdTargetHasNoCapacity guards against counting a cold target with all slots taken as
+// free capacity: every caller would be admitted to targets that cannot start in time.
 func TestFullColdTargetHasNoCapacity(t *testing.T) {
 	list := []place.Candidate{{ID: "a", Running: 70, Limit: 70}, {ID: "cold", Running: 70, Limit: 70, Cold: true}}
 	assert.Assert(t, taken(list) >= 1, "%.2f", taken(list))
--- a/place/ring.go
+++ b/place/ring.go
@@ -7,23 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pointsPerTarget is how many points of the ring each target has: with fewer, the part of the keys
-// that it is first for differs too much from target to target.
+// pointsPerTarget is the number of points of each target on the ring. With fewer, the part of
+// the keys that a target is first for differs too much between targets.
 const pointsPerTarget = 32
 
-// Ring orders targets by the hash of a key, the same for all who know the same targets: one
-// that joins or leaves changes the order for few keys. Targets are known by slots, which stay
-// theirs while they are members. The zero value is empty. It is not safe for concurrent use.
+// Ring orders targets by the hash of a key (consistent hashing). The order is the same for all
+// processes with the same targets, and a target that joins or leaves changes the order of few
+// keys. Targets are identified by slots, which stay fixed while they are members. The zero
+// value is empty. It is not safe for concurrent use.
 type Ring struct {
 	points []point
 	slots  map[string]int
 	free   []int
-	// lastWalk is the last walk that came to each slot.
+	// lastWalk is the number of the last walk that visited each slot.
 	lastWalk []uint32
 	walkSeq  uint32
 }
 
-// point is a place on the ring.
+// point is a position on the ring and the slot of its target.
 type point struct {
 	position uint32
 	slot     uint32
@@ -36,17 +37,17 @@
 	return cmp.Compare(a.slot, b.slot)
 }
 
-// SlotCount is the number of slots that were given out, those that are free again included.
+// SlotCount returns the number of slots, free ones included.
 func (r *Ring) SlotCount() int { return len(r.lastWalk) }
 
-// Slot returns the slot of a target; false where it is no member.
+// Slot returns the slot of a target, or false if it is not a member.
 func (r *Ring) Slot(id string) (int, bool) {
 	slot, ok := r.slots[id]
 	return slot, ok
 }
 
-// Update takes in targets that join and drops those that left. Its cost is that of one walk
-// over the points, however few targets change.
+// Update adds and removes targets. Its cost is one pass over all points, however few targets
+// change.
 func (r *Ring) Update(joined, removed []string) {
 	if len(joined)+len(removed) == 0 {
 		return
@@ -68,7 +69,7 @@
 	r.points = merge(kept, r.assignSlots(joined))
 }
 
-// assignSlots gives slots to targets and returns their points in order.
+// assignSlots assigns slots to targets and returns their points in order.
 func (r *Ring) assignSlots(ids []string) []point {
 	if r.slots == nil {
 		r.slots = make(map[string]int, len(ids))
@@ -92,7 +93,7 @@
 	return list
 }
 
-// merge puts points that are in order among others that are.
+// merge merges two ordered lists of points.
 func merge(list, added []point) []point {
 	a, b := len(list), len(added)
 	list = append(list, added...)
@@ -108,7 +109,7 @@
 	return list
 }
 
-// Walk calls f with the slot of each target, once, in the order of the key, until f returns
+// Walk calls f with the slot of each target once, in the order of the key, until f returns
 // false.
 func (r *Ring) Walk(key uint64, f func(slot int) bool) {
 	r.walkSeq++
@@ -132,7 +133,7 @@
 	}
 }
 
-// mix spreads the bits of a number.
+// mix is a hash finalizer: it spreads the bits of a number.
 func mix(h uint64) uint64 {
 	h += 0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
--- a/place/wait.go
+++ b/place/wait.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// maxPatience bounds Patience: an entry that starts knows within 100 ms what targets
-// hold, from a peer or from the targets; twice that is a start gone wrong.
+// maxPatience limits Patience. A starting entry has the contents of the caches within 100 ms,
+// from a peer or from the targets; after twice that time the start has failed.
 const maxPatience = 200 * time.Millisecond
 
-// Patience is how long a request waits at an entry that has just started and does
-// not know yet what targets hold.
+// Patience returns how long a request waits at an entry that has just started and does not have
+// the contents of the targets' caches yet.
 //
-// The load it answers: all entries lose power and come back to callers who all try
-// again. Sent at once, each prefix is read anew at some target, and those who come
-// behind wait for that reading. So a request waits, but never longer than reading
-// its prefix would take: a short prefix is not worth waiting for.
+// If all entries restart, callers retry at the same time. Requests sent at once would make some
+// target read each prefix again, and later requests would queue behind it. A request therefore
+// waits, but never longer than reading its prefix takes.
 func Patience(shared int) time.Duration {
 	prefillTime := time.Duration(float64(shared) / PrefillRate * float64(time.Millisecond))
 	return min(prefillTime, maxPatience)
--- a/place/wait_test.go
+++ b/place/wait_test.go
@@ -6,7 +6,7 @@
 	"chestnutstep.example/chestnutstep/place"
 )
 
-// A request waits as long as its prefix takes to read, and not for ever.
+// A request waits as long as reading its prefix takes, up to a limit.
 func ExamplePatience() {
 	for _, tokens := range []int{0, 600, 10000, 60000} {
 		fmt.Println(tokens, place.Patience(tokens).Milliseconds(), "ms")
