--- a/route/example_test.go
+++ b/route/example_test.go
@@ -7,7 +7,7 @@
 	"chestnutstep.example/chestnutstep/route"
 )
 
-// The hint goes first while its target serves; a target taken out gets nothing.
+// The hinted target ranks first while it is in service; a target that is out is not ranked.
 func ExampleTable() {
 	p := &chestnutstep.Publication{
 		Domains: []chestnutstep.Domain{{Name: "bay"}, {Name: "attic", Out: true}},
--- a/route/rank.go
+++ b/route/rank.go
@@ -8,9 +8,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// MaxTargets is the longest ranking that Rank gives, whatever the caller asks for.
-// A request is offered to a handful of targets; the bound lets the best ones
-// be kept on the stack.
+// MaxTargets is the maximum length of a ranking. A request is offered to a handful of targets;
+// the limit allows the best ones to be kept on the stack.
 const MaxTargets = 64
 
 // topTargets keeps the targets with the smallest keys seen so far, in order.
@@ -21,9 +20,9 @@
 	limit      int
 }
 
-// Rank appends at most n targets (and at most Most) to dst, best first: the
-// hint while it qualifies, then the targets of the caller's region, then those
-// of other regions. It allocates nothing when dst has room.
+// Rank appends at most n targets (and at most MaxTargets) to dst, best first: the hinted target
+// if it qualifies, then the targets of the caller's region, then those of other regions. It
+// does not allocate if dst has enough capacity.
 func (t *Table) Rank(dst []*chestnutstep.Target, req chestnutstep.RankQuery, n int) []*chestnutstep.Target {
 	p := t.pools[req.Model]
 	if p == nil || n <= 0 {
@@ -47,10 +46,9 @@
 	return far.appendTo(dst)
 }
 
-// hint returns the target that the caller was last served by while it is still
-// worth a first try. A hint is text from outside: one that names a target of
-// another model, or one that left, is ignored rather than refused, as callers
-// keep hints for as long as their chats pause.
+// hint returns the target that last served the caller, or nil if it does not qualify. A hint is
+// untrusted input: a name of another model's target, or of one that left, is ignored and not an
+// error, as callers keep hints for as long as their chats pause.
 func (t *Table) hint(req chestnutstep.RankQuery) *chestnutstep.Target {
 	if req.Hint == "" {
 		return nil
@@ -78,9 +76,9 @@
 	}
 }
 
-// scan offers each seat to the best so far. A logarithm for each of thousands
-// of targets would cost most of the time that a ranking may take. As -ln(u) is
-// never below 1-u, the cheap 1-u rules nearly all seats out.
+// scan adds the candidates that are among the best so far. A logarithm for each of thousands of
+// targets would take most of the time of a ranking. As -ln(u) is never below 1-u, the cheap
+// bound 1-u excludes nearly all candidates.
 func (b *topTargets) scan(candidates []candidate, chat uint64, hint *chestnutstep.Target) {
 	if b.limit == 0 {
 		return
@@ -97,7 +95,7 @@
 	}
 }
 
-// worst is the key that a seat must not exceed to be kept.
+// worst returns the key that a candidate must not exceed to be kept.
 func (b *topTargets) worst() float64 {
 	if b.n < b.limit {
 		return math.Inf(1)
@@ -129,8 +127,8 @@
 	return dst
 }
 
-// less orders two seats by key and, should two keys be equal, by name, so
-// that no entry's order depends on how its list was sorted.
+// less orders two candidates by key and, if the keys are equal, by name, so that the order does
+// not depend on the order of the list.
 func less(k float64, s *candidate, other float64, o *candidate) bool {
 	if k != other {
 		return k < other
@@ -138,28 +136,27 @@
 	return s.target.Name < o.target.Name
 }
 
-// rankKey is the rank of a target for a chat: the smallest goes first. With u
-// uniform, -ln(u)/w is exponential with rate w, so that each target comes
-// first for a share of chats that is exactly its share of the weights.
+// rankKey returns the ranking key of a target for a chat; the smallest ranks first. With u
+// uniform, -ln(u)/w is exponential with rate w, so each target ranks first for a part of the
+// chats that is exactly its part of the weights.
 func rankKey(u, inv float64) float64 {
 	return -math.Log(u) * inv
 }
 
-// uniform is a number between 0 and 1, both excluded, that is fixed for one
-// target and chat.
+// uniform returns a number between 0 and 1, both excluded, that is fixed for a target and chat.
 func uniform(target, chat uint64) float64 {
 	const bits = 53
 	return (float64(mix(target^chat)>>(64-bits)) + 0.5) / (1 << bits)
 }
 
-// chatHash is a hash of workspace and chat that no other split of the same
-// letters shares.
+// chatHash hashes workspace and chat. Moving the boundary between the two strings gives another
+// hash.
 func chatHash(workspace, chat string) uint64 {
 	return mix(xxhash.Sum64String(workspace)) ^ xxhash.Sum64String(chat)
 }
 
-// mix is the finalizer of splitmix64: it spreads every bit over the whole
-// word, which combining two hashes by exclusive or alone doesn't.
+// mix is the finalizer of splitmix64: it spreads every bit over the whole word, which combining
+// two hashes by exclusive or does not.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/route/rank_test.go
+++ b/route/rank_test.go
@@ -17,7 +17,7 @@
 
 var models = []string{"chat", "tag"}
 
-// drawFleet draws a publication with domains, hosts and targets in and out.
+// drawFleet draws a publication with domains, hosts and targets in and out of service.
 func drawFleet(t *rapid.T) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{}
 	for _, m := range models {
@@ -101,10 +101,9 @@
 	})
 }
 
-// Host lists disagree for seconds at a time. Were the order of the targets that
-// two entries both see not the same, a chat would lose its prompt cache
-// whenever the balancer handed it to another entry, and its user would wait for
-// the whole booking history to be read again.
+// TestEntriesAgreeOnCommonTargets guards against different rankings at entries whose host lists
+// differ for a few seconds. If the order of the targets that both have differed, a chat would
+// lose its prompt cache whenever a balancer sent it to another entry.
 func TestEntriesAgreeOnCommonTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := chestnutstep.NewView(drawFleet(t))
@@ -129,7 +128,7 @@
 	})
 }
 
-// bigTable has the fleet's largest size: 2,700 targets of one model.
+// bigTable returns a table with targets of one model in three domains.
 func bigTable(targets int) *Table {
 	p := &chestnutstep.Publication{Models: []chestnutstep.Model{{Name: "chat"}}}
 	for i := range 3 {
@@ -145,8 +144,8 @@
 	return table
 }
 
-// The share of chats that a target is first for follows its weight: otherwise
-// the cap would turn away at small targets what large ones could carry.
+// TestFirstChoiceFollowsWeight guards against a ranking that ignores weights: small targets
+// would reject requests at their cap that large ones could serve.
 func TestFirstChoiceFollowsWeight(t *testing.T) {
 	const chats = 20000
 	table := bigTable(30)
--- a/route/drift_test.go
+++ b/route/returnhome_test.go
@@ -9,9 +9,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// A failure domain is taken out and brought back. All its chats were served
-// elsewhere in between and come back with hints to there. Operators would see
-// the returned domain idle for hours while the others carry its load.
+// TestReturnsHomeGradually guards against a failure domain that was taken out and brought back
+// and stays idle for hours, because its chats come back with hints to other domains.
 func TestReturnsHomeGradually(t *testing.T) {
 	home := &chestnutstep.Target{Name: "home"}
 	const requests = 8000
@@ -24,8 +23,8 @@
 	assert.Assert(t, moved > requests/10 && moved < requests/6, "moved %d", moved)
 }
 
-// A chat that is at home has nowhere to go: sending a part of its requests
-// elsewhere would rebuild its prefix there for nothing.
+// TestReturnsHomeIgnoresChatsAtHome guards against sending requests of a chat that is already
+// at home elsewhere, where its prefix would be rebuilt.
 func TestReturnsHomeIgnoresChatsAtHome(t *testing.T) {
 	home := &chestnutstep.Target{Name: "home"}
 	for i := range 100 {
--- a/route/table.go
+++ b/route/table.go
@@ -1,15 +1,13 @@
-// Package route decides to which targets a request is offered, and in which
-// order.
+// Package route decides to which targets a request is offered, and in which order.
 //
-// The load it answers: millions of chats that return after pauses, through
-// thousands of entries that each see only a sliver of them. A chat must find
-// the target that holds its prompt prefix although no entry remembers it. So
-// the order is computed and not stored: weighted rendezvous hashing of
-// workspace and chat over the targets in service. Every entry computes the
-// same order without talking, two entries whose host lists differ still agree
-// on the targets that both see, and a target that leaves moves only its own
-// chats, each to the next target of its own order. Without it (a random or a
-// least-loaded target) a returning chat finds its prefix only by luck.
+// Millions of chats return after pauses through thousands of entries, and each entry handles
+// only a small part of them. A chat must reach the target that holds its prompt prefix although
+// no entry stores this. The order is therefore computed by weighted rendezvous hashing of
+// workspace and chat over the targets in service. Every entry computes the same order without
+// communication. Entries whose host lists differ agree on the order of the targets that both
+// have, and a target that leaves moves only its own chats, each to the next target in its
+// order. A random or least-loaded choice would find the prefix of a returning chat only by
+// chance.
 package route
 
 import (
@@ -21,48 +19,47 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Table is a chestnutstep.Ranker over one view of the fleet. Set the fields,
-// call Build once, then share it: a built table is only read, by any number of
-// goroutines. Another publication or host list is another table.
+// Table implements chestnutstep.Ranker for one view of the fleet. Set the exported fields and
+// call Build once; after that the table is read-only and safe for concurrent use. A new
+// publication or host list needs a new table.
 type Table struct {
 	View *chestnutstep.View
-	// Skip says that a target gets no work for reasons that the publication
-	// doesn't hold, such as a host that the host list shows as leaving. Build
-	// calls it once for each target; nil skips none.
+	// Skip reports whether a target gets no work for a reason that is not in the publication,
+	// such as a host that is leaving. Build calls it once per target; nil skips none.
 	Skip func(t *chestnutstep.Target) bool
 
 	pools  map[string]*pool
 	byName map[string]*chestnutstep.Target
 }
 
-// pool is the targets in service of one model, the regions one after another.
+// pool holds the targets in service of one model, grouped by region.
 type pool struct {
 	candidates []candidate
 	spans      []regionSpan
 }
 
-// regionSpan is the part of a pool that lies in one region.
+// regionSpan is the range of a pool's candidates in one region.
 type regionSpan struct {
 	region      string
 	first, last int
 }
 
-// candidate is what ranking needs of one target. It is kept flat, so that a pass
-// over all targets reads memory in order.
+// candidate holds the values of a target that ranking needs. They are stored inline, so that a
+// scan of all targets reads memory sequentially.
 type candidate struct {
 	hash uint64
-	// inverseWeight is one over the weight.
+	// inverseWeight is 1 divided by the weight.
 	inverseWeight float64
-	// lowerBound is a trifle under inv, for the bound that spares most logarithms.
+	// lowerBound is slightly below inverseWeight, for the bound that avoids most logarithms.
 	lowerBound float64
 	target     *chestnutstep.Target
 }
 
-// boundSlack keeps the cheap bound under the exact key whatever the rounding of
-// the logarithm: its error is below 2^-50, this is far above it.
+// boundSlack keeps the cheap bound below the exact key in spite of the rounding of the
+// logarithm: its error is below 2^-50, far less than this margin.
 const boundSlack = 1 - 1.0/(1<<40)
 
-// Build computes the look-ups. Call it before the first Rank, and not again.
+// Build computes the lookup tables. Call it exactly once, before the first Rank.
 func (t *Table) Build() {
 	t.pools = make(map[string]*pool, len(t.View.TargetsByModel))
 	t.byName = make(map[string]*chestnutstep.Target, len(t.View.Targets))
