--- a/price/plan.go
+++ b/price/plan.go
@@ -8,12 +8,11 @@
 )
 
 const (
-	// SpareRatio is the part of the time left that a plan does not use: the last
-	// exports must end before the target does, and a chat that is half exported
-	// is worth nothing.
+	// SpareRatio is the part of the time left that a plan does not use. The last exports must
+	// end before the target does, because a partially exported chat has no value.
 	SpareRatio = 0.1
-	// MinTokens is the smallest prefix worth a move. A shorter one is rebuilt in
-	// about the time that Setup alone takes.
+	// MinTokens is the smallest prefix that is moved. Rebuilding a shorter one takes about as
+	// long as ImportSetup alone.
 	MinTokens = 256
 )
 
@@ -21,28 +20,26 @@
 type Chat struct {
 	Workspace string
 	Name      string
-	// Tokens of its prefix, the work that an export saves if it returns.
+	// Tokens is the length of its prefix: the work that an export saves if the chat returns.
 	Tokens float64
-	// Bytes of its KV cache.
+	// Bytes is the size of its KV cache.
 	Bytes float64
-	// ReturnProbability is the probability that it comes back, 0 to 1.
+	// ReturnProbability is the probability that the chat returns, from 0 to 1.
 	ReturnProbability float64
 }
 
-// valuePerByte is the tokens that a byte of the chat's KV cache is expected to save.
+// valuePerByte returns the expected number of tokens saved per byte of the chat's KV cache.
 func (c Chat) valuePerByte() float64 { return c.ReturnProbability * c.Tokens / max(c.Bytes, 1) }
 
-// Plan picks the chats that a target exports before it leaves, in the order in
-// which to export them: the most work saved for each byte first, until the bytes
-// that the link carries in the time left are used up. Exports that the target
-// does not live to make are thereby the least valuable ones.
+// Plan selects the chats that a target exports before it leaves, in the order of export: most
+// expected tokens saved per byte first, until the bytes that the link carries in the time left
+// are used up. If the target ends early, the least valuable exports are lost.
 //
-// The load it answers is a failure domain that goes out at short notice. Without
-// a plan its chats all rebuild their prefixes at once on the targets that are
-// left, which are busier than before.
+// Without a plan, the chats of a failure domain that leaves at short notice all rebuild their
+// prefixes at once on the remaining targets, which are busier than before.
 //
-// What it saves falls short of the best possible plan by less than its most
-// valuable single chat.
+// The expected savings fall short of the optimal plan by less than the most valuable single
+// chat.
 func Plan(chats []Chat, linkRate float64, timeLeft time.Duration) []Chat {
 	budget := linkRate * timeLeft.Seconds() * (1 - SpareRatio)
 	order := slices.Clone(chats)
@@ -60,10 +57,10 @@
 	return plan
 }
 
-// ReturnProbability estimates the probability that a chat comes back after it was idle for a
-// time, where a share of chats comes back at all, after pauses of this mean. A
-// chat that has been quiet for several pauses has most likely ended, and its KV
-// cache should not take the place of a fresh one's.
+// ReturnProbability estimates the probability that a chat returns after it was idle for a time.
+// share is the part of chats that return at all, and pause the mean pause of those. A chat that
+// was idle for several pauses has most likely ended, and its KV cache should not displace one
+// that is likely to be used.
 func ReturnProbability(idle, pause time.Duration, share float64) float64 {
 	if pause <= 0 {
 		return 0
--- a/price/price.go
+++ b/price/price.go
@@ -1,9 +1,9 @@
-// Package price compares what a chat costs at different targets: to wait where
-// its prompt prefix is cached, to import the KV cache from there, or to rebuild
-// the prefix elsewhere. It also plans which chats a leaving target exports.
+// Package price compares the costs of a chat at different targets: waiting where its prompt
+// prefix is cached, importing the KV cache from there, or rebuilding the prefix elsewhere. It
+// also plans which chats a leaving target exports.
 //
-// Prices are in seconds of delay, as callers and engines pay in the same coin:
-// a rebuilt prefix delays its own caller and, on a busy engine, all others there.
+// Prices are in seconds of delay, the same unit for callers and engines: a rebuilt prefix
+// delays its own caller and, on a busy engine, all other requests there.
 package price
 
 import (
@@ -12,37 +12,37 @@
 )
 
 const (
-	// ImportSetup is what an import costs besides its bytes: a call across failure
-	// domains there and back, and the engines' work to start an export.
+	// ImportSetup is the fixed cost of an import: a round trip between failure domains, and the
+	// time that the engines need to start an export.
 	ImportSetup = 20 * time.Millisecond
-	// ImportMargin is how much cheaper than a rebuild an import must look. Link rates
-	// are estimates that lag, and an import that is given up costs both.
+	// ImportMargin is the maximum price of an import, relative to a rebuild. Link rates are
+	// estimates that lag, and an abandoned import costs as much as both.
 	ImportMargin = 0.8
 )
 
-// Choice is where and how a chat goes on.
+// Choice is where and how a chat continues.
 type Choice uint8
 
-// The choices.
+// Choices of Choose.
 const (
-	// Rebuild runs at the other target, which computes the prefix anew.
+	// Rebuild runs at the other target, which recomputes the prefix.
 	Rebuild Choice = iota
 	// Wait queues at the target that holds the prefix.
 	Wait
 	// Import runs at the other target, which first fetches the KV cache.
 	Import
-	// Late: nothing ends in time, and the caller should hear so at once.
+	// TooLate means that no option meets the deadline; the caller should get an error at once.
 	TooLate
 )
 
-// Inputs is what is known about one request when its prefix's holder is at its
-// cap. Rates of 0 mean unknown: what needs them is not chosen.
+// Inputs describes one request whose prefix holder is at its cap. A rate of 0 is unknown, and
+// excludes the options that need it.
 type Inputs struct {
 	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens float64
-	// HolderCached is how many of them the holder has.
+	// HolderCached is the number of prompt tokens cached by the holder.
 	HolderCached float64
-	// OtherCached is how many of them the other target has.
+	// OtherCached is the number of prompt tokens cached by the other target.
 	OtherCached float64
 	// HolderWait is the predicted wait at the holder.
 	HolderWait time.Duration
@@ -50,40 +50,38 @@
 	OtherWait time.Duration
 	// Patience is the longest wait at the holder that the profile allows.
 	Patience time.Duration
-	// TimeLeft is the time limit that is left for the first token; 0 is unlimited.
+	// TimeLeft is the time left until the first token is due; 0 is unlimited.
 	TimeLeft time.Duration
-	// PrefillRate is the tokens a second that a target computes.
+	// PrefillRate is the number of tokens that a target computes per second.
 	PrefillRate float64
-	// OtherLoad of the other target, 0 to 1: the part of a rebuild that delays
-	// others there.
+	// OtherLoad is the load of the other target, from 0 to 1: the part of a rebuild that delays
+	// other requests there.
 	OtherLoad float64
-	// BytesPerToken is the bytes of KV cache for one token.
+	// BytesPerToken is the size of the KV cache of one token in bytes.
 	BytesPerToken float64
-	// LinkRate is the bytes a second that are free for imports.
+	// LinkRate is the link bandwidth available for imports, in bytes per second.
 	LinkRate float64
-	// QueuedBytes is the bytes that wait for the link already.
+	// QueuedBytes is the number of bytes already queued for the link.
 	QueuedBytes float64
 }
 
-// Decision is the choice for a quote.
+// Decision is the result of Choose.
 type Decision struct {
 	Choice Choice
-	// Delay is what the caller pays until its prompt is computed.
+	// Delay is the time until the caller's prompt is computed.
 	Delay time.Duration
-	// ImportTimeout is when an import is given up and rebuilt instead, after its start.
-	// By then it has cost as much as a rebuild, so that a wrong guess about the
-	// link at most doubles the price.
+	// ImportTimeout is the time after its start when an import is abandoned and the prefix is
+	// rebuilt instead. By then it has cost as much as a rebuild, so that a wrong estimate of
+	// the link rate at most doubles the price.
 	ImportTimeout time.Duration
 }
 
-// Choose returns the cheapest way that ends in time.
+// Choose returns the cheapest option that meets the deadline.
 //
-// The load it answers is a chat whose holder is at its cap, near a low multiple
-// of the mean a fifth of all requests. One rule for all goes wrong: always to
-// wait makes quick questions queue for a prefix that takes milliseconds to
-// rebuild; always to rebuild makes long plans compute histories that lie ready
-// one millisecond away, and the engines compute the same thing twice just when
-// they are busy.
+// Near a low multiple of the mean load, the holder of a chat's prefix is at its cap for a fifth
+// of all requests. A fixed rule fails: always waiting makes short questions queue for a prefix
+// that takes milliseconds to rebuild; always rebuilding makes long plans recompute histories
+// that an import would provide in one millisecond, just when the engines are busy.
 func Choose(in Inputs) Decision {
 	best := Decision{Choice: TooLate}
 	lowest := math.Inf(1)
@@ -99,15 +97,15 @@
 	return best
 }
 
-// option is a way to go on, in seconds: what it delays the caller, and the price
-// with what it costs others.
+// option is one way to continue: its delay for the caller, and its price including the cost to
+// other requests, in seconds.
 type option struct {
 	choice Choice
 	delay  float64
 	price  float64
 }
 
-// unavailable is the option that can't be taken.
+// unavailable returns an option that cannot be chosen.
 func unavailable(c Choice) option {
 	return option{choice: c, delay: math.Inf(1), price: math.Inf(1)}
 }
@@ -125,9 +123,9 @@
 	return option{Rebuild, in.OtherWait.Seconds() + work, in.OtherWait.Seconds() + work*(1+in.OtherLoad)}
 }
 
-// importOption computes the price of an import. It pays only on a link that carries KV
-// cache faster than the engine computes it, Prefill times Token over Margin. The wait for the other target and the
-// move overlap, as the KV cache is sent while the request queues.
+// importOption computes the price of an import. An import only pays on a link that carries KV
+// cache faster than the engine computes it: LinkRate above PrefillRate times BytesPerToken
+// divided by ImportMargin. The wait at the other target and the transfer overlap.
 func (in Inputs) importOption() option {
 	missing := in.HolderCached - in.OtherCached
 	if in.LinkRate <= 0 || in.BytesPerToken <= 0 || missing < MinTokens {
@@ -142,8 +140,8 @@
 	return option{Import, delay, delay + rest*in.OtherLoad}
 }
 
-// prefillSeconds is the seconds that a target takes for tokens. Without a known rate it
-// counts as nothing, so that a rebuild is then always to be had.
+// prefillSeconds returns the time that a target takes for a number of tokens. It is 0 if the
+// rate is unknown, so that a rebuild is always possible.
 func (in Inputs) prefillSeconds(tokens float64) float64 {
 	if in.PrefillRate <= 0 {
 		return 0
@@ -155,7 +153,7 @@
 	return in.TimeLeft <= 0 || delay <= in.TimeLeft.Seconds()
 }
 
-// toDuration converts to a duration; more than a day is a day.
+// toDuration converts seconds to a duration of at most one day.
 func toDuration(s float64) time.Duration {
 	const day = 24 * 60 * 60
 	return time.Duration(min(s, day) * float64(time.Second))
--- a/price/price_test.go
+++ b/price/price_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { script.Main(m, 3000) }
 
-// The table in testdata/choose has one quote a line; each block opens with the
-// load that it stands for.
+// TestChoose runs the cases in testdata/choose, one request per line; each block begins with
+// the load it represents.
 func TestChoose(t *testing.T) {
 	datadriven.RunTest(t, "testdata/choose", func(_ *testing.T, d *datadriven.TestData) string {
 		return script.Play(d.Input, nil, func(f []string) string {
@@ -28,8 +28,8 @@
 	})
 }
 
-// parseInputs reads fields such as "prompt=2000" over a common engine: 5,000 tokens a
-// second, 128 KB of KV cache a token, a link of 5 GB a second, half loaded.
+// parseInputs parses fields such as "prompt=2000". Defaults: 5,000 tokens per second, 128 kB of
+// KV cache per token, a link of 5 GB per second, half loaded.
 func parseInputs(fields []string) Inputs {
 	in := Inputs{PrefillRate: 5000, BytesPerToken: 128e3, LinkRate: 5e9, OtherLoad: 0.5, Patience: time.Second}
 	numbers := map[string]*float64{
@@ -74,8 +74,9 @@
 	return saved
 }
 
-// A domain leaves, and there is time for a part of its chats. If the wrong ones
-// were exported, the members who return find their histories rebuilt.
+// TestPlanAgainstEverySubset guards against exporting the wrong chats of a domain that leaves,
+// when there is time for only a part of them: chats that return would have to rebuild their
+// prefixes.
 func TestPlanAgainstEverySubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawChats(t)
@@ -94,14 +95,14 @@
 	})
 }
 
-// 2,000 chats of two kinds wait on a domain that leaves in ten seconds, and less
-// than a quarter of their bytes can move. Exporting the latest first, as caches
-// are ordered, saves less of the work that returns.
+// TestPlanSavesMoreThanTheLatestFirst guards against a plan no better than the order of the
+// caches, the latest chats first: 2,000 chats of two kinds are on a domain that leaves in ten
+// seconds, and less than a quarter of their bytes can be moved.
 func TestPlanSavesMoreThanTheLatestFirst(t *testing.T) {
 	var all []Chat
 	for n := range 2000 {
 		c := Chat{Tokens: 800, Bytes: 800 * 160e3, ReturnProbability: ReturnProbability(time.Duration(n)*time.Second/2, 2*time.Minute, 0.7)}
-		if n%4 == 0 { // long plans whose engine shares KV heads: fewer bytes a token
+		if n%4 == 0 { // long plans whose engine shares KV heads: fewer bytes per token
 			c.Tokens, c.Bytes = 6000, 6000*40e3
 		}
 		all = append(all, c)
