--- a/board/domain.go
+++ b/board/domain.go
@@ -218,7 +218,7 @@
 		b.domainOf(name).recordTimeout(now, key)
 	case Served, Failed, Refused, Replaced, ConnRefused:
 		b.domainOf(name).recordAnswer(now)
-	case Broken, Canceled: // a connection that breaks later is no evidence about reachability
+	case Broken, Canceled: // a broken connection is no evidence about reachability
 	}
 }
 
