--- a/roster/missing.go
+++ b/roster/missing.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// settleTime is how long after the source's return an instance that is missing is
-	// still kept. Entries lapse while the source is away; those of live
-	// targets are back within about two seconds. Dropped at once, a whole fleet of
-	// sound targets would get no work.
+	// settleTime is how long after the source recovers a missing instance is still kept.
+	// Entries expire while the source is down, and live targets renew theirs within about two
+	// seconds. Without this time, a whole fleet of healthy targets would get no work.
 	settleTime = 2 * time.Second
-	// minLapse is the shortest loss of the source in which entries may lapse: they live
-	// for three heartbeats of their targets.
+	// minLapse is the shortest outage of the source in which entries can expire: they live for
+	// three heartbeats of their targets.
 	minLapse = time.Second
 )
 
-// extendKeepMissing decides for how long targets that are missing may have lapsed. A peer says so
-// itself: it may have read the source all the while that this entry could not.
+// extendKeepMissing updates the time until which missing targets are kept. A batch of a peer
+// carries that peer's settle time: the peer can have had access to the source while this entry
+// had none.
 func (r *Roster) extendKeepMissing(now clock.Stamp, b chestnutstep.Batch, lastRead clock.Stamp) {
 	if r.sourceUnresponsive && b.IsDirect() && now.Sub(lastRead) > minLapse {
 		r.keepMissingUntil = now.Add(settleTime)
@@ -28,14 +28,14 @@
 	r.keepMissingUntil = max(r.keepMissingUntil, now.Add(b.SettleTime))
 }
 
-// removeUnlisted removes what a full read of a topic no longer lists.
+// removeUnlisted removes the entries that a full read of a topic does not list.
 func (r *Roster) removeUnlisted(now clock.Stamp, topic chestnutstep.Topic, seen map[factKey]bool, revision uint64, c *Change) {
 	isRemoved := func(kind chestnutstep.FactKind, name string) bool {
 		key := factKey{kind, name}
 		if kind.Topic() != topic || seen[key] || r.revisions[key] > revision {
 			return false
 		}
-		r.revisions[key] = revision // an older answer must not bring it back
+		r.revisions[key] = revision // so that an older answer does not restore it
 		return true
 	}
 	for id := range r.targets {
@@ -51,8 +51,8 @@
 	}
 }
 
-// markMissing notes that an instance is no longer listed. One that was leaving is gone;
-// any other is kept while the source settles.
+// markMissing records that an instance is no longer listed. An instance that was leaving is
+// removed; any other is kept until keepMissingUntil.
 func (r *Roster) markMissing(now clock.Stamp, id string, c *Change) {
 	t := r.targets[id]
 	if t == nil || t.missing {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,6 +1,7 @@
-// Package roster holds what a process knows of the configuration and of the
-// targets that run, from facts that come late, twice, out of order or not at
-// all. It is pure: its owner gives it facts and the time.
+// Package roster maintains the configuration and the list of running targets from published
+// facts, which can arrive late, twice, out of order or not at all. It does no I/O: its owner
+// passes in the facts and the time. A fact never replaces a newer one, and the version of the
+// configuration in force never decreases.
 package roster
 
 import (
@@ -14,55 +15,56 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// Target is an instance with what this process knows of it.
+// Target is an instance together with local state.
 type Target struct {
 	chestnutstep.Instance
-	// ColdUntil is when it is warm.
+	// ColdUntil is the time from which the target is warm.
 	ColdUntil clock.Stamp
-	// missing says that the source no longer lists it.
+	// missing is set if the source no longer lists the instance.
 	missing bool
 }
 
-// View is what is known at one moment. It is never changed.
+// View is an immutable snapshot of the configuration and the targets.
 type View struct {
 	Routing *chestnutstep.Routing
-	// Listed says that the list of targets was read: before that, none is known.
+	// Listed reports whether the list of targets was read completely. Before that, no target is
+	// known.
 	Listed bool
-	// Targets of each service, leaving or not.
+	// Services holds the targets of each service, leaving ones included.
 	Services map[string][]*Target
-	// ByID has the same targets by name.
+	// ByID holds the same targets by ID.
 	ByID map[string]*Target
-	// Out are the failure domains out of service.
+	// Out holds the failure domains that are out of service.
 	Out map[string]bool
 }
 
-// Usable says that the target may get new work.
+// Usable reports whether the target can get new work.
 func (v *View) Usable(t *Target) bool { return !t.Leaving && !v.Out[t.Domain] }
 
-// Roster takes facts. It is safe for concurrent use.
+// Roster applies facts and publishes views. It is safe for concurrent use.
 type Roster struct {
-	// WallClock is the time of day; time.Now if nil.
+	// WallClock returns the time of day; time.Now if nil.
 	WallClock func() time.Time
 
 	mu   sync.Mutex
 	view atomic.Pointer[View]
-	// revisions is the revision of each entry, gone ones included.
+	// revisions holds the revision of each entry, removed entries included.
 	revisions map[factKey]uint64
-	// facts are the entries as they were published, for peers.
+	// facts holds the entries as they were published, for peers.
 	facts   map[factKey]chestnutstep.Fact
 	topics  [chestnutstep.TopicCount]topic
 	targets map[string]*Target
 	out     map[string]bool
 	routing *chestnutstep.Routing
-	// sourceUnresponsive says that the source of targets has not answered since the last read, and
-	// settled until when targets that are missing are kept.
+	// sourceUnresponsive is set if the source of targets has not answered since the last read.
+	// Missing targets are kept until keepMissingUntil.
 	sourceUnresponsive bool
 	keepMissingUntil   clock.Stamp
-	// confirmed is when a peer's report last proved the version in force.
+	// confirmed is the time at which a peer's report last confirmed the version in force.
 	confirmed latestStamp
 }
 
-// latestStamp is a moment that only moves forward.
+// latestStamp is a time that only increases. It is safe for concurrent use.
 type latestStamp struct{ atomic.Int64 }
 
 func (s *latestStamp) advance(at clock.Stamp) {
@@ -74,54 +76,54 @@
 	}
 }
 
-// factKey names a published entry.
+// factKey identifies a published entry.
 type factKey struct {
 	kind chestnutstep.FactKind
 	name string
 }
 
-// Change is what a batch changed, for logs.
+// Change lists the effects of a batch, for logs.
 type Change struct {
 	Version uint64
 	Joined  []string
 	Removed []string
 	Leaving []string
-	// Kept are targets that are no longer listed and stay usable while the source settles.
+	// Kept are targets that are no longer listed and stay usable until the settle time is over.
 	Kept []string
 	// Recovered are targets that can be used again.
 	Recovered []string
-	// Out and In are failure domains that were taken out of service and back.
+	// Out and Restored are failure domains that were taken out of service and put back.
 	Out      []string
 	Restored []string
 }
 
-// Empty says that nothing changed.
+// Empty reports whether nothing changed.
 func (c Change) Empty() bool {
 	return c.Version == 0 && len(c.Joined)+len(c.Removed)+len(c.Leaving)+len(c.Kept)+len(c.Recovered)+len(c.Out)+len(c.Restored) == 0
 }
 
-// View returns what is known now; nil before the configuration is known.
+// View returns the current view; nil before the first configuration is applied.
 func (r *Roster) View() *View { return r.view.Load() }
 
-// Proof is the moment as of which all facts of a topic are known; 0 for never.
+// Proof returns the time as of which all facts of a topic are known; 0 for never.
 func (r *Roster) Proof(t chestnutstep.Topic) clock.Stamp {
 	return clock.Stamp(r.topics[t].proof.Load())
 }
 
-// RecordProof says that all facts of a topic as of a moment are known.
+// RecordProof records that all facts of a topic as of a time are known.
 func (r *Roster) RecordProof(t chestnutstep.Topic, at clock.Stamp) { r.topics[t].proof.advance(at) }
 
-// ConfirmVersion says that the version in force was the newest at a moment. It proves nothing about
-// failure domains or targets.
+// ConfirmVersion records that the version in force was the newest one at a time. It gives no
+// proof about failure domains or targets.
 func (r *Roster) ConfirmVersion(at clock.Stamp) { r.confirmed.advance(at) }
 
-// VersionConfirmedAt is the moment as of which the version in force is known to be the newest; 0 for
-// never.
+// VersionConfirmedAt returns the time as of which the version in force is known to be the
+// newest; 0 for never.
 func (r *Roster) VersionConfirmedAt() clock.Stamp {
 	return max(clock.Stamp(r.confirmed.Load()), r.Proof(chestnutstep.TopicRouting))
 }
 
-// Version of the configuration in force, 0 for none.
+// Version returns the version of the configuration in force; 0 for none.
 func (r *Roster) Version() uint64 {
 	if v := r.view.Load(); v != nil && v.Routing != nil {
 		return v.Routing.Version
@@ -149,8 +151,8 @@
 	r.out = make(map[string]bool)
 }
 
-// Apply takes the facts of one read of a topic that was asked at a moment. With full they
-// are all that there are: what is not among them is gone.
+// Apply applies the facts of one read of a topic; now is the current time. If full is
+// set, the batch is complete and entries missing from it are removed.
 func (r *Roster) Apply(now clock.Stamp, topic chestnutstep.Topic, b chestnutstep.Batch, full bool) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +177,7 @@
 	return c
 }
 
-// Tick drops instances that did not come back in time.
+// Tick removes missing instances that did not return in time.
 func (r *Roster) Tick(now clock.Stamp) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,8 +188,8 @@
 	return c
 }
 
-// applyFact applies a fact unless a later one about the same entry is known: an
-// answer that was held up may come after a newer one.
+// applyFact applies a fact unless a newer one about the same entry was applied: answers can
+// arrive out of order.
 func (r *Roster) applyFact(now clock.Stamp, f chestnutstep.Fact, c *Change) {
 	key := factKey{f.Kind, f.Name}
 	if r.supersedes(key, f.Revision) {
@@ -209,8 +211,8 @@
 	}
 }
 
-// supersedes says whether something newer than a revision is known of an entry. One that a full
-// read did not list was removed before it.
+// supersedes reports whether newer state than a revision is known of an entry. An entry that a
+// full read did not list was removed before that read.
 func (r *Roster) supersedes(key factKey, revision uint64) bool {
 	known := r.revisions[key]
 	if _, ok := r.facts[key]; ok {
@@ -219,8 +221,8 @@
 	return revision <= max(known, r.topics[key.kind.Topic()].fullRevision)
 }
 
-// applyRouting never goes back: a request that was handled under a version must
-// not be followed by one under an older version.
+// applyRouting ignores older versions: a request handled under one version must not be followed
+// by one handled under an older version.
 func (r *Roster) applyRouting(f chestnutstep.Fact, c *Change) {
 	if f.Deleted || r.routing != nil && f.Routing.Version <= r.routing.Version {
 		return
@@ -247,7 +249,8 @@
 	t := &Target{Instance: *in, ColdUntil: now.Add(in.ColdRemaining)}
 	isNew := old == nil || old.StartedMs != in.StartedMs || old.Address != in.Address
 	if isNew && r.topics[chestnutstep.TopicTargets].listed && !r.startedEarlier(in) {
-		// One that appears while we watch has just started, whatever it says.
+		// An instance that appears after the first list has just started, whatever cold time it
+		// reports.
 		t.ColdUntil = max(t.ColdUntil, now.Add(r.coldStart(in.Service)))
 	}
 	if !isNew {
@@ -264,12 +267,12 @@
 	}
 }
 
-// clockSkewMargin is by how much the time of day may differ between hosts, jumps
+// clockSkewMargin is the maximum difference of the time of day between hosts, clock jumps
 // included.
 const clockSkewMargin = 10 * time.Second
 
-// startedEarlier says that an instance was born long before it appeared: it was there, and
-// the list has lost it for a while.
+// startedEarlier reports whether an instance started long before it appeared. It was then
+// already running and only missing from the list for some time.
 func (r *Roster) startedEarlier(in *chestnutstep.Instance) bool {
 	if in.StartedMs == 0 {
 		return false
@@ -292,7 +295,7 @@
 	return s.ColdStart
 }
 
-// publish makes a new view, if anything changed or always.
+// publish stores a new view if anything changed, or if force is set.
 func (r *Roster) publish(c Change, force bool) {
 	if r.routing == nil || !force && c.Empty() && r.view.Load() != nil {
 		return
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -15,15 +15,15 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// script plays facts on a roster.
+// script runs the commands of a test script against a roster.
 type script struct {
 	roster *roster.Roster
 	now    clock.Stamp
 }
 
-// Facts come late, twice, out of order and after the source was away. A caller
-// notices a version that goes back as a key that works again after it was taken
-// away; a list that is dropped with the source as refusals while all targets live.
+// TestFacts guards against facts that arrive late, twice, out of order or after an outage of
+// the source. If the version went back, a revoked key would be valid again; if the list were
+// dropped together with the source, requests would be rejected while all targets are running.
 func TestFacts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &script{now: clock.Stamp(time.Hour)}
@@ -74,7 +74,7 @@
 	return s.view()
 }
 
-// apply gives the roster the facts of both topics, the configuration first.
+// apply applies the facts of both topics, the configuration first.
 func (s *script) apply(b chestnutstep.Batch, full bool) {
 	for _, topic := range []chestnutstep.Topic{chestnutstep.TopicRouting, chestnutstep.TopicTargets} {
 		part := b
@@ -88,8 +88,8 @@
 	}
 }
 
-// batch reads lines such as "target a rev=3 leaving born=7 cold=2s",
-// "gone a rev=4", "version 3 rev=9", "out zone rev=2" and "back zone rev=3".
+// batch parses lines such as "target a rev=3 leaving born=7 cold=2s", "gone a rev=4", "version
+// 3 rev=9", "out zone rev=2" and "back zone rev=3".
 func batch(t *testing.T, d *datadriven.TestData) chestnutstep.Batch {
 	var b chestnutstep.Batch
 	for _, line := range strings.Split(d.Input, "\n") {
@@ -134,7 +134,7 @@
 	return b
 }
 
-// view prints what is believed.
+// view prints the current view.
 func (s *script) view() string {
 	v := s.roster.View()
 	if v == nil {
@@ -161,8 +161,9 @@
 	return out + "\n"
 }
 
-// TestRestoredDomainIsNotSharedAsOut guards against an entry that starts and sends nothing to a failure domain which came
-// back while the entry that it copies from had a gap.
+// TestRestoredDomainIsNotSharedAsOut guards against a starting entry that sends nothing to a
+// failure domain, because the domain was restored while the peer that the entry copies from
+// missed changes.
 func TestRestoredDomainIsNotSharedAsOut(t *testing.T) {
 	r := &roster.Roster{}
 	out := chestnutstep.Fact{Kind: chestnutstep.FactDomainOut, Name: "z", Revision: 2}
--- a/roster/since.go
+++ b/roster/since.go
@@ -8,8 +8,8 @@
 )
 
 // Since returns the facts of a topic that changed after a revision, as they were published;
-// removed ones have no content. It reports false where it can't name all of them: the revision
-// is older than the last full read. Revision 0 asks for all facts in force.
+// removed entries have no content. It returns false if it cannot list all of them, because the
+// revision is older than the last full read. Revision 0 returns all facts in force.
 func (r *Roster) Since(now clock.Stamp, topic chestnutstep.Topic, after uint64) (chestnutstep.Batch, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,8 +42,8 @@
 	return b, true
 }
 
-// factsInForce lists the facts of a topic in force, as the source would: without instances that it no
-// longer lists. The caller holds the lock.
+// factsInForce returns the facts of a topic that are in force, without instances that the
+// source no longer lists. The caller must hold the lock.
 func (r *Roster) factsInForce(topic chestnutstep.Topic) []chestnutstep.Fact {
 	var list []chestnutstep.Fact
 	for key, f := range r.facts {
@@ -58,8 +58,8 @@
 	return list
 }
 
-// WaitForUpdate returns once facts of a topic were read up to a later revision, none can be expected,
-// or the wait is over.
+// WaitForUpdate blocks until the topic was read beyond a revision, no updates can be expected,
+// the wait is over, or done is closed.
 func (r *Roster) WaitForUpdate(topic chestnutstep.Topic, after uint64, wait time.Duration, done <-chan struct{}) {
 	r.mu.Lock()
 	r.initMaps()
@@ -78,7 +78,8 @@
 	}
 }
 
-// storeFact remembers a fact as it was published, while it is in force.
+// storeFact stores a fact as it was published while it is in force, and deletes it when it is
+// removed.
 func (r *Roster) storeFact(key factKey, f chestnutstep.Fact) {
 	switch {
 	case f.Deleted && f.Kind != chestnutstep.FactRouting:
--- a/roster/topic.go
+++ b/roster/topic.go
@@ -5,18 +5,19 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// topic is how far the facts of one topic are read.
+// topic is the read state of one topic.
 type topic struct {
-	// revision up to which facts were read, and floor that of the last full read: of what
-	// was removed before it nothing is known.
+	// revision is the highest revision that was read, and fullRevision that of the last full
+	// read. Entries removed before fullRevision are unknown.
 	revision, fullRevision uint64
-	// readAt is when the last answer came, and proof as of when all facts are known.
+	// readAt is the time of the last answer, and proof the time as of which all facts are
+	// known.
 	readAt clock.Stamp
 	proof  latestStamp
-	// listed says that all facts were read once, direct that the last answer was the
-	// source's own, lost that none comes at present.
+	// listed is set after the first full read, direct if the last answer came from the source
+	// itself, and lost while no answers arrive.
 	listed, direct, lost bool
-	// changed is closed when news come, or none can be expected.
+	// changed is closed when a newer revision is read, or when none can be expected.
 	changed chan struct{}
 }
 
@@ -31,13 +32,14 @@
 	}
 }
 
-// notify ends the waits of those who follow this entry.
+// notify wakes up all WaitForUpdate calls.
 func (t *topic) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// MarkLost records that a topic can't be read at present, from the source or from peers.
+// MarkLost records that a topic currently cannot be read, neither from the source nor from
+// peers.
 func (r *Roster) MarkLost(topic chestnutstep.Topic) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,22 +50,22 @@
 	}
 }
 
-// HasNewer says whether facts of a topic were read up to a later revision.
+// HasNewer reports whether a topic was read beyond a revision.
 func (r *Roster) HasNewer(topic chestnutstep.Topic, after uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.topics[topic].revision > after
 }
 
-// Listed says whether all facts of a topic were read once.
+// Listed reports whether a topic was read completely at least once.
 func (r *Roster) Listed(topic chestnutstep.Topic) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.topics[topic].listed
 }
 
-// IsFollowing says whether changes of a topic reach this entry at present: with direct, from the
-// source itself.
+// IsFollowing reports whether this entry currently receives the changes of a topic; if direct
+// is set, from the source itself.
 func (r *Roster) IsFollowing(topic chestnutstep.Topic, direct bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/roster/whole_test.go
+++ b/roster/whole_test.go
@@ -15,19 +15,20 @@
 
 func TestMain(m *testing.M) { seeds.Main(m, 4000) }
 
-// states of a target in the model's store, in the order in which they follow each other.
+// States of a target in the model's store, in their usual order.
 const (
 	absent = iota
 	ready
 	draining
 )
 
-// modelStore is the source of targets: each change is an event, and events may be forgotten.
+// modelStore is the source of targets. Each change is an event, and old events can be compacted
+// away.
 type modelStore struct {
 	revision, compactedAt uint64
 	states                map[string]int
 	events                []chestnutstep.Fact
-	// history of each target's states: the revision from which on each holds.
+	// history holds the states of each target with the revisions at which they begin.
 	history map[string][]change
 }
 
@@ -43,7 +44,7 @@
 	s.events = append(s.events, s.fact(id))
 }
 
-// fact is the newest one of a target.
+// fact returns the newest fact about a target.
 func (s *modelStore) fact(id string) chestnutstep.Fact {
 	list := s.history[id]
 	last := list[len(list)-1]
@@ -54,7 +55,7 @@
 	return f
 }
 
-// hasHadState says whether a target has had a state at a revision or at a later one.
+// hasHadState reports whether a target had a state at a revision or later.
 func (s *modelStore) hasHadState(id string, state int, revision uint64) bool {
 	held := absent
 	for _, c := range s.history[id] {
@@ -67,7 +68,7 @@
 	return held == state
 }
 
-// modelEntry is an entry that reads the store or another entry.
+// modelEntry is an entry that reads from the store or from another entry.
 type modelEntry struct {
 	roster   *roster.Roster
 	revision uint64
@@ -79,7 +80,7 @@
 	e.roster.Apply(now, chestnutstep.TopicTargets, b, full)
 }
 
-// fleetModel is a fleet in which facts travel every way that they can.
+// fleetModel is a fleet in which facts spread over all possible paths.
 type fleetModel struct {
 	store   *modelStore
 	entries []*modelEntry
@@ -97,13 +98,13 @@
 	return m.entries[rapid.IntRange(0, len(m.entries)-1).Draw(t, label)]
 }
 
-// change lets a target go one state on, or leave without notice.
+// change sets a random target to a random state.
 func (m *fleetModel) change(t *rapid.T) {
 	id := fmt.Sprint("t", rapid.IntRange(0, 5).Draw(t, "target"))
 	m.store.set(id, rapid.SampledFrom([]int{absent, ready, draining}).Draw(t, "state"))
 }
 
-// list reads all from the store, with changes between its pages.
+// list reads everything from the store, with changes between its pages.
 func (m *fleetModel) list(t *rapid.T) {
 	e := m.draw(t, "entry")
 	e.revision = 0
@@ -120,7 +121,7 @@
 	e.apply(m.now, b)
 }
 
-// watch reads changes from the store, or finds that they are forgotten.
+// watch reads changes from the store; if they were compacted away, the next read is a full one.
 func (m *fleetModel) watch(t *rapid.T) {
 	e := m.draw(t, "entry")
 	if e.revision == 0 || e.revision < m.store.compactedAt {
@@ -136,7 +137,7 @@
 	e.apply(m.now, b)
 }
 
-// follow reads from another entry, whatever that one has read last.
+// follow reads from another entry, independent of what that entry has read last.
 func (m *fleetModel) follow(t *rapid.T) {
 	e, source := m.draw(t, "entry"), m.draw(t, "giver")
 	if e == source || !source.roster.Listed(chestnutstep.TopicTargets) {
@@ -155,7 +156,7 @@
 	e.apply(m.now, b)
 }
 
-// decode stands in for reading what was published.
+// decode restores the instance that a published fact encodes.
 func (m *fleetModel) decode(f chestnutstep.Fact) chestnutstep.Fact {
 	for _, c := range m.store.history[f.Name] {
 		if c.revision == f.Revision {
@@ -165,8 +166,7 @@
 	return f
 }
 
-// check compares each entry with the store as of the revision up to which the entry claims to
-// know all.
+// check compares each entry with the store at the revision up to which the entry is complete.
 func (m *fleetModel) check(t *rapid.T) {
 	for i, e := range m.entries {
 		if !e.roster.Listed(chestnutstep.TopicTargets) || e.revision == 0 {
@@ -186,7 +186,8 @@
 	}
 }
 
-// TestStateIsComplete guards against a change that is missing from a state which counts as complete, whoever handed it on.
+// TestStateIsComplete guards against a state that counts as complete but lacks a change, for
+// every sequence of sources from which an entry reads.
 func TestStateIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &fleetModel{store: &modelStore{states: map[string]int{}, history: map[string][]change{}}, now: clock.Stamp(time.Hour)}
