--- a/queue/heap.go
+++ b/queue/heap.go
@@ -1,14 +1,14 @@
 package queue
 
-// heapItem is what a heap holds: it orders itself and knows its place.
+// heapItem is an element of a heap: it defines the order and stores its index.
 type heapItem[T any] interface {
 	less(other T) bool
 	heapIndex() *int
 }
 
-// heap is a binary heap whose members can be taken out from the middle, as
-// callers cancel most of what waits. container/heap would need five methods of
-// boilerplate for each of the three orders that a queue keeps.
+// heap is a binary heap that supports removal from the middle, because most waiting requests
+// are canceled by their callers. container/heap would need five methods of boilerplate for each
+// of the three orders of a queue.
 type heap[T heapItem[T]] struct {
 	items []T
 }
--- a/queue/lane.go
+++ b/queue/lane.go
@@ -14,7 +14,7 @@
 	orderKey time.Time
 	// seq orders equal keys by arrival.
 	seq uint64
-	// expiry is when the request leaves unserved.
+	// expiry is when the request is removed without being served.
 	expiry      time.Time
 	flowIndex   int
 	expiryIndex int
@@ -41,13 +41,13 @@
 	return x.seq < o.seq
 }
 
-// flow is what one workspace has waiting in one class.
+// flow holds the waiting requests of one workspace in one class.
 type flow struct {
 	class     *classQueue
 	workspace string
 	weight    float64
-	// tag is the work that the workspace was served, divided by its weight, on
-	// the lane's scale: the lowest tag is served next.
+	// tag is the cost served to the workspace, divided by its weight, in virtual time of the
+	// class: the flow with the lowest tag is served next.
 	tag        float64
 	cost       float64
 	items      heap[*item]
@@ -63,7 +63,7 @@
 	return f.workspace < o.workspace
 }
 
-// last is the request of the flow that would be served last.
+// last returns the request of the flow that would be served last.
 func (f *flow) last() *item {
 	worst := f.items.items[0]
 	for _, x := range f.items.items {
@@ -74,26 +74,25 @@
 	return worst
 }
 
-// classQueue is one class. Workspaces share it by start-time fair queueing: deficit
-// round robin without the rounds. Deficit round robin needs a quantum as large
-// as the longest plan, and then serves a hundred quick questions of one
-// workspace in a row before the next one's turn; with tags, turns are as fine
-// as the requests themselves.
+// classQueue is the queue of one class. Workspaces share it by start-time fair queueing.
+// Deficit round robin would need a quantum as large as the longest plan, and would then serve a
+// hundred short questions of one workspace in a row before the next workspace. With tags, turns
+// are as small as the requests.
 type classQueue struct {
 	flows  map[string]*flow
 	active heap[*flow]
-	// virtualTime is the tag of the flow served last: where a new flow joins.
+	// virtualTime is the tag of the flow served last; a new flow starts with it.
 	virtualTime float64
-	// cost and weight sum what is active.
+	// cost and weight are the sums over the active flows.
 	cost   float64
 	weight float64
 	count  int
-	// bypassed counts starts of more urgent work while this lane waited.
+	// bypassed counts starts of more urgent work while this class was waiting.
 	bypassed int
 }
 
-// maxIdleFlows is how many idle flows a lane keeps before it looks for those whose
-// tag no longer matters. Sixty-four cost about 10 kB.
+// maxIdleFlows is the number of idle flows that a class keeps before it removes those whose tag
+// no longer matters. 64 flows take about 10 kB.
 const maxIdleFlows = 64
 
 func (l *classQueue) flow(workspace string, weight float64) *flow {
@@ -124,7 +123,7 @@
 	l.count++
 }
 
-// pop takes the next request and charges its workspace for it.
+// pop removes the next request and charges its cost to its workspace.
 func (l *classQueue) pop() *item {
 	f := l.active.items[0]
 	x := f.items.items[0]
@@ -151,10 +150,9 @@
 	l.pruneIdle()
 }
 
-// pruneIdle forgets idle workspaces. One that has been served beyond the lane's
-// present tag is kept: were it forgotten, it would rejoin without that debt,
-// and a caller that sends its next long plan the moment the last one started
-// would get more than its share.
+// pruneIdle removes idle workspaces. A workspace whose tag is above the virtual time is kept:
+// otherwise it would rejoin without this debt, and a caller that sends its next long plan
+// whenever the last one starts would get more than its share.
 func (l *classQueue) pruneIdle() {
 	if l.count == 0 {
 		l.flows, l.virtualTime, l.cost, l.weight, l.bypassed = nil, 0, 0, 0, 0
@@ -170,7 +168,7 @@
 	}
 }
 
-// heaviest is the workspace with the most requests waiting for its weight.
+// heaviest returns the workspace with the most waiting requests relative to its weight.
 func (l *classQueue) heaviest() *flow {
 	var heaviest *flow
 	for _, f := range l.active.items {
@@ -181,8 +179,8 @@
 	return heaviest
 }
 
-// load is the places that the flow would take with more requests, divided by
-// its weight.
+// load returns the number of requests that the flow would have with extra more, divided by its
+// weight.
 func (f *flow) load(extra int) float64 {
 	return float64(f.items.len()+extra) / f.weight
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,10 +1,11 @@
-// Package queue orders the work that waits at one target.
+// Package queue orders the requests that wait at one target: by urgency class, within a class
+// by weighted fair shares of the workspaces, and within a workspace short requests before long
+// ones. The queue is bounded, and a full queue evicts the request with the least claim to a
+// place.
 //
-// The load it answers: saturation, a surge of one workspace, and long plans
-// among quick questions. Without it (first come, first served) one workspace's
-// surge stands before everybody's next question, quick answers wait behind
-// drafts of minutes, and work is started that its caller has given up, so that
-// goodput falls as the offered load grows.
+// First come, first served would fail under saturation: the surge of one workspace would delay
+// all others, short answers would wait behind plans that take minutes, and work would start
+// after its caller has given up, so that goodput would fall as the offered load grows.
 package queue
 
 import (
@@ -14,29 +15,26 @@
 )
 
 const (
-	// MaxBypassed is how many starts of more urgent work a class lets pass before its
-	// own next request starts. Under endless urgent work, the least urgent class
-	// then still gets one start in seventeen: enough that tagging advances and
-	// its callers' limits of minutes are met, and about 6% of what the urgent
-	// ones could have had.
+	// MaxBypassed is the number of starts of more urgent work after which the next request of a
+	// waiting class starts. Under continuous urgent work, the least urgent class still gets one
+	// start in 17: enough to meet limits of minutes, at the cost of about 6% of the starts of
+	// urgent work.
 	MaxBypassed = 16
-	// DelayPerToken is how much later a request counts as having come for each token of
-	// its cost, among the requests of its own workspace. A plan of 20,000 tokens
-	// lets questions of the next two seconds go first, and is then as old as
-	// they are: no request waits for ever, as nothing that comes later than that
-	// can overtake it.
+	// DelayPerToken is added to the arrival time of a request per token of its cost, in the
+	// order within its workspace. A plan of 20,000 tokens yields to questions of the next two
+	// seconds. No request waits forever, because requests that arrive after that cannot
+	// overtake it.
 	DelayPerToken = 100 * time.Microsecond
 )
 
-// Queue is the bounded queue of one target: classes by urgency, within a class
-// workspaces by weighted fair shares of cost, within a workspace short before
-// long. Set the fields before use; they may be set again between calls. Each
-// operation takes time logarithmic in what waits, but for the push onto a full
-// queue, which looks at each workspace once.
+// Queue is the bounded queue of one target. Set the exported fields before use; they can be
+// changed between calls. Each operation takes time logarithmic in the number of waiting
+// requests, except a push onto a full queue, which also scans the workspaces of one class. It
+// is not safe for concurrent use.
 type Queue struct {
-	// Capacity is the most requests that wait.
+	// Capacity is the maximum number of waiting requests.
 	Capacity int
-	// Weights of workspaces; 1 where missing.
+	// Weights holds the weights of workspaces; 1 if missing.
 	Weights map[string]float64
 
 	classes  [chestnutstep.ClassCount]classQueue
@@ -45,17 +43,17 @@
 	seq      uint64
 }
 
-// Rejection is why a queue took no request.
+// Rejection is the reason why a queue rejected a request.
 type Rejection struct {
-	// Reason is ReasonQueue when what waits is as urgent and as fairly shared
-	// as the request, ReasonShare when its own workspace takes the places.
+	// Reason is ReasonQueue if the waiting requests have the same or a higher claim to a place
+	// than this one, and ReasonShare if its own workspace uses the most places for its weight.
 	Reason chestnutstep.Reason
 }
 
-// Push lets a request wait. When the queue is full, a place is made by the
-// request that has the least claim to one: of the least urgent class, the last
-// one of the workspace that takes most places for its weight. It is returned
-// as out. When the request itself has the least claim, full says why.
+// Push adds a request. If the queue is full, the request with the least claim to a place is
+// evicted and returned: of the least urgent class, the last request of the workspace with the
+// most places relative to its weight. If the new request itself has the least claim, it is not
+// added and a rejection is returned.
 func (q *Queue) Push(now time.Time, w chestnutstep.Work) (evicted *chestnutstep.Work, rejection *Rejection) {
 	w = normalize(w)
 	l := &q.classes[w.Class]
@@ -76,7 +74,7 @@
 	return evicted, nil
 }
 
-// victim finds the request that has less claim to a place than one more of f.
+// victim returns the request that has less claim to a place than one more of f, or a rejection.
 func (q *Queue) victim(class chestnutstep.Class, f *flow) (*item, *Rejection) {
 	for c := len(q.classes) - 1; c > int(class); c-- {
 		if q.classes[c].count > 0 {
@@ -93,7 +91,7 @@
 	return heaviest.last(), nil
 }
 
-// Pop takes the request that starts next among the classes that may start.
+// Pop removes and returns the request that starts next among the classes that can start.
 func (q *Queue) Pop(mayStart func(c chestnutstep.Class) bool) (chestnutstep.Work, bool) {
 	c, ok := q.nextClass(mayStart)
 	if !ok {
@@ -105,7 +103,7 @@
 	return x.work, true
 }
 
-// nextClass is the class whose turn it is.
+// nextClass returns the class that is served next.
 func (q *Queue) nextClass(mayStart func(c chestnutstep.Class) bool) (chestnutstep.Class, bool) {
 	for c := range q.classes {
 		l := &q.classes[c]
@@ -121,9 +119,9 @@
 	return 0, false
 }
 
-// RecordStart counts a start of a class against the less urgent ones that wait. Pop
-// does it by itself; work that started without waiting must be counted too, or
-// it could keep the others waiting for ever.
+// RecordStart counts a start of a class against the less urgent classes that wait. Pop calls it
+// itself. Work that starts without waiting must be counted too, or it could delay the others
+// forever.
 func (q *Queue) RecordStart(class chestnutstep.Class) {
 	for c := int(class) + 1; c < len(q.classes); c++ {
 		if q.classes[c].count > 0 {
@@ -132,10 +130,10 @@
 	}
 }
 
-// MustWait says whether a new request of the class must wait its turn: something
-// as urgent waits already, or a class that has let enough pass. A class that may
-// not start now is nobody's reason to wait: otherwise a plan, for which no slot
-// is free, would have questions turned away from slots that are kept for them.
+// MustWait reports whether a new request of the class must wait: a request of the same or a
+// more urgent class is waiting, or a class that reached MaxBypassed. Classes that cannot start
+// now are ignored. Otherwise a plan for which no slot is free would block questions from the
+// slots reserved for them.
 func (q *Queue) MustWait(class chestnutstep.Class, mayStart func(c chestnutstep.Class) bool) bool {
 	for c := range q.classes {
 		l := &q.classes[c]
@@ -146,8 +144,7 @@
 	return false
 }
 
-// Remove takes a request out, for whatever reason; false means that it does
-// not wait here.
+// Remove removes a request, and reports whether it was waiting here.
 func (q *Queue) Remove(id string) bool {
 	x := q.items[id]
 	if x == nil {
@@ -157,10 +154,10 @@
 	return true
 }
 
-// Contains says whether a request waits here.
+// Contains reports whether a request waits here.
 func (q *Queue) Contains(id string) bool { return q.items[id] != nil }
 
-// Expire takes out one request whose patience or time limit has passed.
+// Expire removes and returns one request whose patience or deadline has passed.
 func (q *Queue) Expire(now time.Time) (chestnutstep.Work, bool) {
 	if q.expiries.len() == 0 || q.expiries.items[0].expiry.After(now) {
 		return chestnutstep.Work{}, false
@@ -170,7 +167,8 @@
 	return x.work, true
 }
 
-// Shed takes out one request of the class, the last in order first.
+// Shed removes and returns one request of the class, starting with the last in order of the
+// heaviest workspace.
 func (q *Queue) Shed(class chestnutstep.Class) (chestnutstep.Work, bool) {
 	l := &q.classes[class]
 	if l.count == 0 {
@@ -181,12 +179,11 @@
 	return x.work, true
 }
 
-// Len is how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.items) }
 
-// CostAhead estimates the cost that is served before the request would be: all
-// that is more urgent, and of its own class what its workspace's share lets
-// pass.
+// CostAhead estimates the cost that is served before a request: all more urgent work, and of
+// its own class the part that precedes it under its workspace's share.
 func (q *Queue) CostAhead(w chestnutstep.Work) float64 {
 	w = normalize(w)
 	var ahead float64
@@ -229,8 +226,8 @@
 	return 1
 }
 
-// normalize makes an offer from outside safe to count: a class beyond the last one
-// is the last one, and each request costs at least one token.
+// normalize makes untrusted values of a request safe to use: a class beyond the last one
+// becomes the last one, and the cost is limited to 1 to maxCost tokens.
 func normalize(w chestnutstep.Work) chestnutstep.Work {
 	w.Class = min(w.Class, chestnutstep.ClassCount-1)
 	if !(w.Cost >= 1) {
@@ -240,7 +237,7 @@
 	return w
 }
 
-// maxCost is a cost beyond any answer's: it keeps the sums and the order finite.
+// maxCost is above the cost of any answer; it keeps sums and order finite.
 const maxCost = 1e8
 
 func earlier(a, b time.Time) time.Time {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -23,13 +23,13 @@
 
 func anyClass(chestnutstep.Class) bool { return true }
 
-// workQueue is what the scripts push: a queue, or first come first served.
+// workQueue is the queue under test: Queue or the naive fifo.
 type workQueue interface {
 	Push(now time.Time, w chestnutstep.Work) (*chestnutstep.Work, *Rejection)
 	Pop(may func(chestnutstep.Class) bool) (chestnutstep.Work, bool)
 }
 
-// fifo is the naive queue: first come, first served, bounded.
+// fifo is a naive bounded queue: first come, first served.
 type fifo struct {
 	bound int
 	works []chestnutstep.Work
@@ -52,8 +52,8 @@
 	return w, true
 }
 
-// TestScripts plays the scripts in testdata: pushes of several workspaces, and
-// the order in which a queue, or the naive one, serves them.
+// TestScripts runs the scripts in testdata: pushes of several workspaces, and the order in
+// which a Queue or a fifo serves them.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var q workQueue
@@ -83,7 +83,7 @@
 	return &Queue{Capacity: bound, Weights: map[string]float64{"big": heavy}}
 }
 
-// push reads lines of "workspace class cost times".
+// push parses lines of "workspace class cost times" and pushes the requests.
 func push(t *testing.T, q workQueue, d *datadriven.TestData, now time.Time) string {
 	var out strings.Builder
 	for _, line := range strings.Split(d.Input, "\n") {
@@ -111,7 +111,7 @@
 	return out.String()
 }
 
-// pop serves n and prints runs of the same workspace, class and cost.
+// pop pops n requests and prints runs of the same workspace, class and cost.
 func pop(t *testing.T, q workQueue, d *datadriven.TestData) string {
 	var n int
 	d.ScanArgs(t, "n", &n)
@@ -137,8 +137,8 @@
 	return strings.Join(runs, "\n") + "\n"
 }
 
-// The books of a queue agree with a plain list after every step, however work
-// is pushed, popped, cancelled, expired and pushed out.
+// TestQueueAgreesWithPlainList guards against internal counts that diverge from the waiting
+// requests after any sequence of pushes, pops, cancellations, expirations and evictions.
 func TestQueueAgreesWithPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Queue{Capacity: 12, Weights: map[string]float64{"a": 2, "b": 0.5}}
@@ -192,9 +192,9 @@
 	})
 }
 
-// Weights are what operators sell. If a workspace fell behind its share while
-// it had work waiting, its owners would wait longer than those of another that
-// pays the same.
+// TestBackloggedWorkspacesShareByWeight guards against a workspace with waiting work that falls
+// behind its weighted share: its callers would wait longer than those of another workspace with
+// the same weight.
 func TestBackloggedWorkspacesShareByWeight(t *testing.T) {
 	weights := map[string]float64{"a": 1, "b": 2, "c": 5}
 	const longest = 5000
