--- a/gate/alone.go
+++ b/gate/alone.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// maxDrainTime is how long a suspect may keep others from starting while it
-	// waits for the target to empty. Answers in progress take seconds to tens of
-	// seconds; a target that isn't empty by then is given back to its callers.
+	// maxDrainTime is how long a waiting suspect can prevent other starts until the target is
+	// empty. Answers in progress take seconds to tens of seconds; after this time the target is
+	// released again.
 	maxDrainTime = 20 * time.Second
-	// pauseFactor is how many times as long as one suspect held the target the next
-	// must stay away. With 9, suspects have at most a tenth of the target:
-	// otherwise a caller that keeps sending content that crashes targets would
-	// take them out of service without crashing any.
+	// pauseFactor is the pause before the next suspect, as a multiple of the time that the last
+	// one held the target. With 9, suspects use at most a tenth of the target. Otherwise a
+	// caller that repeatedly sends suspected content would make targets unavailable without
+	// crashing any.
 	pauseFactor = 9
 )
 
-// suspectSlot is how crash suspects get their turn. A suspect was running when a
-// target crashed. Run beside others, a guilty one takes them down with it, and
-// which of them was guilty stays unknown; run by itself, its answer clears it,
-// or one crash condemns it.
+// suspectSlot schedules crash suspects. A suspect is a request that was running when a target
+// crashed. Run concurrently with others, a harmful one would crash their target too, and it
+// would stay unclear which request was the cause. Run exclusively, an answer clears it and one
+// crash condemns it.
 type suspectSlot struct {
-	// waiting is the suspect that waits for the target to empty; others start
-	// nothing meanwhile.
+	// waiting is the suspect that waits for the target to empty; no other work starts
+	// meanwhile.
 	waiting *chestnutstep.Work
-	// runningID is the id of the suspect that runs.
+	// runningID is the ID of the running suspect.
 	runningID string
-	// heldSince is when the suspect began to hold the target.
+	// heldSince is the time since when the suspect has held the target.
 	heldSince time.Time
-	// nextAt is when another suspect may come.
+	// nextAt is the time from which another suspect is accepted.
 	nextAt time.Time
 }
 
-// isTaken says that nothing else may start.
+// isTaken reports whether no other work can start.
 func (t *suspectSlot) isTaken() bool { return t.waiting != nil || t.runningID != "" }
 
 func (t *suspectSlot) isWaiting(id string) bool { return t.waiting != nil && t.waiting.ID == id }
 
-// availableIn is how long until another suspect may come.
+// availableIn returns the time until another suspect is accepted.
 func (t *suspectSlot) availableIn(now time.Time) time.Duration {
 	if t.isTaken() {
 		return maxDrainTime
@@ -54,7 +54,7 @@
 	t.waiting, t.runningID = nil, id
 }
 
-// end frees the target when it was the suspect that ended.
+// end releases the target if the ended request was the running suspect.
 func (t *suspectSlot) end(now time.Time, id string) {
 	if t.runningID != id || id == "" {
 		return
@@ -63,7 +63,7 @@
 	t.nextAt = now.Add(pauseFactor * now.Sub(t.heldSince))
 }
 
-// remove gives up a suspect that waits.
+// remove removes a waiting suspect, and reports whether it was waiting.
 func (t *suspectSlot) remove(now time.Time, id string) bool {
 	if !t.isWaiting(id) {
 		return false
@@ -73,8 +73,8 @@
 	return true
 }
 
-// expire gives up a suspect whose time is over, or for which the target would
-// not empty.
+// expire removes a waiting suspect whose deadline has passed, or for which the target did not
+// empty in time.
 func (t *suspectSlot) expire(now time.Time) (*chestnutstep.Work, chestnutstep.Reason) {
 	w := t.waiting
 	if w == nil {
@@ -91,9 +91,9 @@
 	return w, chestnutstep.ReasonSuspect
 }
 
-// offerSuspect decides on a suspect. It waits for the target to empty whatever
-// its patience: there is hardly a target without work, so refused here it would
-// be refused everywhere.
+// offerSuspect decides on a suspect. A suspect waits for the target to empty regardless of its
+// patience: almost all targets have work in progress, so a suspect rejected for that reason
+// would be rejected everywhere.
 func (g *Gate) offerSuspect(now time.Time, w chestnutstep.Work) chestnutstep.Decision {
 	if g.suspect.isTaken() || now.Before(g.suspect.nextAt) {
 		return g.refuse(now, w, chestnutstep.ReasonSuspect)
@@ -107,7 +107,7 @@
 	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: min(maxDrainTime, g.pace.Mean())}
 }
 
-// startSuspect starts the suspect once the target is empty.
+// startSuspect starts the waiting suspect once the target is empty, and returns its ID.
 func (g *Gate) startSuspect(now time.Time) string {
 	w := g.suspect.waiting
 	if w == nil || len(g.running) > 0 {
--- a/gate/back.go
+++ b/gate/back.go
@@ -6,8 +6,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// predictWait estimates the wait of new work: for the next slot to fall free, and
-// for what the queue serves before it.
+// predictWait estimates how long new work waits: for the next free slot, and for the queued
+// work that is served before it.
 func (g *Gate) predictWait(w chestnutstep.Work) time.Duration {
 	n := max(1, len(g.running))
 	slotWait := g.pace.Mean() / time.Duration(n)
@@ -15,18 +15,18 @@
 }
 
 const (
-	// minRetryAfter is the least time after which a refused caller comes back: below
-	// it, repeats of refused work would cost more than the work.
+	// minRetryAfter is the shortest retry delay of rejected work: with a shorter one, the
+	// retries would cost more than the work.
 	minRetryAfter = 250 * time.Millisecond
-	// maxRetryAfter is the most: a longer pause than this outlasts most surges.
+	// maxRetryAfter is the longest retry delay; most surges are over by then.
 	maxRetryAfter = 30 * time.Second
-	// leavingRetryAfter is when to come back to a target that is out or leaving. It isn't
-	// the target that will serve the caller; by then entries know better ones.
+	// leavingRetryAfter is the retry delay at a target that is out or leaving. Another target
+	// will serve the caller; by then entries have a newer list of targets.
 	leavingRetryAfter = time.Second
 )
 
-// retryAfter is when a refused caller may find room: when all that waits now has
-// started, judged by what work has taken here.
+// retryAfter estimates when a rejected request can be accepted: when all waiting work has
+// started, according to the recent durations at this target.
 func (g *Gate) retryAfter(now time.Time, reason chestnutstep.Reason) time.Duration {
 	switch reason {
 	case chestnutstep.ReasonOut, chestnutstep.ReasonLeaving:
--- a/gate/example_test.go
+++ b/gate/example_test.go
@@ -8,8 +8,9 @@
 	"chestnutstep.example/chestnutstep/gate"
 )
 
-// A target with one slot runs one request. A second goes on to its next target,
-// unless its prompt prefix is here: then it waits as long as its patience.
+// A target with one slot runs one request. A second request is rejected, so that it can go to
+// its next target, unless its prompt prefix is cached here: then it waits for up to its
+// patience.
 func ExampleGate() {
 	now := time.Unix(0, 0)
 	g := &gate.Gate{}
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,9 +1,8 @@
-// Package gate decides for one target what runs, what waits and what is turned
-// away. It composes the caps (admit), the way out and back (ramp), the order of
-// what waits (queue) and the turns of crash suspects. It stands in the agent,
-// through which all work of the target passes, so it counts what is true and
-// not what entries believe: whatever they offer, what runs never exceeds the
-// cap that was in force when it was accepted.
+// Package gate decides for one target which requests run, wait or are rejected. It combines the
+// caps (admit), draining and return (ramp), the waiting queue (queue) and the exclusive runs of
+// crash suspects. It runs in the agent, through which all requests of the target pass, so its
+// counts are exact. Whatever entries offer, the number of running requests never exceeds the
+// cap that was in force when each was accepted.
 package gate
 
 import (
@@ -15,9 +14,9 @@
 	"chestnutstep.example/chestnutstep/ramp"
 )
 
-// Gate is a chestnutstep.Gate. The zero value turns everything away until the
-// first Limit, and is cold then. It is not safe for use by several goroutines:
-// its owner holds one lock around all calls.
+// Gate implements chestnutstep.Gate. The zero value rejects everything until the first
+// SetLimits, and is cold then. It is not safe for concurrent use: the owner must hold one lock
+// around all calls.
 type Gate struct {
 	limits    chestnutstep.Limits
 	hasLimits bool
@@ -31,7 +30,7 @@
 	suspect suspectSlot
 
 	running map[string]*runningWork
-	// lastOffered is when a class was last offered.
+	// lastOffered is the time of the last offer of each class.
 	lastOffered [chestnutstep.ClassCount]time.Time
 	dropped     []chestnutstep.DroppedRequest
 }
@@ -45,8 +44,8 @@
 
 var _ chestnutstep.Gate = (*Gate)(nil)
 
-// SetLimits puts the limits of a publication in force. Lower caps cut nothing that
-// runs: nothing new starts until what runs has come under them.
+// SetLimits applies the limits of a publication. Lower caps do not stop running requests: no
+// new one starts until their number is below the cap.
 func (g *Gate) SetLimits(now time.Time, l chestnutstep.Limits) {
 	g.limits, g.hasLimits = l, true
 	g.cap.Multiple = l.Model.Multiple
@@ -62,20 +61,20 @@
 	g.updateRamp(now)
 }
 
-// SetMean takes a new estimate of the mean load.
+// SetMean applies a new estimate of the mean load.
 func (g *Gate) SetMean(now time.Time, m chestnutstep.Mean) { g.cap.Measure(now, m) }
 
-// MarkCold says that the target is cold. What runs is left to end as it may;
-// nothing starts until it is under the cold cap.
+// MarkCold marks the target cold. Running requests continue; no new one starts until their
+// number is below the cold cap.
 func (g *Gate) MarkCold(time.Time) { g.cold.Reset() }
 
-// SetLeaving says whether the target takes no new work from now on.
+// SetLeaving sets whether the target rejects new work from now on.
 func (g *Gate) SetLeaving(now time.Time, leaving bool) {
 	g.leaving = leaving
 	g.updateRamp(now)
 }
 
-// updateRamp starts the way out or back when leaving or the publication changed it.
+// updateRamp starts or ends draining according to the leaving state and the publication.
 func (g *Gate) updateRamp(now time.Time) {
 	if g.leaving || g.limits.Out {
 		g.ramp.Leave(now)
@@ -84,7 +83,7 @@
 	g.ramp.Return()
 }
 
-// End says that running or waiting work is over.
+// End records the end of a running or waiting request.
 func (g *Gate) End(now time.Time, id string, o chestnutstep.Outcome) {
 	if g.suspect.remove(now, id) || g.queue.Remove(id) {
 		return
@@ -102,11 +101,11 @@
 	case chestnutstep.OutcomeFailed:
 		g.cold.RecordFailure(r.era)
 	case chestnutstep.OutcomeAbandoned:
-		// A caller that gave up proves nothing about the target.
+		// A canceled request is no evidence about the target.
 	}
 }
 
-// Load reports the target's state.
+// Load returns the load of the target.
 func (g *Gate) Load(now time.Time) chestnutstep.Load {
 	limit, _ := g.limit(now)
 	coldCap, cold := g.cold.Cap()
@@ -131,8 +130,8 @@
 	return g.queue.Len()
 }
 
-// limit is the cap in force, and the reason to give when it is reached. It holds
-// for what still starts while the target leaves, too.
+// limit returns the cap in force, and the reason to give if it is reached. It also applies to
+// waiting work that still starts while the target leaves.
 func (g *Gate) limit(now time.Time) (int, chestnutstep.Reason) {
 	limit, reason := g.cap.At(now), chestnutstep.ReasonFull
 	if coldCap, _ := g.cold.Cap(); coldCap < limit {
@@ -142,21 +141,20 @@
 }
 
 const (
-	// inUseWindow is how long a class counts as in use after its last offer. A
-	// minute spans the pause between two questions of a few busy callers.
+	// inUseWindow is how long a class counts as in use after its last offer. A minute covers
+	// the pause between two questions of a few active callers.
 	inUseWindow = time.Minute
-	// normalReserveDivisor and batchSpare are the parts of the cap, as one over, that
-	// normal and batch work leave to more urgent work that is in use. Without
-	// them, long plans take every slot in a quiet second, and each quick
-	// question waits for a plan of minutes to end. An eighth is one slot of
-	// eight, enough for questions that take a second or two; batch leaves
-	// twice that. Caps below eight, or four, leave none: a whole slot would be
-	// more than that part.
+	// normalReserveDivisor and batchReserveDivisor set the slots that normal and batch work
+	// leave to more urgent classes in use, as the cap divided by them. Without this reserve,
+	// long plans take all slots in an idle second, and each short question waits minutes for a
+	// plan to end. An eighth is one slot of eight, enough for questions that take a second or
+	// two; batch leaves twice that. Caps below eight, or four for batch, reserve nothing, as
+	// one slot would exceed that part.
 	normalReserveDivisor = 8
 	batchReserveDivisor  = 4
 )
 
-// canStart says whether one more request of the class may run.
+// canStart reports whether one more request of the class can start.
 func (g *Gate) canStart(now time.Time, class chestnutstep.Class) bool {
 	limit, _ := g.limit(now)
 	if len(g.running) >= limit || g.suspect.isTaken() {
@@ -166,12 +164,12 @@
 	return reserved == 0 || len(g.running) < limit-reserved
 }
 
-// canStartFunc is room as the queue asks for it.
+// canStartFunc returns canStart as the callback that the queue needs.
 func (g *Gate) canStartFunc(now time.Time) func(c chestnutstep.Class) bool {
 	return func(c chestnutstep.Class) bool { return g.canStart(now, c) }
 }
 
-// reservedSlots is how many slots the class must leave free.
+// reservedSlots returns the number of slots that the class must leave free.
 func (g *Gate) reservedSlots(now time.Time, class chestnutstep.Class, limit int) int {
 	urgent := g.inUse(now, chestnutstep.ClassUrgent)
 	switch {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -21,7 +21,7 @@
 
 var epoch = time.Unix(0, 0)
 
-// scanArg reads an argument of a script's command, if it is there.
+// scanArg returns an argument of a script command, or v if it is missing.
 func scanArg[T any](t *testing.T, d *datadriven.TestData, key string, v T) T {
 	d.MaybeScanArgs(t, key, &v)
 	return v
@@ -31,7 +31,7 @@
 	return time.Duration(scanArg(t, d, key, unset) * float64(time.Second))
 }
 
-// TestScripts plays the scripts in testdata. Each command may say at=SECONDS.
+// TestScripts runs the scripts in testdata. Each command accepts at=SECONDS.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var g *Gate
@@ -96,7 +96,7 @@
 	return outcomes[scanArg(t, d, "as", "served")]
 }
 
-// scriptOffers offers the ids of the input, with the command's arguments.
+// scriptOffers offers the IDs of the input, with the arguments of the command.
 func scriptOffers(t *testing.T, g *Gate, now time.Time, d *datadriven.TestData) string {
 	var out strings.Builder
 	for _, id := range strings.Fields(d.Input) {
@@ -115,8 +115,8 @@
 	return out.String()
 }
 
-// scriptServe offers and ends the same request many times over, and prints the
-// answers that differ from the one before.
+// scriptServe offers and ends the same request many times, and prints the decisions that differ
+// from the previous one.
 func scriptServe(t *testing.T, g *Gate, now time.Time, d *datadriven.TestData) string {
 	out, last := "", ""
 	for i := range scanArg(t, d, "times", 1) {
@@ -148,7 +148,7 @@
 	return out
 }
 
-// model is what an observer of a gate knows by its answers alone.
+// model tracks the running and waiting requests of a gate from its answers.
 type model struct {
 	t       *rapid.T
 	g       *Gate
@@ -249,11 +249,10 @@
 	assert.Equal(t, l.Waiting, len(m.waiting)+len(m.g.dropped))
 }
 
-// Entries believe what they like and offer at any moment: one that woke up late
-// offers to a target that is cold, or leaving, or full. If the target took it,
-// callers would see a cold target fall over again and again. So whatever comes,
-// what runs stays within the cap of the moment, and all that waits is either
-// started or turned away.
+// TestRunningNeverExceedsCap guards against accepting offers of entries with outdated state at
+// a target that is cold, leaving or full, which would crash a cold target repeatedly. After any
+// sequence of calls, running requests stay within the current cap, and every waiting request is
+// either started or rejected.
 func TestRunningNeverExceedsCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, g: &Gate{}, now: epoch, running: map[string]chestnutstep.Work{}, waiting: map[string]chestnutstep.Work{}}
@@ -280,9 +279,9 @@
 	})
 }
 
-// A target is full and turns hundreds away in one second. Told the same pause,
-// they all come back in one second, are turned away together, and their users
-// see a service that is down while it serves at full capacity.
+// TestRefusedCallersDoNotReturnAsOneWave guards against rejecting hundreds of requests in one
+// second with the same retry delay: their callers would return together and be rejected again
+// while the target serves at full capacity.
 func TestRefusedCallersDoNotReturnAsOneWave(t *testing.T) {
 	g := &Gate{}
 	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 1, ColdCap: 1}})
@@ -303,9 +302,9 @@
 	}
 }
 
-// A caller sends content that crashes targets again and again. Each copy waits
-// for the target to empty and runs by itself; if the next could follow at once,
-// all others would find the target closed although it never crashes.
+// TestSuspectsTakeATenthAtMost guards against a caller that repeatedly sends content under
+// suspicion of crashing targets. Each copy waits for the target to empty and runs exclusively;
+// if the next could follow at once, the target would be closed for all others.
 func TestSuspectsTakeATenthAtMost(t *testing.T) {
 	g := &Gate{}
 	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 4, ColdCap: 4}})
@@ -334,7 +333,7 @@
 	assert.Assert(t, closed > 0 && closed < seconds/9, "closed for %d of %d seconds", closed, seconds)
 }
 
-// BenchmarkMemory prints the bytes of a gate with work in every slot and place.
+// BenchmarkMemory reports the memory of a gate with work in every slot and place.
 func BenchmarkMemory(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
@@ -351,7 +350,7 @@
 	}
 }
 
-// busyGate has work of twenty workspaces in its 64 slots and in its queue.
+// busyGate returns a gate with 64 slots and running plus waiting requests of twenty workspaces.
 func busyGate(running, waiting int) *Gate {
 	g := &Gate{}
 	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 64, ColdCap: 64, QueueLimit: 2 * waiting}})
--- a/gate/next.go
+++ b/gate/next.go
@@ -6,8 +6,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// AdvanceQueue returns what became of waiting work. First goes what may wait no
-// longer, so that nothing starts whose caller has given up.
+// AdvanceQueue updates the waiting work and returns the started and dropped requests. Expired
+// work is dropped first, so that nothing starts whose caller has given up.
 func (g *Gate) AdvanceQueue(now time.Time) chestnutstep.QueueUpdate {
 	g.expire(now)
 	g.shed(now)
@@ -36,7 +36,7 @@
 	return g.fullReason(now)
 }
 
-// shed turns waiting work of a leaving target away, the least urgent first.
+// shed rejects the waiting work of a leaving target, the least urgent classes first.
 func (g *Gate) shed(now time.Time) {
 	for c := range chestnutstep.Class(chestnutstep.ClassCount) {
 		if g.ramp.ShouldShed(now, c) {
@@ -88,12 +88,11 @@
 	}
 }
 
-// willMissDeadline says that waiting work has less than half the time left that its
-// like has taken here. Started, it would hold a slot until its time limit for
-// an answer that nobody gets, and under saturation that is what makes goodput
-// fall as load grows. Half, because the estimate is a mean over unlike work:
-// what has a fair chance is started. Work that found a free slot is never
-// judged so, and what it takes corrects an estimate that was too high.
+// willMissDeadline reports whether waiting work has less than half of the estimated duration
+// left. Started, it would hold a slot until its deadline for an answer that is not used; under
+// saturation this makes goodput fall as load grows. Half is used because the estimate is a mean
+// over different work, so that work with a fair chance is started. Work that finds a free slot
+// is not checked, and its duration corrects an estimate that was too high.
 func (g *Gate) willMissDeadline(now time.Time, w chestnutstep.Work) bool {
 	return now.Add(g.pace.Estimate(w.Cost) / 2).After(w.Deadline)
 }
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -9,10 +9,10 @@
 
 // Offer decides on new work. Accepted work counts as running at once.
 //
-// Work waits only where waiting may pay: at the target that holds its prompt
-// prefix, for as long as its patience, or anywhere once its caller is willing
-// to wait for its whole time limit, as it is when all targets are full. Other
-// work is better off at its next target at once.
+// Work waits only where waiting can help: at the target that has its prompt prefix cached, for
+// up to its patience, or at any target if the caller accepts waiting for its whole deadline,
+// which it does when all targets are full. Other work is rejected at once, as its next target
+// can serve it earlier.
 func (g *Gate) Offer(now time.Time, w chestnutstep.Work) chestnutstep.Decision {
 	w.Class = min(w.Class, chestnutstep.ClassCount-1)
 	if d, found := g.findOffered(w); found {
@@ -33,7 +33,8 @@
 	return g.enqueue(now, w)
 }
 
-// findOffered finds work that was offered before: a repeat changes nothing.
+// findOffered returns the decision on work that was offered before; a repeated offer changes
+// nothing.
 func (g *Gate) findOffered(w chestnutstep.Work) (chestnutstep.Decision, bool) {
 	if g.running[w.ID] != nil {
 		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}, true
@@ -44,7 +45,8 @@
 	return chestnutstep.Decision{}, false
 }
 
-// closedReason is why the target takes no work at all, or none of this work.
+// closedReason returns the reason why the target rejects all work or this work; empty if it
+// does not.
 func (g *Gate) closedReason(now time.Time, w chestnutstep.Work) chestnutstep.Reason {
 	switch {
 	case !g.hasLimits, g.limits.Out:
@@ -57,9 +59,9 @@
 	return ""
 }
 
-// enqueue lets work wait, or refuses it at once when waiting can't help: the
-// caller learns in milliseconds what it would otherwise learn after its time
-// limit, and can still be served elsewhere.
+// enqueue queues work, or rejects it at once if waiting cannot help. The caller then gets the
+// rejection within milliseconds instead of after its deadline, and can still be served
+// elsewhere.
 func (g *Gate) enqueue(now time.Time, w chestnutstep.Work) chestnutstep.Decision {
 	if !canWait(now, w) {
 		return g.refuse(now, w, g.fullReason(now))
@@ -81,7 +83,7 @@
 	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: predicted}
 }
 
-// evictionReason is why waiting work lost its place to other work.
+// evictionReason returns the reason why waiting work was evicted by other work.
 func evictionReason(evicted, by chestnutstep.Work) chestnutstep.Reason {
 	if evicted.Class > by.Class {
 		return chestnutstep.ReasonQueue
@@ -96,7 +98,7 @@
 	return w.HasCachedPrefix || !w.WaitUntil.Before(w.Deadline)
 }
 
-// fullReason is the reason of work that found no room.
+// fullReason returns the reason for work that found no free slot.
 func (g *Gate) fullReason(now time.Time) chestnutstep.Reason {
 	if g.suspect.isTaken() {
 		return chestnutstep.ReasonSuspect
