--- a/mean/mean.go
+++ b/mean/mean.go
@@ -1,12 +1,11 @@
-// Package mean estimates the mean load of a model's targets from the samples
-// that agents pass on to each other.
+// Package mean estimates the mean load of a model's targets from the samples that agents
+// exchange.
 //
-// The cap of every target is a multiple of this mean, so an error in it becomes
-// unevenness of the same size.
-// Knowing all 2,700 targets would cost each agent more than a hundred kilobytes
-// a second. Instead each agent swaps a few samples a second with one other,
-// its own first, and relays some that it heard of: a sample then travels on
-// without its target's doing, and each agent holds the youngest that reached it.
+// The cap of every target is a multiple of this mean, so an error of the mean is an error of
+// the cap of the same size. Samples of all 2,700 targets would cost each agent more than 100 kB
+// per second. Instead, each agent exchanges a few samples per second with one other agent, its
+// own first, and relays some that it received. Samples thus spread without further work of
+// their targets, and each agent keeps the youngest that reached it.
 package mean
 
 import (
@@ -18,30 +17,31 @@
 )
 
 const (
-	// MaxSamples is how many samples are held, the youngest. The error of a mean has
-	// two parts: too few samples, and samples of before a surge; more samples
-	// are older ones. In a fleet whose load rises and falls by a third within a
-	// minute, 48 and 64 erred least of what was tried, 128 a third more. Fewer
-	// targets than that are all held, and their mean is the mean of all.
+	// MaxSamples is the maximum number of samples that are kept, the youngest first. The error
+	// of the mean has two parts: too few samples, and samples from before a surge; more samples
+	// are older ones. In a fleet whose load rises and falls by a third within a minute, 48 and
+	// 64 had the smallest error, and 128 a third more. With fewer targets all samples are kept,
+	// and the mean is exact.
 	MaxSamples = 64
-	// MaxAge is how old a sample may be and still count: with few targets nothing
-	// younger pushes it out, and one whose agent is gone must not stay.
+	// MaxAge is the maximum age of a sample that counts. With few targets no younger sample
+	// displaces it, and that of a stopped agent must expire.
 	MaxAge = 10 * time.Second
-	// MaxRelayAge is how old a sample may be and still be passed on, so that it
-	// reaches its receiver with time left to be of use.
+	// MaxRelayAge is the maximum age of a sample that is passed on, so that the receiver can
+	// still use it for some time.
 	MaxRelayAge = 5 * time.Second
 )
 
-// Sampler is a chestnutstep.Sampler for one target. Set the fields before use.
-// It is not safe for use by several goroutines.
+// Sampler implements chestnutstep.Sampler for one target. Set the exported fields before use.
+// It is not safe for concurrent use.
 type Sampler struct {
-	// Model of the target; samples of other models are ignored. Own sets it too.
+	// Model is the model of the target; samples of other models are ignored. SetLocal changes
+	// it.
 	Model string
-	// Target is this agent's own.
+	// Target is the name of this agent's own target.
 	Target string
 
 	own chestnutstep.Sample
-	// samples of other targets, the youngest first.
+	// samples holds the samples of other targets, the youngest first.
 	samples []chestnutstep.Sample
 }
 
@@ -56,8 +56,8 @@
 	s.own = own
 }
 
-// Merge takes samples from a peer: of each target the youngest. A sample that
-// claims to come from the future is taken as of now, or it would never age.
+// Merge adds samples from a peer and keeps the youngest of each target. A sample with a time in
+// the future gets the current time; otherwise it would never expire.
 func (s *Sampler) Merge(now time.Time, samples []chestnutstep.Sample) {
 	for _, x := range samples {
 		if x.Model != s.Model || x.Target == s.Target || !(x.Load >= 0) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// trim puts the youngest first and forgets what is too old or too many.
+// trim sorts the samples by age and removes those that are too old or too many.
 func (s *Sampler) trim(now time.Time) {
 	slices.SortFunc(s.samples, func(a, b chestnutstep.Sample) int {
 		return cmp.Or(b.SeenAt.Compare(a.SeenAt), cmp.Compare(a.Target, b.Target))
@@ -97,9 +97,8 @@
 	s.samples = s.samples[:n]
 }
 
-// Samples returns at most n samples worth passing on: this target's first, then the
-// youngest. A choice among all would fill every place in the fleet with samples
-// of before a surge.
+// Samples returns at most n samples to pass on: this target's first, then the youngest. A
+// random choice would fill the fleet with samples from before a surge.
 func (s *Sampler) Samples(now time.Time, n int) []chestnutstep.Sample {
 	s.trim(now)
 	list := make([]chestnutstep.Sample, 0, max(n, 0))
@@ -115,16 +114,15 @@
 	return list
 }
 
-// isOwnFresh says whether this target's own sample is young enough to count. Its
-// agent sets none while the target takes no work: a failure domain that is out
-// would count as idle, lower the mean, and with it the caps of those that carry
-// its load.
+// isOwnFresh reports whether this target's own sample is recent enough to count. The agent sets
+// none while the target takes no work: a failure domain that is out would count as idle and
+// lower the mean, and with it the caps of the targets that carry its load.
 func (s *Sampler) isOwnFresh(now time.Time, maxAge time.Duration) bool {
 	return !s.own.SeenAt.IsZero() && now.Sub(s.own.SeenAt) <= maxAge
 }
 
-// Mean estimates the mean over all targets of the model, this one included,
-// each counted once. With Most targets or fewer it is the mean over all.
+// Mean estimates the mean load over all targets of the model, this one included, each counted
+// once. With at most MaxSamples other targets it is the mean over all.
 func (s *Sampler) Mean(now time.Time) chestnutstep.Mean {
 	s.trim(now)
 	m := chestnutstep.Mean{Targets: len(s.samples)}
--- a/mean/mean_test.go
+++ b/mean/mean_test.go
@@ -14,26 +14,26 @@
 
 var epoch = time.Unix(0, 0)
 
-// estimator is one way to know the mean: what each agent does in an exchange
-// once a second with a random peer, and what it then believes.
+// estimator is a method to estimate the mean: the exchange that each agent has once a second
+// with a random peer, and the resulting estimate.
 type estimator interface {
 	round(now time.Time, loads []float64, r *rand.Rand)
 	mean(now time.Time, i int) float64
-	// bytes that each agent sends a second.
+	// bytes returns the number of bytes that each agent sends per second.
 	bytes() float64
 }
 
-// sampleBytes is the size of a sample on the wire: a name, a model, a load, an age.
+// sampleBytes is the size of a sample on the wire: name, model, load and age.
 const sampleBytes = 40
 
-// relays is the real code, n samples an exchange.
+// relays uses Sampler, with n samples per exchange.
 type relays struct {
 	agents []Sampler
 	n      int
 	sent   int
 	rounds int
-	// neighbors are the neighbours that each agent exchanges with in turn, as
-	// package gossip does; without them each peer is drawn anew.
+	// neighbors holds the neighbors that each agent exchanges with in turn, as in package
+	// gossip. Without them, each peer is drawn at random.
 	neighbors [][]int
 }
 
@@ -48,7 +48,7 @@
 func (x *relays) round(now time.Time, loads []float64, r *rand.Rand) {
 	x.rounds++
 	for i := range x.agents {
-		// Agents keep no common beat.
+		// Agents are not synchronized with each other.
 		at := now.Add(time.Duration(i) * time.Second / time.Duration(len(x.agents)))
 		a, b := &x.agents[i], &x.agents[x.peer(i, r)]
 		a.SetLocal(at, chestnutstep.Sample{Load: loads[i]})
@@ -70,7 +70,7 @@
 	return neighbors[x.rounds%len(neighbors)]
 }
 
-// newNeighborRelays is newRelays with six neighbours for each agent.
+// newNeighborRelays is newRelays with six neighbors for each agent.
 func newNeighborRelays(agents, n int) *relays {
 	x := newRelays(agents, n)
 	r := rand.New(rand.NewPCG(7, 8))
@@ -88,11 +88,11 @@
 	return float64(x.sent) * sampleBytes / float64(x.rounds) / float64(len(x.agents))
 }
 
-// pollKeep is how long polls count: of 3, 4, 5 and 10 s, these err about least.
+// pollKeep is how long polls count: of 3, 4, 5 and 10 s, 4 s has about the smallest error.
 const pollKeep = 4 * time.Second
 
-// polls asks k random peers a second for their own load and averages what came
-// within pollKeep.
+// polls asks k random peers per second for their own load and averages the answers of the last
+// pollKeep.
 type polls struct {
 	k       int
 	samples [][]chestnutstep.Sample
@@ -120,11 +120,11 @@
 	return sum / float64(len(x.samples[i]))
 }
 
-// A poll is a question and an answer of half a sample each.
+// bytes counts a poll as a request and an answer of half a sample each.
 func (x *polls) bytes() float64 { return float64(x.k) * sampleBytes }
 
-// pushSum averages by halves: each agent sends half of its sum and weight on.
-// Its estimate is fed with the change of the own load.
+// pushSum averages with the push-sum protocol: each agent sends half of its sum and weight to a
+// peer. Changes of its own load are added to its sum.
 type pushSum struct {
 	sum, weight, last []float64
 }
@@ -154,8 +154,8 @@
 
 func (x *pushSum) bytes() float64 { return 16 }
 
-// loadPattern plays loads that differ by target (a third of their mean, one standard
-// deviation) and rise and fall together by a share, the swing, in a minute.
+// loadPattern generates loads that differ by target (standard deviation: a third of the mean)
+// and rise and fall together by the ratio swing within a minute.
 type loadPattern struct {
 	rand  *rand.Rand
 	bias  []float64
@@ -180,8 +180,8 @@
 	return loads
 }
 
-// measureError returns the relative error of the estimates, as the root of the mean
-// square over agents and seconds, and the worst second's bias.
+// measureError returns the root mean square of the relative error over agents and seconds, and
+// the largest bias in one second.
 func measureError(x estimator, targets, seconds int, swing float64) (rms, bias float64) {
 	f := newLoadPattern(targets, swing)
 	r := rand.New(rand.NewPCG(3, 4))
@@ -213,9 +213,9 @@
 	return sum / float64(len(loads))
 }
 
-// Each agent sees a sliver of the fleet. Were its mean a tenth off, its cap
-// would be too, and one member's brand would stand in longer queues than
-// another's for no reason it could see.
+// TestErrorOfTheMean guards against an error of the estimated mean of more than a tenth: the
+// caps would be off by the same ratio, and the requests of one caller would wait longer than
+// those of another for no reason.
 func TestErrorOfTheMean(t *testing.T) {
 	const targets, seconds, surge = 400, 50, 1.0 / 3
 	rms, _ := measureError(newRelays(targets, 16), targets, seconds, surge)
@@ -226,8 +226,8 @@
 	assert.Assert(t, poll > 1.3*rms, "the same exchanges without relay: error %.3f", poll)
 }
 
-// With the few targets of today's deployments the mean rests on every one of
-// them: what stands still is known exactly.
+// TestFewTargetsAreAllKnown guards against an estimate that misses targets of a small fleet:
+// with constant loads the mean must be exact.
 func TestFewTargetsAreAllKnown(t *testing.T) {
 	for _, n := range []int{3, 12, 18} {
 		x := newNeighborRelays(n, 16)
@@ -247,8 +247,8 @@
 	}
 }
 
-// An agent is cut off. Samples of minutes ago would have it believe in a load
-// that is long gone; it must know that it knows nothing.
+// TestOldSamplesAreForgotten guards against an isolated agent that uses samples that are
+// minutes old instead of reporting that it has none.
 func TestOldSamplesAreForgotten(t *testing.T) {
 	s := Sampler{Model: "m", Target: "self"}
 	s.SetLocal(epoch, chestnutstep.Sample{Load: 1})
@@ -266,7 +266,8 @@
 	assert.Equal(t, s.Mean(epoch.Add(7*time.Second)).Targets, 0)
 }
 
-// A peer sends thousands of names, by fault or by intent: memory stays bounded.
+// TestTableIsBounded guards against unbounded memory when a peer sends thousands of names by
+// mistake or on purpose.
 func TestTableIsBounded(t *testing.T) {
 	s := Sampler{Model: "m", Target: "self"}
 	for i := range 3 * MaxSamples {
@@ -275,9 +276,8 @@
 	assert.Equal(t, s.Mean(epoch).Targets, MaxSamples)
 }
 
-// BenchmarkMean prints the error of each way to know the mean, at a steady load
-// and in a surge, the common error of all agents in its worst second, and the
-// bytes that an agent sends.
+// BenchmarkMean reports for each estimator the error at a steady load and in a surge, the
+// largest common bias of all agents in a second, and the bytes that an agent sends.
 func BenchmarkMean(b *testing.B) {
 	const targets, seconds = 2700, 65
 	for _, c := range []struct {
@@ -310,9 +310,9 @@
 	}
 }
 
-// Operators take a failure domain out. Its agents still gossip, at no load. If
-// they counted, the mean would be too low by their share, and the targets that
-// took over their work would turn callers away below their multiple.
+// TestTargetsThatTakeNoWorkDoNotCount guards against a failure domain that is out and whose
+// agents still gossip with no load: if they counted, the mean would be too low, and the targets
+// that took over the load would reject requests below their real cap.
 func TestTargetsThatTakeNoWorkDoNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	out := &Sampler{Model: "m", Target: "out"}
