--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -1,14 +1,13 @@
-// Package ramp decides how fast load leaves a target and comes back to it.
+// Package ramp decides how fast load leaves a target and returns to it.
 //
-// The load it answers: operators take a whole failure domain out at short
-// notice and bring it back, and targets flap. Without it, all that waited at
-// the domain's targets moves in one wave to the next targets of the ranking.
+// Operators take a whole failure domain out at short notice and bring it back, and targets
+// flap. Without this package, all requests that wait at the domain's targets would move at the
+// same moment to the next targets in the ranking.
 //
-// The way back needs no clock. A target that lost its caches comes back under
-// its cold cap, which whole answers raise; one that kept them is warm; and a
-// chat with a hint stays where it was served meanwhile. A share that rose over
-// 30 s was tried on top of this, and only made callers wait: see the design
-// page.
+// The return needs no timer. A target that lost its caches returns with its cold cap, which
+// rises with complete answers; a target that kept them is warm; and a chat with a hint stays
+// where it was served meanwhile. An additional ramp of the weight over 30 s only makes callers
+// wait: see the design page.
 package ramp
 
 import (
@@ -18,35 +17,34 @@
 )
 
 const (
-	// ShedInterval is how long the waiting work of one class has, after that of the
-	// next less urgent one, before it is turned away. Three classes at 0.7 s
-	// are gone in about two seconds: a target that leaves starts nothing new
-	// after "a few seconds", and what is shed reaches the others in three
-	// parts instead of one.
+	// ShedInterval is the time between shedding the waiting work of one class and that of the
+	// next more urgent one. Three classes are shed in about two seconds with 0.7 s: a leaving
+	// target must start nothing new after a few seconds, and the shed work reaches the other
+	// targets in three parts instead of one.
 	ShedInterval = 700 * time.Millisecond
 )
 
-// Ramp is one target's way out and back. The zero value is in.
+// Ramp is the draining state of one target. The zero value is in service.
 type Ramp struct {
 	leaving      bool
 	leavingSince time.Time
 }
 
-// Leave says that the target takes no new work from now on.
+// Leave marks the target as leaving. Repeated calls do not restart the time.
 func (r *Ramp) Leave(now time.Time) {
 	if !r.leaving {
 		r.leaving, r.leavingSince = true, now
 	}
 }
 
-// Return says that the target takes work again.
+// Return marks the target as in service.
 func (r *Ramp) Return() { r.leaving = false }
 
-// Leaving says whether the target takes no new work.
+// Leaving reports whether the target takes no new work.
 func (r *Ramp) Leaving() bool { return r.leaving }
 
-// Weight is the share of full load, 0 to 1, that a target asks for: none while
-// it leaves, and as much as it has proven to carry of what it could.
+// Weight returns the part of the full load that a target requests, from 0 to 1: 0 while it
+// leaves, otherwise its proven capacity relative to its slots.
 func (r *Ramp) Weight(proven, slots int) float64 {
 	if r.leaving {
 		return 0
@@ -54,9 +52,9 @@
 	return min(1, float64(proven)/float64(max(1, slots)))
 }
 
-// ShouldShed says whether waiting work of a class must go elsewhere by now: the least
-// urgent at once, each more urgent class one Step later. Urgent work is held
-// longest since it may well start here before it would start elsewhere.
+// ShouldShed reports whether the waiting work of a class must go to other targets now: the
+// least urgent at once, each more urgent class one ShedInterval later. Urgent work is kept
+// longest, because it can often start here before it would start elsewhere.
 func (r *Ramp) ShouldShed(now time.Time, class chestnutstep.Class) bool {
 	if !r.leaving {
 		return false
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -13,8 +13,8 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-// A failure domain comes back cold. Were it to ask for its full share at once,
-// entries would send it chats that it must turn away.
+// TestWeightFollowsProof guards against a failure domain that returns cold and requests its
+// full share at once: entries would send it chats that it must reject.
 func TestWeightFollowsProof(t *testing.T) {
 	var r Ramp
 	assert.Equal(t, r.Weight(16, 16), 1.0)
@@ -24,8 +24,8 @@
 	assert.Equal(t, r.Weight(2, 16), 0.125)
 }
 
-// A target flaps: its second leaving within seconds counts from its own start,
-// or waiting work would be dropped the moment it leaves.
+// TestFlappingStartsOver guards against a flapping target that sheds its waiting work at once:
+// the second time it leaves must count from its own start.
 func TestFlappingStartsOver(t *testing.T) {
 	var r Ramp
 	r.Leave(at(0))
@@ -37,8 +37,8 @@
 	assert.Assert(t, !r.ShouldShed(at(10.1), chestnutstep.ClassUrgent))
 }
 
-// What waits at a whole failure domain is turned away in one instant, and its
-// callers meet again at the next targets of the ranking.
+// TestShedsLeastUrgentFirst guards against rejecting all work that waits at a failure domain at
+// the same moment, whose callers would arrive together at the next targets in the ranking.
 func TestShedsLeastUrgentFirst(t *testing.T) {
 	var r Ramp
 	r.Leave(at(0))
