--- a/board/board_test.go
+++ b/board/board_test.go
@@ -195,7 +195,7 @@
 	exchangeReports(entries, start.Add(100*time.Millisecond))
 	assert.Equal(t, running(entries[1], start.Add(100*time.Millisecond)), 3.0)
 	assert.Equal(t, running(entries[1], start.Add(3*time.Second)), 0.0)
-	assert.Assert(t, entries[1].EntryCount() >= 3, "budgets are still divided: those who fell silent may send")
+	assert.Assert(t, entries[1].EntryCount() >= 3, "entries that stopped reporting can still send and count in budgets")
 }
 
 func parts(ids ...uint64) []chestnutstep.PromptPart {
@@ -218,7 +218,7 @@
 	cached := func(x *board.Board) int {
 		return x.Candidates(start, v, engine, board.Criteria{Parts: requested})[0].CachedTokens
 	}
-	assert.Equal(t, cached(b), 2000, "the request's own part is nobody else's")
+	assert.Equal(t, cached(b), 2000, "the last part belongs to this request only")
 	assert.Equal(t, b.Donor(start, v, engine, requested).CachedTokens, 0)
 	run.FirstByte(start)
 	exchangeReports(entries, start)
@@ -232,7 +232,7 @@
 
 	canceled := a.Start(start, v.ByID["t1"], engine, parts(5, 6), 0, board.Caller{})
 	canceled.End(start, board.Canceled)
-	assert.Equal(t, a.Candidates(start, v, engine, board.Criteria{Parts: parts(5, 6)})[1].CachedTokens, 0, "it was never read")
+	assert.Equal(t, a.Candidates(start, v, engine, board.Criteria{Parts: parts(5, 6)})[1].CachedTokens, 0, "the target did not finish reading it")
 }
 
 // TestListedPartsAreReportedWhenRequested guards against reports that grow after all entries
--- a/board/choose_test.go
+++ b/board/choose_test.go
@@ -225,23 +225,23 @@
 	report := func() { b.MergeReport(start, &share.Report{From: addr(0), Suspected: a.Suspicions()}) }
 	report()
 	list := b.Candidates(start, v, engine, board.Criteria{})
-	assert.Equal(t, len(list), 2, "a peer's word closes no target")
+	assert.Equal(t, len(list), 2, "a suspicion of a peer must not exclude a target")
 	assert.Assert(t, list[0].Suspected && !list[1].Suspected)
 
 	choose := func(verify bool, skip string) board.Choice {
 		return b.Choose(start, v, engine, board.Criteria{VerifyHost: verify, Skip: []string{skip}}, place.Request{Key: 1})
 	}
-	assert.Assert(t, choose(false, "t1").NewConnection, "suspected: a connection has to verify the host")
+	assert.Assert(t, choose(false, "t1").NewConnection, "the suspected host must be verified by a new connection")
 	assert.Assert(t, !choose(false, "t0").NewConnection)
-	assert.Assert(t, choose(true, "t0").NewConnection, "hosts fall silent together: what may run once needs a proof")
+	assert.Assert(t, choose(true, "t0").NewConnection, "during an alert, requests with VerifyHost must verify the host")
 
 	run := b.Start(start, v.ByID["t0"], engine, nil, 0, board.Caller{})
 	run.FirstByte(start)
-	assert.Assert(t, !choose(true, "t1").NewConnection, "it has answered")
+	assert.Assert(t, !choose(true, "t1").NewConnection, "the target has answered")
 	assert.Assert(t, !b.Candidates(start, v, engine, board.Criteria{})[0].Suspected)
 	a.Start(start, v.ByID["t0"], engine, nil, 0, board.Caller{}).End(start.Add(time.Second), board.Unreachable)
 	report()
-	assert.Assert(t, !b.Candidates(start, v, engine, board.Criteria{})[0].Suspected, "it answers here")
+	assert.Assert(t, !b.Candidates(start, v, engine, board.Criteria{})[0].Suspected, "the target answers this entry")
 }
 
 // BenchmarkView measures a request after one target joined and one left.
--- a/board/domain_test.go
+++ b/board/domain_test.go
@@ -66,8 +66,8 @@
 		}
 		open = append(open, call{b.Start(now, x, engine, nil, 0, board.Caller{}), now, unanswered})
 	}
-	assert.Assert(t, late <= 8, "%d tries at targets that are known to be cut off", late)
-	assert.Assert(t, served > 10, "the domain is back, and got %d requests", served)
+	assert.Assert(t, late <= 8, "%d requests to an unreachable domain after it was detected", late)
+	assert.Assert(t, served > 10, "%d requests to the domain after it returned", served)
 }
 
 // TestTwoDeadTargetsAreNoUnreachableDomain guards against marking a large domain unreachable
@@ -194,13 +194,13 @@
 		return x.Domain == "d0" && s >= from*time.Second && s < to*time.Second
 	})
 	f.run()
-	t.Log("requests to the domain that was lost, by second:", f.sent["d0"])
+	t.Log("requests to the lost domain, by second:", f.sent["d0"])
 	late := 0
 	for s := from + 2; s < to; s++ {
 		late += f.unanswered["d0"][s]
 	}
-	assert.Assert(t, late <= fewEntries/4, "%d requests to a domain that was lost two seconds before", late)
-	assert.Assert(t, f.sent["d0"][fewSeconds-1] >= f.sent["d0"][from-1]/2, "the domain is back: %v", f.sent["d0"])
+	assert.Assert(t, late <= fewEntries/4, "%d requests to the lost domain two seconds after the loss or later", late)
+	assert.Assert(t, f.sent["d0"][fewSeconds-1] >= f.sent["d0"][from-1]/2, "too few requests after the domain returned: %v", f.sent["d0"])
 }
 
 // TestDeadTargetsAreNoUnreachableDomain guards against entries that avoid a healthy failure
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -37,9 +37,9 @@
 
 // runningWork is one running request.
 type runningWork struct {
-	work      chestnutstep.Work
-	startedAt time.Time
-	era       uint64
+	work       chestnutstep.Work
+	startedAt  time.Time
+	generation uint64
 }
 
 var _ chestnutstep.Gate = (*Gate)(nil)
@@ -97,9 +97,9 @@
 	g.suspect.end(now, id)
 	switch o {
 	case chestnutstep.OutcomeServed:
-		g.cold.RecordSuccess(r.era)
+		g.cold.RecordSuccess(r.generation)
 	case chestnutstep.OutcomeFailed:
-		g.cold.RecordFailure(r.era)
+		g.cold.RecordFailure(r.generation)
 	case chestnutstep.OutcomeAbandoned:
 		// A canceled request is no evidence about the target.
 	}
@@ -190,5 +190,5 @@
 	if g.running == nil {
 		g.running = make(map[string]*runningWork)
 	}
-	g.running[w.ID] = &runningWork{work: w, startedAt: now, era: g.cold.Generation()}
+	g.running[w.ID] = &runningWork{work: w, startedAt: now, generation: g.cold.Generation()}
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -164,11 +164,11 @@
 func (m *model) start(id string, w chestnutstep.Work) {
 	_, twice := m.running[id]
 	assert.Assert(m.t, !twice, "%s started twice", id)
-	assert.Assert(m.t, w.Deadline.After(m.now), "%s started after its time limit", id)
+	assert.Assert(m.t, w.Deadline.After(m.now), "%s started after its deadline", id)
 	m.running[id] = w
-	assert.Assert(m.t, len(m.running) <= m.limit, "%d run, cap %d", len(m.running), m.limit)
+	assert.Assert(m.t, len(m.running) <= m.limit, "%d running, cap %d", len(m.running), m.limit)
 	for _, o := range m.running {
-		assert.Assert(m.t, !o.Exclusive || len(m.running) == 1, "something runs beside a suspect")
+		assert.Assert(m.t, !o.Exclusive || len(m.running) == 1, "other work runs concurrently with a suspect")
 	}
 }
 
@@ -212,7 +212,7 @@
 	case chestnutstep.VerdictRefuse:
 		assert.Assert(t, d.Reason != "" && d.RetryAfter >= minRetryAfter, "%+v", d)
 		full := d.Reason == chestnutstep.ReasonFull || d.Reason == chestnutstep.ReasonCold
-		assert.Assert(t, !full || w.Class > 0 || len(m.running) >= m.limit || len(m.waiting) > 0, "refused with room to spare")
+		assert.Assert(t, !full || w.Class > 0 || len(m.running) >= m.limit || len(m.waiting) > 0, "rejected although slots are free")
 	}
 }
 
@@ -279,10 +279,10 @@
 	})
 }
 
-// TestRefusedCallersDoNotReturnAsOneWave guards against rejecting hundreds of requests in one
+// TestRetryAfterIsSpread guards against rejecting hundreds of requests in one
 // second with the same retry delay: their callers would return together and be rejected again
 // while the target serves at full capacity.
-func TestRefusedCallersDoNotReturnAsOneWave(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	g := &Gate{}
 	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 1, ColdCap: 1}})
 	first := chestnutstep.Work{ID: "first", Cost: 1, Deadline: epoch.Add(time.Minute)}
@@ -298,14 +298,14 @@
 		back[d.RetryAfter*buckets/(2*time.Second)]++
 	}
 	for _, n := range back[buckets:] {
-		assert.Assert(t, n < callers/buckets*3/2, "%d of %d come back together", n, callers)
+		assert.Assert(t, n < callers/buckets*3/2, "%d of %d retry together", n, callers)
 	}
 }
 
-// TestSuspectsTakeATenthAtMost guards against a caller that repeatedly sends content under
+// TestSuspectsUseAtMostATenth guards against a caller that repeatedly sends content under
 // suspicion of crashing targets. Each copy waits for the target to empty and runs exclusively;
 // if the next could follow at once, the target would be closed for all others.
-func TestSuspectsTakeATenthAtMost(t *testing.T) {
+func TestSuspectsUseAtMostATenth(t *testing.T) {
 	g := &Gate{}
 	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 4, ColdCap: 4}})
 	const seconds = 3000
--- a/mean/mean_test.go
+++ b/mean/mean_test.go
@@ -26,8 +26,8 @@
 // sampleBytes is the size of a sample on the wire: name, model, load and age.
 const sampleBytes = 40
 
-// relays uses Sampler, with n samples per exchange.
-type relays struct {
+// samplers uses Sampler, with n samples per exchange.
+type samplers struct {
 	agents []Sampler
 	n      int
 	sent   int
@@ -37,15 +37,15 @@
 	neighbors [][]int
 }
 
-func newRelays(agents, n int) *relays {
-	x := &relays{n: n}
+func newSamplers(agents, n int) *samplers {
+	x := &samplers{n: n}
 	for i := range agents {
 		x.agents = append(x.agents, Sampler{Model: "m", Target: fmt.Sprint("t", i)})
 	}
 	return x
 }
 
-func (x *relays) round(now time.Time, loads []float64, r *rand.Rand) {
+func (x *samplers) round(now time.Time, loads []float64, r *rand.Rand) {
 	x.rounds++
 	for i := range x.agents {
 		// Agents are not synchronized with each other.
@@ -59,7 +59,7 @@
 	}
 }
 
-func (x *relays) peer(i int, r *rand.Rand) int {
+func (x *samplers) peer(i int, r *rand.Rand) int {
 	if x.neighbors == nil {
 		return r.IntN(len(x.agents))
 	}
@@ -70,9 +70,9 @@
 	return neighbors[x.rounds%len(neighbors)]
 }
 
-// newNeighborRelays is newRelays with six neighbors for each agent.
-func newNeighborRelays(agents, n int) *relays {
-	x := newRelays(agents, n)
+// newNeighborSamplers is newSamplers with six neighbors for each agent.
+func newNeighborSamplers(agents, n int) *samplers {
+	x := newSamplers(agents, n)
 	r := rand.New(rand.NewPCG(7, 8))
 	for range agents {
 		x.neighbors = append(x.neighbors, r.Perm(agents)[:min(6, agents)])
@@ -80,11 +80,11 @@
 	return x
 }
 
-func (x *relays) mean(now time.Time, i int) float64 {
+func (x *samplers) mean(now time.Time, i int) float64 {
 	return x.agents[i].Mean(now.Add(time.Second)).Load
 }
 
-func (x *relays) bytes() float64 {
+func (x *samplers) bytes() float64 {
 	return float64(x.sent) * sampleBytes / float64(x.rounds) / float64(len(x.agents))
 }
 
@@ -218,19 +218,19 @@
 // those of another for no reason.
 func TestErrorOfTheMean(t *testing.T) {
 	const targets, seconds, surge = 400, 50, 1.0 / 3
-	rms, _ := measureError(newRelays(targets, 16), targets, seconds, surge)
+	rms, _ := measureError(newSamplers(targets, 16), targets, seconds, surge)
 	assert.Assert(t, rms < 0.09, "relayed samples: error %.3f", rms)
-	few, _ := measureError(newNeighborRelays(targets, 8), targets, seconds, surge)
-	assert.Assert(t, few < 0.1, "as the fleet exchanges them: error %.3f", few)
+	few, _ := measureError(newNeighborSamplers(targets, 8), targets, seconds, surge)
+	assert.Assert(t, few < 0.1, "exchanges with neighbors: error %.3f", few)
 	poll, _ := measureError(&polls{k: 2}, targets, seconds, surge)
-	assert.Assert(t, poll > 1.3*rms, "the same exchanges without relay: error %.3f", poll)
+	assert.Assert(t, poll > 1.3*rms, "polls without relay: error %.3f", poll)
 }
 
-// TestFewTargetsAreAllKnown guards against an estimate that misses targets of a small fleet:
+// TestMeanIsExactForFewTargets guards against an estimate that misses targets of a small fleet:
 // with constant loads the mean must be exact.
-func TestFewTargetsAreAllKnown(t *testing.T) {
+func TestMeanIsExactForFewTargets(t *testing.T) {
 	for _, n := range []int{3, 12, 18} {
-		x := newNeighborRelays(n, 16)
+		x := newNeighborSamplers(n, 16)
 		r := rand.New(rand.NewPCG(5, 6))
 		loads := make([]float64, n)
 		for i := range loads {
@@ -284,13 +284,13 @@
 		name string
 		make func() estimator
 	}{
-		{"circle=16", func() estimator { return newNeighborRelays(targets, 16) }},
-		{"circle=12", func() estimator { return newNeighborRelays(targets, 12) }},
-		{"circle=8", func() estimator { return newNeighborRelays(targets, 8) }},
-		{"relay=16", func() estimator { return newRelays(targets, 16) }},
-		{"relay=8", func() estimator { return newRelays(targets, 8) }},
-		{"relay=4", func() estimator { return newRelays(targets, 4) }},
-		{"relay=1", func() estimator { return newRelays(targets, 1) }},
+		{"circle=16", func() estimator { return newNeighborSamplers(targets, 16) }},
+		{"circle=12", func() estimator { return newNeighborSamplers(targets, 12) }},
+		{"circle=8", func() estimator { return newNeighborSamplers(targets, 8) }},
+		{"relay=16", func() estimator { return newSamplers(targets, 16) }},
+		{"relay=8", func() estimator { return newSamplers(targets, 8) }},
+		{"relay=4", func() estimator { return newSamplers(targets, 4) }},
+		{"relay=1", func() estimator { return newSamplers(targets, 1) }},
 		{"poll=2", func() estimator { return &polls{k: 2} }},
 		{"poll=8", func() estimator { return &polls{k: 8} }},
 		{"poll=16", func() estimator { return &polls{k: 16} }},
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -185,9 +185,9 @@
 			a.run(pickByCost, 1.2, tc.next)
 			b.run(pickByLoad, 1.2, tc.next)
 			c.run(pickByPrefix, 1.2, tc.next)
-			t.Logf("read %d, least in progress %d, home %d; worst over mean %.2f, %.2f, %.2f; late %d, %d, %d",
+			t.Logf("by cost, by load, by prefix: tokens read %d, %d, %d; maximum over mean load %.2f, %.2f, %.2f; late %d, %d, %d",
 				a.prefilled, b.prefilled, c.prefilled, a.maxLoadRatio, b.maxLoadRatio, c.maxLoadRatio, a.late, b.late, c.late)
-			assert.Assert(t, a.prefilled <= 40*prefixTokens*2, "read again: %d", a.prefilled)
+			assert.Assert(t, a.prefilled <= 40*prefixTokens*2, "%d tokens read", a.prefilled)
 			assert.Assert(t, a.prefilled*4 < b.prefilled, "%d against %d by load alone", a.prefilled, b.prefilled)
 			assert.Assert(t, a.maxLoadRatio < 2, "%f times the mean", a.maxLoadRatio)
 			assert.Assert(t, a.maxLoadRatio < c.maxLoadRatio, "%f against %f by prefix alone", a.maxLoadRatio, c.maxLoadRatio)
@@ -337,5 +337,5 @@
 	list := []place.Candidate{{ID: "a", Running: 70, Limit: 70}, {ID: "cold", Running: 70, Limit: 70, Cold: true}}
 	assert.Assert(t, taken(list) >= 1, "%.2f", taken(list))
 	list[1].Running = 2
-	assert.Equal(t, taken(list), 0.0, "a cold target that may get one is a place")
+	assert.Equal(t, taken(list), 0.0, "a cold target with capacity counts as unlimited")
 }
--- a/price/price_test.go
+++ b/price/price_test.go
@@ -120,7 +120,7 @@
 			latest += c.ReturnProbability * c.Tokens
 		}
 	}
-	t.Logf("of the work that returns %.0f%% is saved by the plan, %.0f%% by the latest first", 100*planned/total, 100*latest/total)
+	t.Logf("work saved of returning chats: %.0f%% by the plan, %.0f%% by the latest first", 100*planned/total, 100*latest/total)
 	assert.Assert(t, planned > latest)
 }
 
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -146,7 +146,7 @@
 		now, n := epoch, 0
 		remove := func(id string) {
 			_, ok := list[id]
-			assert.Assert(t, ok, "%s left twice or never waited", id)
+			assert.Assert(t, ok, "%s removed twice or never waiting", id)
 			delete(list, id)
 		}
 		t.Repeat(map[string]func(*rapid.T){
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -30,7 +30,7 @@
 	var r Ramp
 	r.Leave(at(0))
 	r.Leave(at(0.5))
-	assert.Assert(t, r.ShouldShed(at(0.7), chestnutstep.ClassNormal), "leaving twice is leaving once")
+	assert.Assert(t, r.ShouldShed(at(0.7), chestnutstep.ClassNormal), "a repeated Leave must not restart the time")
 	r.Return()
 	assert.Assert(t, !r.ShouldShed(at(5), chestnutstep.ClassBatch))
 	r.Leave(at(10))
--- a/route/rank_test.go
+++ b/route/rank_test.go
@@ -41,7 +41,7 @@
 	return p
 }
 
-func drawPlace(t *rapid.T) chestnutstep.RankQuery {
+func drawQuery(t *rapid.T) chestnutstep.RankQuery {
 	return chestnutstep.RankQuery{
 		Workspace: rapid.StringN(0, 4, -1).Draw(t, "workspace"),
 		Chat:      rapid.StringN(0, 6, -1).Draw(t, "chat"),
@@ -94,7 +94,7 @@
 		table := &Table{View: v, Skip: skip}
 		table.Build()
 		for range 8 {
-			req := drawPlace(t)
+			req := drawQuery(t)
 			n := rapid.IntRange(0, 90).Draw(t, "n")
 			assert.DeepEqual(t, names(table.Rank(nil, req, n)), naive(v, skip, req, n))
 		}
@@ -117,7 +117,7 @@
 			return table
 		}
 		a, b := newPartialTable("a"), newPartialTable("b")
-		req := drawPlace(t)
+		req := drawQuery(t)
 		req.Hint = ""
 		rankCommon := func(from, other *Table) []string {
 			return slices.DeleteFunc(names(from.Rank(nil, req, MaxTargets)), func(name string) bool {
