--- a/board/domain.go
+++ b/board/domain.go
@@ -38,7 +38,7 @@
 // request at a time. In a large fleet an entry sends too few requests to detect this alone, so
 // it also uses the reports of peers in its own failure domain, which use the same network path.
 type domain struct {
-	// timedOut is the time of each target's last timeout since any target answered.
+	// timedOut holds the last timeout of each target since the last answer of any.
 	timedOut  map[uint32]clock.Stamp
 	downUntil clock.Stamp
 	backoff   time.Duration
--- a/price/price.go
+++ b/price/price.go
@@ -16,7 +16,7 @@
 	// time that the engines need to start an export.
 	ImportSetup = 20 * time.Millisecond
 	// ImportMargin is the maximum price of an import, relative to a rebuild. Link rates are
-	// estimates that lag, and an abandoned import costs as much as both.
+	// estimates that lag, and an abandoned import costs its own time plus the rebuild.
 	ImportMargin = 0.8
 )
 
