--- a/share/copy.go
+++ b/share/cachelists.go
@@ -13,25 +13,26 @@
 	"chestnutstep.example/chestnutstep/fetch"
 )
 
-// maxCopies is how many peers are answered at a time: a copy may take seconds of a host's
-// link, and whoever has one can give it to the others.
+// maxCopies is the number of peers served concurrently. A copy can take seconds of a host's link,
+// and a peer that has received one can serve others.
 const maxCopies = 2
 
-// cacheListsLimits bound the fetching of a peer's lists.
+// cacheListsLimits bound the download of a peer's cache lists.
 var cacheListsLimits = fetch.Limits{FirstByteTimeout: time.Second, IdleTimeout: time.Second, MaxBytes: 8 << 20}
 
-// CacheListsPath is the path at which an entry serves what it knows of targets' caches.
+// CacheListsPath is the HTTP path at which an entry serves its cache lists.
 const CacheListsPath = "/caches"
 
-// CacheServer answers peers that have just started. Set the fields before use.
+// CacheServer serves the cache lists of this entry to peers that have just started. Its fields must
+// be set before use.
 type CacheServer struct {
-	// Lists returns what is known of targets' caches.
+	// Lists returns the known cached parts, one list per target.
 	Lists func() []CacheList
 
 	active atomic.Int32
 }
 
-// ServeHTTP writes the lists.
+// ServeHTTP writes the lists as CBOR. It responds with 503 while maxCopies peers are being served.
 func (s *CacheServer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	if s.active.Add(1) > maxCopies {
 		s.active.Add(-1)
@@ -44,22 +45,24 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// An error here is the reader's: it sees that the answer is cut.
+	// A failed write needs no handling here: the peer detects the truncated response.
 	_, _ = w.Write(raw)
 }
 
-// DialFunc opens a connection.
+// DialFunc opens a network connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// FetchCacheLists asks a peer what targets hold, and returns the size of the answer in bytes.
+// FetchCacheLists downloads the cache lists of the peer at address. n is the size of the response
+// body in bytes. It returns an error if the request fails, the status is not 200 or the body is not
+// valid CBOR.
 func FetchCacheLists(ctx context.Context, address string, dial DialFunc) (lists []CacheList, n int, err error) {
 	client := &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}
 	a, err := fetch.Get(ctx, client, "http://"+address+CacheListsPath, cacheListsLimits)
 	if err != nil {
-		return nil, len(a.Body), errors.Wrap(err, "caches")
+		return nil, len(a.Body), errors.Wrap(err, "fetch cache lists")
 	}
 	if a.Status != http.StatusOK {
-		return nil, 0, errors.Newf("caches: status %d of %s", a.Status, address)
+		return nil, 0, errors.Newf("fetch cache lists: status %d from %s", a.Status, address)
 	}
-	return lists, len(a.Body), errors.Wrap(cbor.Unmarshal(a.Body, &lists), "caches")
+	return lists, len(a.Body), errors.Wrap(cbor.Unmarshal(a.Body, &lists), "decode cache lists")
 }
--- a/share/crashes.go
+++ b/share/crashes.go
@@ -9,22 +9,25 @@
 )
 
 const (
-	// maxCrashesPerReport bounds the crashes of one datagram.
+	// maxCrashesPerReport limits the crashes in one datagram.
 	maxCrashesPerReport = 48
-	// maxCrashSize is the most that a crash takes in a datagram.
+	// maxCrashSize is the maximum encoded size of a crash in bytes.
 	maxCrashSize = 24
-	// crashRate and crashBurst bound the bytes of these datagrams, a second and at once: together with
-	// the rounds they keep to what a node may spend on control. Many targets that end at
-	// once would otherwise be reported by each entry to eight others.
+	// crashRate, in bytes per second, and crashBurst, in bytes, limit the datagrams that carry only
+	// crashes. Together with the rounds they stay within the control traffic budget of a node.
+	// Without the limit, each entry would report the crashes of many targets that end at once to
+	// eight other entries.
 	crashRate  = 2000.0
 	crashBurst = 32000.0
-	// catchUpWindow is for how long after a start, or the end of a cut, an entry asks those to whom it
-	// reports for what it missed: several rounds, as datagrams may be lost.
+	// catchUpWindow is the time after a start, or after the end of a network partition, during
+	// which an entry requests missed crashes from the peers to which it reports. It covers several
+	// rounds because datagrams can be lost.
 	catchUpWindow = 300 * time.Millisecond
 )
 
-// recordReceived notes that a datagram came. The first after a silence ends a cut. The caller holds
-// the lock.
+// recordReceived records the arrival of a datagram. The first datagram after more than
+// livenessTimeout without any marks the end of a partition and starts a catch-up. The caller holds
+// p.mu.
 func (p *Peers) recordReceived(now clock.Stamp) {
 	if now.Sub(p.lastReceived) > livenessTimeout {
 		p.catchUpUntil = now.Add(catchUpWindow)
@@ -32,22 +35,23 @@
 	p.lastReceived = now
 }
 
-// SendCrashes reports crashes at once, to as many peers as one round reaches, drawn at random.
-// Each of them that did not know them does the same: the repeat of a request that ends targets
-// may come to any entry within a second, and the rounds of a large fleet take several.
+// SendCrashes reports crashes immediately to up to maxFanout random live peers. Each peer forwards
+// the crashes that are new to it. A retry of a request that crashes targets can reach any entry
+// within a second, whereas the regular rounds of a large fleet take several seconds.
 func (p *Peers) SendCrashes(now clock.Stamp, list []Crash) {
 	p.sendCrashReports(now, list, p.randomPeers(now, maxFanout)...)
 }
 
-// ForwardCrashes reports crashes that a peer reported, where one round does not reach all entries.
+// ForwardCrashes forwards crashes reported by a peer to maxFanout random live peers. It does
+// nothing if a single round reaches all live peers.
 func (p *Peers) ForwardCrashes(now clock.Stamp, list []Crash) {
 	if to := p.randomPeers(now, maxFanout+1); len(to) > maxFanout {
 		p.sendCrashReports(now, list, to[:maxFanout]...)
 	}
 }
 
-// sendCrashReports sends datagrams that have nothing but crashes, as far as their budget goes. What does not
-// go out comes with the rounds.
+// sendCrashReports sends datagrams that carry only crashes until their budget is exhausted. The
+// remaining crashes are sent with the regular rounds.
 func (p *Peers) sendCrashReports(now clock.Stamp, list []Crash, to ...netip.AddrPort) {
 	for len(list) > 0 {
 		n := min(len(list), maxCrashesPerReport)
@@ -60,7 +64,8 @@
 	}
 }
 
-// newCrashReport numbers a report of crashes; false says that the budget for them is spent.
+// newCrashReport returns a report of crashes with the next sequence number, or false if the budget
+// for crash reports is exhausted.
 func (p *Peers) newCrashReport(now clock.Stamp, list []Crash) (*Report, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +79,7 @@
 	return &Report{From: p.Self, Incarnation: p.Incarnation, Sequence: p.sequence, Crashes: list, Partial: true, Age: -1}, true
 }
 
-// randomPeers returns at most n live peers at random.
+// randomPeers returns up to n live peers in random order.
 func (p *Peers) randomPeers(now clock.Stamp, n int) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/share/crashes_test.go
+++ b/share/crashes_test.go
@@ -7,12 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCrashReachesALargeFleetAtOnce guards against the repeat of a request that ends targets coming to an entry which has not
-// heard of them: a large fleet's rounds take seconds to reach all.
+// TestCrashReachesALargeFleetAtOnce guards against the retry of a request that crashes targets
+// reaching an entry without a report of the crash: the regular rounds of a large fleet take seconds
+// to reach all entries.
 func TestCrashReachesALargeFleetAtOnce(t *testing.T) {
 	const (
 		entries = 300
-		// hops is how often a crash is passed on within 250 ms, at 5 ms each in one region and 60 ms in another.
+		// hops is the number of times a crash is forwarded within 250 ms, at 5 ms per hop within a
+		// region and 60 ms between regions.
 		hops = 4
 	)
 	m := newMesh(entries, 0.02)
@@ -31,12 +33,12 @@
 			informed++
 		}
 	}
-	assert.Assert(t, informed >= entries*99/100, "%d of %d entries know", informed, entries)
-	assert.Assert(t, m.bytes <= entries*maxFanout*150, "%d bytes an entry", m.bytes/entries)
+	assert.Assert(t, informed >= entries*99/100, "%d of %d entries have recorded the crash", informed, entries)
+	assert.Assert(t, m.bytes <= entries*maxFanout*150, "%d bytes per entry", m.bytes/entries)
 }
 
-// TestEntryRequestsMissedCrashes guards against an entry that has just started, or was cut off, and sends a request to targets which
-// all others refuse.
+// TestEntryRequestsMissedCrashes guards against an entry that has just started, or was partitioned,
+// and sends a request to targets although all other entries reject it.
 func TestEntryRequestsMissedCrashes(t *testing.T) {
 	m := newMesh(4, 0)
 	m.reachAllPeers()
@@ -46,15 +48,15 @@
 	}
 	m.now = m.now.Add(time.Second)
 	m.reachAllPeers()
-	assert.Assert(t, !m.collectors[0].crashes[crash], "it missed nothing, and asks")
+	assert.Assert(t, !m.collectors[0].crashes[crash], "an entry that missed nothing received a catch-up")
 	m.now = m.now.Add(2 * livenessTimeout)
 	m.reachAllPeers()
 	m.reachAllPeers()
 	assert.Assert(t, m.collectors[0].crashes[crash])
 }
 
-// TestManyCrashesKeepTheControlRate guards against entries that pass on what they know of hundreds of targets that ended at once,
-// each to eight others.
+// TestManyCrashesKeepTheControlRate guards against entries exceeding the control traffic budget
+// when hundreds of targets end at once and each entry reports them to eight others.
 func TestManyCrashesKeepTheControlRate(t *testing.T) {
 	const seconds = 10
 	m := newMesh(maxFanout+2, 0)
@@ -70,11 +72,11 @@
 		}
 		for _, k := range m.collectors[1:] {
 			for _, x := range list {
-				k.crashes[x] = true // known there: nobody passes it on
+				k.crashes[x] = true // already recorded, so no peer forwards it
 			}
 		}
 		sender.SendCrashes(m.now, list)
 	}
 	assert.Assert(t, m.bytes <= crashBurst+seconds*crashRate+maxDatagramSize, "%d bytes in %d s", m.bytes, seconds)
-	assert.Assert(t, m.bytes >= crashBurst/2, "%d bytes in %d s: hardly any were sent", m.bytes, seconds)
+	assert.Assert(t, m.bytes >= crashBurst/2, "%d bytes in %d s: too few were sent", m.bytes, seconds)
 }
--- a/share/talk.go
+++ b/share/loop.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// minRoundInterval is the pause between two rounds of datagrams while they cost little:
-	// most requests take longer, so that few are unknown to the peers.
+	// minRoundInterval is the shortest pause between two rounds. Most requests take longer, so that
+	// peers see most requests in progress.
 	minRoundInterval = 50 * time.Millisecond
-	// maxRoundInterval bounds the pause: a peer that was silent for much longer counts as
-	// gone.
+	// maxRoundInterval is the longest pause between two rounds. A peer that sends no datagram for a
+	// multiple of it counts as gone.
 	maxRoundInterval = 500 * time.Millisecond
-	// maxSendRate is the bytes a second that an entry sends. A node may spend 26 KB/s on
-	// control; 2 KB/s are left for packet headers and the source.
+	// maxSendRate is the maximum send rate of an entry in bytes per second. The control budget of a
+	// node is 26 KB/s, of which 2 KB/s remain for packet headers and the source.
 	maxSendRate = 20000.0
-	// packetOverhead is the bytes of the headers of a UDP packet.
+	// packetOverhead is the size of the IPv4 and UDP headers of a datagram, in bytes.
 	packetOverhead = 28
 )
 
-// Loop sends rounds of datagrams until ctx ends.
+// Loop sends and receives reports until ctx ends, then closes Conn.
 func (p *Peers) Loop(ctx context.Context) {
 	p.initialize()
 	go p.receiveLoop(ctx)
@@ -43,13 +43,13 @@
 	}
 }
 
-// RoundInterval is the pause after a round that sent this many bytes.
+// RoundInterval returns the pause after a round that sent the given number of bytes.
 func RoundInterval(bytes int) time.Duration {
 	pause := time.Duration(float64(bytes) / maxSendRate * float64(time.Second))
 	return min(max(pause, minRoundInterval), maxRoundInterval)
 }
 
-// Leave announces to the peers that this entry stops.
+// Leave reports immediately to peers that this entry is stopping.
 func (p *Peers) Leave() {
 	p.mu.Lock()
 	p.leaving = true
@@ -57,9 +57,9 @@
 	p.sendRound(clock.Now())
 }
 
-// SendLists sends lists to the peers at once, a datagram for each: to some of them
-// where there are many. It is for the seconds after a loss of all entries, and
-// not counted in the pace.
+// SendLists sends each list immediately in a datagram of its own, to one round's selection of
+// peers. It is meant for the seconds after a loss of all entries and does not affect the round
+// interval.
 func (p *Peers) SendLists(lists ...CacheList) {
 	now := clock.Now()
 	for _, l := range lists {
@@ -70,18 +70,17 @@
 	}
 }
 
-// ReportNow reports at once, to as many peers as one round reaches.
+// ReportNow sends a round immediately, in addition to the periodic ones.
 func (p *Peers) ReportNow() { p.sendRound(clock.Now()) }
 
-// TrafficBytes is what was sent and received.
+// TrafficBytes returns the total bytes sent and received, including packet headers.
 func (p *Peers) TrafficBytes() (out, in int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sentBytes, p.receivedBytes
 }
 
-// sendRound sends one datagram to each peer, or to some of many, and returns the
-// bytes.
+// sendRound sends a report to the selected peers and returns the bytes sent.
 func (p *Peers) sendRound(now clock.Stamp) int {
 	r := &Report{From: p.Self, Incarnation: p.Incarnation, ControlPort: p.ControlPort, Link: p.Link}
 	p.Delegate.FillReport(now, r)
@@ -97,8 +96,8 @@
 	return total
 }
 
-// sendReport sends a report to one peer, with the echo of that peer's clock, and returns
-// the bytes.
+// sendReport sends a report to one peer, with the echo of that peer's clock, and returns the bytes
+// sent.
 func (p *Peers) sendReport(now clock.Stamp, r *Report, to netip.AddrPort) int {
 	p.mu.Lock()
 	x := p.peers[to]
@@ -119,8 +118,8 @@
 	return p.send(b, err, to)
 }
 
-// encodeToFit encodes a report with as much of the news as a datagram holds, and returns the number
-// of the first event that it doesn't hold. The caller holds the lock.
+// encodeToFit encodes a report with as many events, starting with number from, as fit into a
+// datagram. next is the number of the first event not included. The caller holds p.mu.
 func (p *Peers) encodeToFit(now clock.Stamp, r *Report, from uint64) (b []byte, next uint64, err error) {
 	for maxEvents := maxEventsPerReport; ; maxEvents /= 2 {
 		next = p.events.fillReport(now, r, from, maxEvents)
@@ -131,7 +130,7 @@
 	}
 }
 
-// collectEvents takes up what happened since the last round.
+// collectEvents adds the events since the last round to the log.
 func (p *Peers) collectEvents(now clock.Stamp) {
 	n := p.Delegate.TakeEvents()
 	p.mu.Lock()
@@ -139,7 +138,7 @@
 	p.events.add(now, n)
 }
 
-// sendPartial sends a report that has nothing but lists or crashes.
+// sendPartial sends a report that contains only lists or crashes.
 func (p *Peers) sendPartial(r *Report, to netip.AddrPort) {
 	b, err := encode(r)
 	n := p.send(b, err, to)
@@ -148,7 +147,8 @@
 	p.sentBytes += int64(n)
 }
 
-// send writes one datagram that was encoded, and returns its bytes with headers.
+// send writes an encoded datagram and returns its size including headers, or 0 on failure. A
+// non-nil err from encoding is passed to OnError.
 func (p *Peers) send(b []byte, err error, to netip.AddrPort) int {
 	if err != nil {
 		p.OnError(err)
@@ -161,7 +161,7 @@
 	return len(b) + packetOverhead
 }
 
-// receiveLoop reads datagrams until the socket is closed.
+// receiveLoop reads datagrams until ctx ends.
 func (p *Peers) receiveLoop(ctx context.Context) {
 	buf := make([]byte, 1<<16)
 	for {
@@ -183,7 +183,8 @@
 	}
 }
 
-// handleReport passes a report on unless a later one of the same run came first.
+// handleReport updates the sender's state and passes the report to the delegate, unless a later
+// report of the same incarnation has already arrived.
 func (p *Peers) handleReport(now clock.Stamp, r *Report, n int) {
 	p.mu.Lock()
 	p.recordReceived(now)
@@ -223,9 +224,9 @@
 	}
 }
 
-// replyToNewPeer reports at once to an entry that was not known before, or has restarted. In a large
-// fleet it would otherwise wait for its turn, up to half a second, before it knows
-// whom to ask for what it lost; each peer does so once for each of its runs.
+// replyToNewPeer reports immediately to an entry that is new or has restarted. In a large fleet,
+// the new entry would otherwise wait up to half a second for its turn before it has a peer to copy
+// lost state from. Each peer does so once per incarnation.
 func (p *Peers) replyToNewPeer(now clock.Stamp, to netip.AddrPort) {
 	r := &Report{From: p.Self, Incarnation: p.Incarnation, ControlPort: p.ControlPort}
 	p.Delegate.FillReport(now, r)
--- a/share/news.go
+++ b/share/news.go
@@ -3,20 +3,20 @@
 import "chestnutstep.example/chestnutstep/clock"
 
 const (
-	// maxLoggedEvents bounds the events that are kept for peers that have not got them: twenty
-	// seconds of a heavy load.
+	// maxLoggedEvents limits the events kept for peers that have not confirmed them: about twenty
+	// seconds of events under heavy load.
 	maxLoggedEvents = 4096
-	// maxEventsPerReport bounds the events of one datagram.
+	// maxEventsPerReport limits the events in one datagram.
 	maxEventsPerReport = 60
-	// initialEvents is how many of the latest events are sent to a peer that was not known
-	// before: what came earlier it reads from the lists of a peer.
+	// initialEvents is the number of most recent events sent to a new peer. A new peer gets older
+	// state from the cache lists of another entry.
 	initialEvents = maxEventsPerReport
-	// maxUnconfirmed is how many datagrams may be on their way to a peer before the first of
-	// them is confirmed.
+	// maxUnconfirmed is the maximum number of datagrams in flight to a peer whose confirmation is
+	// awaited.
 	maxUnconfirmed = 4
 )
 
-// Events are events that every peer has to receive.
+// Events groups the events that must reach every peer.
 type Events struct {
 	CachedParts []CachedPart
 	Replaced    []uint32
@@ -24,25 +24,25 @@
 	Crashes     []Crash
 }
 
-// eventLog numbers events, so that each peer is sent those that it does not have. Its zero
-// value is empty.
+// eventLog assigns consecutive numbers to events, so that each peer is sent only those that it
+// lacks. The zero value is an empty log.
 type eventLog struct {
-	// first is the number of the oldest event that is kept.
+	// first is the number of the oldest event kept.
 	first  uint64
 	events []loggedEvent
 }
 
-// loggedEvent is one event: one of its fields is set.
+// loggedEvent is one event. Exactly one of its pointers is set.
 type loggedEvent struct {
 	cachedPart *CachedPart
 	replaced   *uint32
 	suspected  *uint32
 	crash      *Crash
-	// addedAt is when a crash was added.
+	// addedAt is the time at which a crash was added.
 	addedAt clock.Stamp
 }
 
-// add appends events, and drops the oldest half where they are too many.
+// add appends events. If the log exceeds maxLoggedEvents, it drops the oldest half.
 func (l *eventLog) add(now clock.Stamp, n Events) {
 	for i := range n.CachedParts {
 		l.events = append(l.events, loggedEvent{cachedPart: &n.CachedParts[i]})
@@ -63,11 +63,11 @@
 	}
 }
 
-// end is the number of the next event.
+// end returns the number that the next event will get.
 func (l *eventLog) end() uint64 { return l.first + uint64(len(l.events)) }
 
-// fillReport puts at most so many events from a number on into a report, and returns the number
-// of the first one that it does not hold.
+// fillReport sets the events of a report to at most limit events, starting with number from. It
+// returns the number of the first event not included.
 func (l *eventLog) fillReport(now clock.Stamp, r *Report, from uint64, limit int) uint64 {
 	from = min(max(from, l.first), l.end())
 	events := l.events[from-l.first:]
@@ -90,23 +90,23 @@
 	return from + uint64(len(events))
 }
 
-// cursor is up to where a peer has the news. As datagrams may be lost, events are sent again
-// until an answer confirms them.
+// cursor tracks which events a peer has confirmed. Events are sent again until they are confirmed,
+// because datagrams can be lost.
 type cursor struct {
-	// firstUnconfirmed is the number of the first event that the peer may lack.
+	// firstUnconfirmed is the number of the first event that the peer has not confirmed.
 	firstUnconfirmed uint64
-	// unconfirmed are the datagrams that are not confirmed yet, the oldest first.
+	// unconfirmed holds the datagrams awaiting confirmation, oldest first.
 	unconfirmed []sentDatagram
 }
 
-// sentDatagram is a datagram: when it was sent by our clock, in milliseconds, and the number
-// behind its last event.
+// sentDatagram records one datagram: its send time on the local clock in milliseconds, and the
+// number following its last event.
 type sentDatagram struct {
 	sentAt int64
 	next   uint64
 }
 
-// recordSent notes a datagram.
+// recordSent records a sent datagram and discards the oldest one if there are too many.
 func (c *cursor) recordSent(at int64, next uint64) {
 	if len(c.unconfirmed) == maxUnconfirmed {
 		c.unconfirmed = c.unconfirmed[1:]
@@ -114,7 +114,8 @@
 	c.unconfirmed = append(c.unconfirmed, sentDatagram{at, next})
 }
 
-// confirm notes that the peer has the datagram that was sent at a moment.
+// confirm records that the peer has received the datagram sent at the given time. A datagram that
+// is no longer recorded is ignored.
 func (c *cursor) confirm(at int64) {
 	for i, s := range c.unconfirmed {
 		if s.sentAt == at {
--- a/share/news_test.go
+++ b/share/news_test.go
@@ -11,7 +11,7 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// mesh connects entries without a network; a share of the datagrams is lost.
+// mesh connects entries without a network and loses a fraction of the datagrams.
 type mesh struct {
 	entries    map[string]*Peers
 	collectors []*collector
@@ -19,19 +19,20 @@
 	lossRatio  float64
 	bytes      int
 	now        clock.Stamp
-	// paused keeps datagrams back until the next call of deliver.
+	// paused holds datagrams back until the next call of deliver.
 	paused  bool
 	pending []func()
 }
 
-// collector collects the events that reach one entry.
+// collector records the events that reach one entry.
 type collector struct {
 	events   Events
 	received map[CachedPart]int
-	// crashes are those that came, and losses what is reported to entries that missed it.
+	// crashes holds the received crashes, and losses the crashes sent to entries that request a
+	// catch-up.
 	crashes map[Crash]bool
 	losses  []Crash
-	// peers is the entry itself, which forwards what is new to it.
+	// peers is the entry under test, which forwards crashes that are new to it.
 	peers *Peers
 }
 
@@ -84,7 +85,7 @@
 	return len(b), nil
 }
 
-// deliver delivers the datagrams that were kept back.
+// deliver delivers the datagrams held back while the mesh was paused.
 func (m *mesh) deliver() {
 	list := m.pending
 	m.pending = nil
@@ -113,10 +114,10 @@
 	return m
 }
 
-// reachAllPeers lets each entry send as many rounds as it takes to reach each peer once.
+// reachAllPeers lets each entry send enough rounds to reach each of its peers once.
 func (m *mesh) reachAllPeers() { m.rounds((len(m.entries) + maxFanout - 1) / maxFanout) }
 
-// rounds lets each entry send some rounds.
+// rounds lets each entry send n rounds.
 func (m *mesh) rounds(n int) {
 	for range n {
 		m.now = m.now.Add(minRoundInterval)
@@ -126,9 +127,9 @@
 	}
 }
 
-// TestEventsReachEveryPeer guards against events that a large fleet's entry sends to the peers
-// of one or two rounds only, so that most never get them, and against events that are lost
-// with a datagram.
+// TestEventsReachEveryPeer guards against an entry of a large fleet sending events only to the
+// peers of one or two rounds, so that most peers never receive them, and against events lost with a
+// datagram.
 func TestEventsReachEveryPeer(t *testing.T) {
 	const entries, events = 60, 10
 	m := newMesh(entries, 0.2)
@@ -143,21 +144,21 @@
 	}
 	deliveries := 0
 	for i, k := range m.collectors {
-		assert.Equal(t, len(k.received), (entries-1)*events, "entry %d knows all events of all others", i)
+		assert.Equal(t, len(k.received), (entries-1)*events, "entry %d has received all events of all others", i)
 		for _, n := range k.received {
 			deliveries += n
 		}
 	}
-	assert.Assert(t, deliveries <= 3*entries*(entries-1)*events, "each event is told %f times", float64(deliveries)/(entries*(entries-1)*events))
+	assert.Assert(t, deliveries <= 3*entries*(entries-1)*events, "each event is sent %f times", float64(deliveries)/(entries*(entries-1)*events))
 	m.lossRatio = 0
 	m.reachAllPeers()
 	m.reachAllPeers()
 	m.bytes = 0
 	m.reachAllPeers()
-	assert.Assert(t, m.bytes < 150*entries*(entries+maxFanout), "%d bytes a datagram without news", m.bytes/(entries*entries))
+	assert.Assert(t, m.bytes < 150*entries*(entries+maxFanout), "%d bytes per datagram without events", m.bytes/(entries*entries))
 }
 
-// TestEventLogIsBounded guards against memory that grows while peers confirm nothing.
+// TestEventLogIsBounded guards against memory growth while peers confirm nothing.
 func TestEventLogIsBounded(t *testing.T) {
 	var l eventLog
 	for i := range uint32(3 * maxLoggedEvents) {
@@ -173,7 +174,8 @@
 	assert.Equal(t, len(r.Replaced), 0)
 }
 
-// TestConfirmedEventsAreNotResent plays confirmations that come late, twice or never.
+// TestConfirmedEventsAreNotResent guards against a wrong cursor after confirmations that arrive
+// late, twice or never.
 func TestConfirmedEventsAreNotResent(t *testing.T) {
 	c := cursor{firstUnconfirmed: 5}
 	c.recordSent(100, 8)
@@ -188,7 +190,7 @@
 		c.recordSent(300+i, 20+uint64(i))
 	}
 	c.confirm(300)
-	assert.Equal(t, c.firstUnconfirmed, uint64(9), "a datagram of long ago is not remembered")
+	assert.Equal(t, c.firstUnconfirmed, uint64(9), "an old datagram is no longer recorded")
 	c.confirm(309)
 	assert.Equal(t, c.firstUnconfirmed, uint64(29))
 }
--- a/share/peers.go
+++ b/share/peers.go
@@ -12,96 +12,99 @@
 )
 
 const (
-	// maxFanout bounds the peers of one round, which are those that got no report for longest;
-	// fanoutLeast of them get one whatever the bytes.
+	// maxFanout limits the peers that receive a report in one round; those with the oldest last
+	// report come first. minFanout peers receive one regardless of its size.
 	maxFanout = 8
 	minFanout = 4
-	// maxPeerAddrs bounds the addresses of one datagram; every tellEvery-th round has some, as
-	// membership changes slowly.
+	// maxPeerAddrs limits the peer addresses in one datagram. Only every peerAddrsInterval-th round
+	// carries them, because membership changes slowly.
 	maxPeerAddrs      = 6
 	peerAddrsInterval = 8
-	// peerTTL is how long a silent peer is remembered: after a cut it is asked
-	// again, and the two sides find each other.
+	// peerTTL is the time after which an unresponsive peer is removed. Until then it is probed, so
+	// that the two sides of a network partition find each other again.
 	peerTTL = 2 * time.Minute
-	// livenessTimeout is how long after its last datagram a peer counts as alive.
+	// livenessTimeout is the time after its last datagram for which a peer counts as live.
 	livenessTimeout = 1500 * time.Millisecond
-	// memberTimeout is how long after its last datagram a peer counts as a member: datagrams of
-	// one peer come seconds apart in a large fleet.
+	// memberTimeout is the time after its last datagram for which a peer counts as a member. In a
+	// large fleet, the datagrams of one peer arrive seconds apart.
 	memberTimeout = 10 * time.Second
-	// maxProbeInterval is how often a silent peer gets a datagram, and quietFirst how soon the second
-	// one: where a whole fleet starts, the first ones come before their readers do.
+	// maxProbeInterval is the longest pause between datagrams to an unresponsive peer, and
+	// minProbeInterval the pause before the second one. When a whole fleet starts at once, the
+	// first datagrams arrive before the peers read their sockets.
 	maxProbeInterval = 500 * time.Millisecond
 	minProbeInterval = 50 * time.Millisecond
 )
 
-// Delegate is what an entry reports to others, and takes from their reports. Its methods
-// return at once.
+// Delegate supplies the content of this entry's reports and receives the reports of peers. Its
+// methods must not block.
 type Delegate interface {
-	// FillReport fills a report but for what Peers itself knows.
+	// FillReport sets the fields of a report that Peers does not set itself.
 	FillReport(now clock.Stamp, r *Report)
-	// TakeEvents returns what happened since the last call.
+	// TakeEvents returns the events since the previous call.
 	TakeEvents() Events
-	// RecentCrashes returns the crashes that an entry has to know which has just started or was cut
-	// off.
+	// RecentCrashes returns the crashes to send to an entry that has just started or was
+	// partitioned.
 	RecentCrashes(now clock.Stamp) []Crash
-	// MergeReport takes a peer's report. Asked is a moment of this process's clock
-	// before which the peer can't have made it; 0 where that is not known.
-	MergeReport(now clock.Stamp, r *Report, asked clock.Stamp)
+	// MergeReport merges a peer's report. notBefore is a time on this process's clock before which
+	// the peer cannot have created the report; 0 if unknown.
+	MergeReport(now clock.Stamp, r *Report, notBefore clock.Stamp)
 }
 
-// Peers exchanges reports with other entries. Set the fields before Run.
+// Peers exchanges reports with other entries. Its exported fields must be set before Loop is
+// called.
 type Peers struct {
 	Self        netip.AddrPort
 	Seeds       []netip.AddrPort
 	Incarnation uint32
 	Delegate    Delegate
-	// ControlPort is this entry's port for copies, 0 for none.
+	// ControlPort is the port at which this entry serves copies, 0 for none.
 	ControlPort uint16
-	// Conn is the socket, open already.
+	// Conn is an open datagram socket. Loop closes it.
 	Conn net.PacketConn
-	// OnError is called for each datagram that could not be read or sent.
+	// OnError is called for each datagram that cannot be read, decoded or sent.
 	OnError func(err error)
-	// Link is the rate of this host's link in Mbit/s, for the peers.
+	// Link is the link rate of this host in Mbit/s, reported to peers.
 	Link uint32
 
 	mu       sync.Mutex
 	peers    map[netip.AddrPort]*peer
 	events   eventLog
 	sequence uint32
-	// lastReportSize is that of the last datagram.
+	// lastReportSize is the size of the last report sent, in bytes.
 	lastReportSize           int
 	leaving                  bool
 	sentBytes, receivedBytes int64
-	// lastReceived is when any datagram last came, and missedUntil until when peers are asked for what
-	// was missed.
+	// lastReceived is the time of the last datagram from any peer. Until catchUpUntil, reports
+	// request missed crashes.
 	lastReceived, catchUpUntil clock.Stamp
-	// crashBudget is what may be sent of crashes, as of crashAt.
+	// crashBudget is the number of bytes available for crash reports at crashBudgetAt.
 	crashBudget   float64
 	crashBudgetAt clock.Stamp
 }
 
-// peer is another entry.
+// peer is the state kept for another entry.
 type peer struct {
-	// addedAt is when its address was first named, lastSeen when its last datagram came.
+	// addedAt is the time at which its address was first added, lastSeen the time of its last
+	// datagram.
 	addedAt  clock.Stamp
 	lastSeen clock.Stamp
 	lastSent clock.Stamp
-	// unanswered counts the datagrams since the last one that came.
+	// unanswered counts the datagrams sent to it since its last datagram.
 	unanswered  int
 	incarnation uint32
 	sequence    uint32
-	// echo is the peer's Sent of its last report.
+	// echo is the Sent field of its last report.
 	echo        int64
 	controlPort uint16
 	leaving     bool
 	hasIndex    bool
-	// version of the configuration in force there; 0 for none.
+	// version is the configuration version in force at the peer, 0 for none.
 	version uint64
 	link    int
 	cursor  cursor
 }
 
-// SetSeeds adds addresses of entries to ask.
+// SetSeeds replaces the seeds, the initial entry addresses, and adds them as peers.
 func (p *Peers) SetSeeds(list []netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,15 +114,16 @@
 	}
 }
 
-// Member is another entry that serves its peers.
+// Member is another entry that serves copies to its peers.
 type Member struct {
-	// Addr is the address of its datagrams, Control that of its calls.
+	// Addr is the address for its datagrams, ControlAddr the address at which it serves copies.
 	Addr, ControlAddr netip.AddrPort
-	// Link is the rate of its host's link in Mbit/s; 0 for an unknown one.
+	// Link is the link rate of its host in Mbit/s, 0 if unknown.
 	Link int
 }
 
-// Members returns the peers from which a datagram came of late and that are not stopping.
+// Members returns the peers that have sent a datagram within memberTimeout, serve copies and are
+// not leaving.
 func (p *Peers) Members(now clock.Stamp) []Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +137,7 @@
 	return list
 }
 
-// LiveSeeds returns the other seeds from which a datagram came of late.
+// LiveSeeds returns the other seeds that are live and not leaving.
 func (p *Peers) LiveSeeds(now clock.Stamp) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,12 +150,12 @@
 	return list
 }
 
-// PeerWithFacts returns a live peer that has published facts; false says that there is none.
+// PeerWithFacts returns a live peer that holds published facts, or false if there is none.
 func (p *Peers) PeerWithFacts() (Member, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := clock.Now()
-	for a, x := range p.peers { // in random order: restarted entries don't all ask the same one
+	for a, x := range p.peers { // random map order spreads restarted entries over the peers
 		if x.isLive(now) && x.version > 0 && x.controlPort != 0 && !x.leaving {
 			return x.member(a), true
 		}
@@ -159,9 +163,9 @@
 	return Member{}, false
 }
 
-// PeerWithCacheIndex returns the control address of a live peer that knows what targets hold;
-// false says that there is none. Map order is random, so that restarted entries
-// don't all ask the same one.
+// PeerWithCacheIndex returns the control address of a live peer that has an index of cached
+// prefixes, or false if there is none. The random map order spreads restarted entries over the
+// peers.
 func (p *Peers) PeerWithCacheIndex() (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +188,8 @@
 	}
 }
 
-// addPeer notes an address; the caller holds the lock.
+// addPeer returns the peer at an address and adds it if necessary. It returns nil for the own
+// address and for an invalid one. The caller holds p.mu.
 func (p *Peers) addPeer(a netip.AddrPort) *peer {
 	if a == p.Self || !a.IsValid() {
 		return nil
@@ -198,18 +203,19 @@
 	return x
 }
 
-// resetCursor makes a peer one that has none of the news but for the latest. The caller holds
-// the lock.
+// resetCursor marks all events but the latest initialEvents as confirmed by the peer. The caller
+// holds p.mu.
 func (p *Peers) resetCursor(x *peer) {
 	end := p.events.end()
 	x.cursor = cursor{firstUnconfirmed: end - min(end, initialEvents)}
 }
 
-// quiet is the pause between datagrams to a silent peer.
 func (x *peer) member(a netip.AddrPort) Member {
 	return Member{Addr: a, ControlAddr: netip.AddrPortFrom(a.Addr(), x.controlPort), Link: x.link}
 }
 
+// probeInterval returns the pause before the next datagram to an unresponsive peer. It doubles with
+// each unanswered datagram.
 func (x *peer) probeInterval() time.Duration {
 	return min(minProbeInterval<<min(max(x.unanswered-1, 0), 8), maxProbeInterval)
 }
@@ -218,7 +224,8 @@
 	return x.lastSeen != 0 && now.Sub(x.lastSeen) <= livenessTimeout
 }
 
-// selectPeers numbers the report, and picks who gets it: those that got none for longest.
+// selectPeers assigns the report its sequence number and returns its recipients: the live peers and
+// the due probes whose last datagram is the oldest. It removes peers that exceed peerTTL.
 func (p *Peers) selectPeers(now clock.Stamp, r *Report) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -250,8 +257,8 @@
 	return to
 }
 
-// fanoutLimit is how many peers one round may reach, so that even the slowest pace keeps
-// the rate. The caller holds the lock.
+// fanoutLimit returns the number of peers per round at which even the longest round interval keeps
+// maxSendRate. The caller holds p.mu.
 func (p *Peers) fanoutLimit() int {
 	round := maxSendRate * maxRoundInterval.Seconds()
 	return min(max(int(round)/(p.lastReportSize+packetOverhead), minFanout), maxFanout)
@@ -266,7 +273,7 @@
 	return false
 }
 
-// samplePeers lists live peers but for one; the caller holds the lock.
+// samplePeers returns up to maxPeerAddrs live peers other than except. The caller holds p.mu.
 func (p *Peers) samplePeers(now clock.Stamp, except netip.AddrPort) []netip.AddrPort {
 	var list []netip.AddrPort
 	for a, x := range p.peers {
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -18,7 +18,7 @@
 	"chestnutstep.example/chestnutstep/clock"
 )
 
-// testDelegate tells and learns for one entry.
+// testDelegate supplies and records the reports of one entry.
 type testDelegate struct {
 	mu        sync.Mutex
 	loads     []Load
@@ -84,8 +84,9 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// Entries know one seed each, and the seed itself may be stale. All find each other;
-// an entry that nobody finds would divide budgets by too few.
+// TestEntriesFindEachOther guards against entries that do not find each other although each has a
+// chain of seeds of which one is stale. An entry that is missing from the membership would cause
+// budgets to be divided by too small a number.
 func TestEntriesFindEachOther(t *testing.T) {
 	stale := netip.MustParseAddrPort("127.0.0.1:9")
 	first, k := startPeers(t, stale)
@@ -97,17 +98,18 @@
 		last = p.Self
 	}
 	for i, k := range all {
-		waitUntil(t, func() bool { return k.reportCount() == 4 }, fmt.Sprintf("entry %d hears the four others", i))
+		waitUntil(t, func() bool { return k.reportCount() == 4 }, fmt.Sprintf("entry %d receives the reports of the four others", i))
 	}
 	first.SendLists(NewCacheList(3, []uint64{1, 2, 3}))
 	for _, k := range all[1:] {
-		waitUntil(t, func() bool { k.mu.Lock(); defer k.mu.Unlock(); return k.lists == 1 }, "the list is heard")
+		waitUntil(t, func() bool { k.mu.Lock(); defer k.mu.Unlock(); return k.lists == 1 }, "the list is received")
 	}
 }
 
-// A datagram is held up, or lies unread while the process is suspended. The moment
-// that it is taken to prove must not be later than it was made: a key that was taken
-// away since would live on. The echo of our own clock bounds it.
+// TestEchoBoundsReportTime guards against a report being taken as proof of a later time than that
+// of its creation. A datagram can be delayed, or lie unread while the process is suspended, and a
+// key revoked in the meantime would stay valid. The echo of the receiver's own clock bounds the
+// time.
 func TestEchoBoundsReportTime(t *testing.T) {
 	k := &testDelegate{reports: make(map[netip.AddrPort]*Report), notBefore: make(map[netip.AddrPort]clock.Stamp)}
 	self, from := netip.MustParseAddrPort("10.0.0.1:7"), netip.MustParseAddrPort("10.0.0.2:7")
@@ -116,16 +118,16 @@
 	const ms = clock.Stamp(time.Millisecond)
 	p.handleReport(1000*ms, &Report{From: from, Incarnation: 5, Sequence: 1, Echo: 400, EchoIncarnation: 11}, 10)
 	assert.Equal(t, k.notBefore[from], 400*ms)
-	// From another life of this process, or from a clock that began anew.
+	// An echo of another incarnation of this process, and one of a clock that restarted.
 	p.handleReport(1000*ms, &Report{From: from, Incarnation: 5, Sequence: 2, Echo: 900, EchoIncarnation: 10}, 10)
 	p.handleReport(1000*ms, &Report{From: from, Incarnation: 5, Sequence: 3, Echo: 2000, EchoIncarnation: 11}, 10)
 	assert.Equal(t, k.notBefore[from], 400*ms)
-	// One that comes after a later one of the same run is not taken at all.
+	// A report that arrives after a later one of the same incarnation is ignored.
 	p.handleReport(1000*ms, &Report{From: from, Incarnation: 5, Sequence: 2, Echo: 500, EchoIncarnation: 11}, 10)
 	assert.Equal(t, k.notBefore[from], 400*ms)
 }
 
-// Bytes that are no report, and reports cut short, do no harm.
+// TestDecodeAnything guards against a panic on arbitrary bytes and truncated reports.
 func TestDecodeAnything(t *testing.T) {
 	whole, err := encode(newReport(10, 16))
 	assert.NilError(t, err)
@@ -139,7 +141,7 @@
 	assert.DeepEqual(t, r.Loads, newReport(10, 16).Loads)
 }
 
-// newReport has loads at n targets, and holds of which some are news.
+// newReport returns a report with n loads and the given number of cached parts.
 func newReport(n, holds int) *Report {
 	r := &Report{From: netip.MustParseAddrPort("10.0.0.1:7340"), Incarnation: 1 << 30, Sequence: 1000, Sent: 1 << 31, Echo: 1 << 31, EchoIncarnation: 1 << 30, Version: 7}
 	for i := range n {
@@ -151,12 +153,13 @@
 	return r
 }
 
-// fleetSizes are those of a small installation, a grown one, and the planned one: peers,
-// targets with requests in progress, holds in a datagram.
+// fleetSizes are a small fleet, a medium one and the largest supported one: the number of peers,
+// targets with requests in progress, and cached parts per datagram.
 var fleetSizes = []struct{ peers, loads, holds int }{{4, 12, 16}, {23, 20, 8}, {349, 60, 8}}
 
-// A node may spend 26 KB a second on control, in a fleet of any size. An entry that
-// told all its peers all it knows would spend that on datagrams alone.
+// TestRoundIntervalKeepsTheRate guards against exceeding the budget of 26 KB/s for the control
+// traffic of a node. An entry that sent its whole state to all peers would use up the budget with
+// datagrams alone.
 func TestRoundIntervalKeepsTheRate(t *testing.T) {
 	for _, size := range fleetSizes {
 		b, err := encode(newReport(size.loads, size.holds))
@@ -166,12 +169,12 @@
 		round := recipients * (len(b) + packetOverhead)
 		pause := RoundInterval(round)
 		perSecond := float64(round) / pause.Seconds()
-		t.Logf("%d peers: %d bytes a datagram, %d told each %s, %.0f bytes a second", size.peers, len(b), recipients, pause, perSecond)
+		t.Logf("%d peers: %d bytes per datagram, %d recipients every %s, %.0f bytes/s", size.peers, len(b), recipients, pause, perSecond)
 		assert.Assert(t, perSecond <= 26_000, "%f", perSecond)
 	}
 }
 
-// BenchmarkRound is the processor time of one round of datagrams, without sockets.
+// BenchmarkRound measures the CPU time of one round of datagrams without sockets.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size.peers), func(b *testing.B) {
@@ -191,7 +194,8 @@
 	}
 }
 
-// A peer names an address at which nobody is. It is not asked for ever.
+// TestAddressWithoutEntryIsForgotten guards against sending datagrams indefinitely to an address
+// that a peer reported but at which no entry runs.
 func TestAddressWithoutEntryIsForgotten(t *testing.T) {
 	k := &testDelegate{reports: make(map[netip.AddrPort]*Report), notBefore: make(map[netip.AddrPort]clock.Stamp)}
 	self, deadAddr := netip.MustParseAddrPort("10.0.0.1:7"), netip.MustParseAddrPort("10.0.0.9:7")
@@ -203,7 +207,7 @@
 	assert.Assert(t, p.peers[deadAddr] == nil)
 }
 
-// recordingConn notes who is sent datagrams.
+// recordingConn records the recipients of datagrams.
 type recordingConn struct {
 	net.PacketConn
 	to []string
@@ -214,9 +218,10 @@
 	return len(b), nil
 }
 
-// An entry starts in a large fleet, in which each of its peers tells it something
-// every few seconds. Until one has, it knows nobody to ask for what it lost, and its
-// callers' prompts are read again. Peers answer its first word at once, and only that.
+// TestNewPeerIsAnsweredAtOnce guards against an entry that starts in a large fleet and waits
+// seconds for the regular reports of its peers. Until one arrives, it has no peer to copy lost
+// state from, and the prompts of its callers are prefilled again. Peers respond immediately to the
+// first datagram of an incarnation, and only to that one.
 func TestNewPeerIsAnsweredAtOnce(t *testing.T) {
 	k := &testDelegate{reports: make(map[netip.AddrPort]*Report), notBefore: make(map[netip.AddrPort]clock.Stamp)}
 	self, from := netip.MustParseAddrPort("10.0.0.1:7"), netip.MustParseAddrPort("10.0.0.2:7")
@@ -226,13 +231,13 @@
 	p.handleReport(clock.Now(), &Report{From: from, Incarnation: 5, Sequence: 1}, 10)
 	p.handleReport(clock.Now(), &Report{From: from, Incarnation: 5, Sequence: 2}, 10)
 	assert.DeepEqual(t, conn.to, []string{from.String()})
-	// It restarts.
+	// The peer restarts.
 	p.handleReport(clock.Now(), &Report{From: from, Incarnation: 6, Sequence: 1}, 10)
 	assert.Equal(t, len(conn.to), 2)
 }
 
-// TestCopiesAreBounded guards against a fleet that starts at once copying from the one entry that
-// knows, whose link is then full for seconds.
+// TestCopiesAreBounded guards against all entries of a starting fleet copying concurrently from the
+// only entry that has an index and saturating its link for seconds.
 func TestCopiesAreBounded(t *testing.T) {
 	hold := make(chan struct{})
 	c := &CacheServer{Lists: func() []CacheList { <-hold; return []CacheList{{Target: 1}} }}
