--- a/feed/choice.go
+++ b/feed/choice.go
@@ -11,27 +11,27 @@
 
 // Member is an entry of the fleet.
 type Member struct {
-	// ID is the address of its datagrams, which all entries know it by.
+	// ID is the address for its datagrams, which identifies it in the whole fleet.
 	ID netip.AddrPort
 	// FeedAddr is the address at which it serves its facts.
 	FeedAddr netip.AddrPort
-	// Link is the rate of its host's link in Mbit/s; 0 for an unknown one.
+	// Link is the link rate of its host in Mbit/s, 0 if unknown.
 	Link int
 }
 
-// Choice says where an entry reads.
+// Choice is where an entry reads facts from.
 type Choice struct {
-	// IsReader says that the entry is one of those that read the source itself.
+	// IsReader reports whether the entry reads the source itself.
 	IsReader bool
-	// Parents are the other readers, in the order in which this entry asks them.
+	// Parents holds the other readers, in the order in which this entry tries them.
 	Parents []Member
 }
 
-// Choose picks the readers of a fleet, so that entries that know the same members
-// choose the same ones, and orders them differently for each follower. Entries that know
-// different members choose too many readers or follow a follower: that costs calls and
-// age, and the age is checked. Hosts with the fastest links read: a reader passes each
-// configuration on to some 25 others, and one on a slow link keeps them waiting for seconds.
+// Choose selects the readers of a fleet. Entries with the same members select the same readers;
+// each follower has its own order of them. Entries with different members select too many readers,
+// or follow a follower: that costs calls and increases the age of facts, which is checked. Hosts
+// with the fastest links become readers, because a reader passes each configuration on to about 25
+// entries and a slow link would delay them by seconds.
 func Choose(self Member, members []Member) Choice {
 	n := Readers(len(members) + 1)
 	ranked := sortedBy(append([]Member{self}, members...), byLink)
@@ -46,13 +46,14 @@
 	return c
 }
 
-// byLink orders members by the class of their links, the fastest first, and by a hash in each.
+// byLink returns a sort key: the class of the link, fastest first, then a hash of the ID.
 func byLink(m Member) (class int, hash uint64) { return -linkClass(m.Link), hashAddr(m.ID) }
 
-// linkClass is the same for links whose rates differ by less than a factor of four or so.
+// linkClass returns the class of a link rate. Rates of one class differ by less than a factor of
+// four.
 func linkClass(rate int) int { return bits.Len(uint(max(rate, 0))) / 2 }
 
-// sortedBy returns the members in the order of a class and a hash.
+// sortedBy returns the members sorted by class and then by hash.
 func sortedBy(members []Member, order func(Member) (class int, hash uint64)) []Member {
 	type ordered struct {
 		Member
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -31,20 +31,20 @@
 
 func TestMain(m *testing.M) { script.Main(m, 200) }
 
-// bound is the time in which a change has to be in force.
+// bound is the time within which a change must be in force.
 const bound = 2 * time.Second
 
-// fleet is entries that read one store, each through a door of its own.
+// fleet is a set of entries that read one store, each through its own door.
 type fleet struct {
 	store   *stand.Store
 	entries []*entry
-	// seeds is how many entries list the store at once when all start; 0 for all.
+	// seeds is the number of entries that list the store immediately at the start; 0 for all.
 	seeds int
-	// dial opens connections; link.Dial if nil.
+	// dial opens connections; nil for link.Dial.
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// entry is what an entry of a fleet needs to read facts.
+// entry holds the parts of an entry that read and serve facts.
 type entry struct {
 	id     netip.AddrPort
 	door   *stand.Door
@@ -61,7 +61,7 @@
 	return feed.Member{ID: e.id, FeedAddr: netip.MustParseAddrPort(strings.TrimPrefix(e.server.URL, "http://"))}
 }
 
-// ServeHTTP serves the entry's facts, or nothing while it is silent.
+// ServeHTTP serves the entry's facts, or does not respond while the entry is unresponsive.
 func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	unresponsive := e.unresponsive
@@ -97,7 +97,7 @@
 	return f
 }
 
-// startAll starts the entries.
+// startAll starts n entries and waits until each has read the facts.
 func (f *fleet) startAll(t *testing.T, n int) {
 	t.Helper()
 	for i := range n {
@@ -160,7 +160,7 @@
 	return list
 }
 
-// entryWithFacts returns an entry that has facts.
+// entryWithFacts returns a random other entry that has facts.
 func (f *fleet) entryWithFacts(e *entry) (feed.Member, bool) {
 	for _, i := range rand.Perm(len(f.entries)) {
 		if x := f.entries[i]; x != e && x.roster.View() != nil {
@@ -170,7 +170,7 @@
 	return feed.Member{}, false
 }
 
-// copyTimeout is none for seeds, and longer than any test for the others.
+// copyTimeout returns 0 for seeds and a time longer than any test for other entries.
 func (f *fleet) copyTimeout(e *entry) time.Duration {
 	if slices.Index(f.entries, e) < f.seeds {
 		return 0
@@ -186,16 +186,16 @@
 	f.store.Put("servers/"+id, map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "z", "slots": 4, "state": state})
 }
 
-// addReadyTarget lets a target join and waits until all entries know it.
+// addReadyTarget adds a target and waits until all entries have read it.
 func (f *fleet) addReadyTarget(t *testing.T, id string) {
 	t.Helper()
 	f.putTarget(id, "ready")
 	for _, e := range f.entries {
-		waitUntil(t, func() bool { return e.roster.View().ByID[id] != nil }, "the target is known")
+		waitUntil(t, func() bool { return e.roster.View().ByID[id] != nil }, "the target is listed")
 	}
 }
 
-// readers are the entries that read the store.
+// readers returns the entries that read the store.
 func (f *fleet) readers() []*entry {
 	var list []*entry
 	for _, e := range f.entries {
@@ -224,8 +224,8 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// TestChangeCostsCallsOfReadersOnly guards against a change that costs a call of the store by
-// every entry of the fleet.
+// TestChangeCostsCallsOfReadersOnly guards against a change that costs a call of the store by every
+// entry of the fleet.
 func TestChangeCostsCallsOfReadersOnly(t *testing.T) {
 	const entries, changes = 24, 8
 	f := newFleet(t, entries)
@@ -239,7 +239,7 @@
 		}
 	}
 	for _, e := range f.entries {
-		waitUntil(t, func() bool { return len(e.roster.View().ByID) == changes }, "all targets are known")
+		waitUntil(t, func() bool { return len(e.roster.View().ByID) == changes }, "all targets are listed")
 		assert.Equal(t, e.losses(), 0)
 	}
 	timing := feed.NewTiming(bound)
@@ -248,8 +248,9 @@
 	assert.Assert(t, calls <= 2*perReader, "%d calls in %s", calls, time.Since(began))
 }
 
-// TestFleetThatStartsListsTheStoreOnce guards against a fleet that starts at one moment and lists the store by every
-// entry: its link is the bottleneck, and callers are refused until the lists are there.
+// TestFleetThatStartsListsTheStoreOnce guards against every entry of a fleet that starts at once
+// listing the store: the link of the store becomes the bottleneck, and callers are rejected until
+// the lists have arrived.
 func TestFleetThatStartsListsTheStoreOnce(t *testing.T) {
 	const entries, targets = 40, 300
 	f := &fleet{store: stand.NewStore(), seeds: 2}
@@ -259,7 +260,7 @@
 	}
 	f.startAll(t, entries)
 	for _, e := range f.entries {
-		waitUntil(t, func() bool { return len(e.roster.View().ByID) == targets }, "all targets are known")
+		waitUntil(t, func() bool { return len(e.roster.View().ByID) == targets }, "all targets are listed")
 	}
 	listed := 0
 	for _, e := range f.entries {
@@ -270,7 +271,8 @@
 	assert.Equal(t, listed, f.seeds)
 }
 
-// TestCopiesOfFactsAreBounded guards against an entry whose link is taken by copies for all others.
+// TestCopiesOfFactsAreBounded guards against an entry whose link is saturated by copies for all
+// other entries.
 func TestCopiesOfFactsAreBounded(t *testing.T) {
 	f := newFleet(t, 1)
 	release := make(chan struct{})
@@ -294,7 +296,7 @@
 	assert.Equal(t, w.Code, http.StatusOK)
 }
 
-// blockedWriter is a peer that reads nothing until it is released.
+// blockedWriter is the response writer of a peer that reads nothing until it is released.
 type blockedWriter struct {
 	*httptest.ResponseRecorder
 	blocked, release chan struct{}
@@ -307,8 +309,8 @@
 }
 
 // TestFollowersSurviveReaderFailures guards against followers that rely on readers which are
-// silent, ended, or cut off from the store without noticing it: a target that leaves then
-// goes on getting requests.
+// unresponsive, stopped, or cut off from the store without noticing: a leaving target would still
+// get requests.
 func TestFollowersSurviveReaderFailures(t *testing.T) {
 	for name, fail := range map[string]func(e *entry){
 		"silent": func(e *entry) {
@@ -334,9 +336,9 @@
 				if name == "cut off" && isOneOf(e, readers) {
 					continue
 				}
-				waitUntil(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target's leaving is known")
+				waitUntil(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target is leaving")
 			}
-			t.Logf("known after %s", time.Since(began))
+			t.Logf("read by all after %s", time.Since(began))
 		})
 	}
 }
@@ -350,9 +352,9 @@
 	return false
 }
 
-// TestProofIsNeverNewerThanTheStoresAnswer guards against entries that take each other's
-// word in a circle: with the store silent for all, proofs must age, or a key that was taken
-// away lives on.
+// TestProofIsNeverNewerThanTheStoresAnswer guards against entries that confirm each other's facts
+// in a cycle. While the store is unresponsive for all entries, proofs must age; otherwise a revoked
+// key stays valid.
 func TestProofIsNeverNewerThanTheStoresAnswer(t *testing.T) {
 	f := newFleet(t, 8)
 	for _, e := range f.entries {
@@ -364,7 +366,7 @@
 	for _, e := range f.entries {
 		for topic := range chestnutstep.TopicCount {
 			proof := e.roster.Proof(topic)
-			assert.Assert(t, proof <= cut, "%s proved %s after the store fell silent", topic, proof.Sub(cut))
+			assert.Assert(t, proof <= cut, "%s proved %s after the store became unresponsive", topic, proof.Sub(cut))
 		}
 		assert.Equal(t, e.roster.Version(), uint64(1))
 	}
@@ -376,15 +378,15 @@
 	}
 }
 
-// TestStoreForgetsItsHistory guards against followers that miss what was removed while the
-// readers could not follow the history.
+// TestStoreForgetsItsHistory guards against followers that miss a removal because the store
+// compacted its history while the readers could not read it.
 func TestStoreForgetsItsHistory(t *testing.T) {
 	f := newFleet(t, 8)
 	for _, id := range []string{"i-a", "i-b"} {
 		f.putTarget(id, "ready")
 	}
 	for _, e := range f.entries {
-		waitUntil(t, func() bool { return len(e.roster.View().ByID) == 2 }, "the targets are known")
+		waitUntil(t, func() bool { return len(e.roster.View().ByID) == 2 }, "the targets are listed")
 		e.door.Set(stand.Reset)
 	}
 	f.store.Remove("servers/i-a")
@@ -403,8 +405,8 @@
 	}
 }
 
-// TestSomeEntriesAreRejectedByStore guards against entries that go without facts while the store turns
-// them away and serves others.
+// TestSomeEntriesAreRejectedByStore guards against entries without current facts while the store
+// rejects them and serves others.
 func TestSomeEntriesAreRejectedByStore(t *testing.T) {
 	f := newFleet(t, 12)
 	readers := f.readers()
@@ -424,11 +426,12 @@
 		time.Sleep(bound / 4)
 	}
 	calls := readers[0].door.Calls() - before
-	assert.Assert(t, calls <= 3+2*int(time.Since(began)/time.Second), "%d calls of an entry that is turned away", calls)
+	assert.Assert(t, calls <= 3+2*int(time.Since(began)/time.Second), "%d calls of a rejected entry", calls)
 }
 
-// TestChoose plays fleets of all sizes: all entries choose the same readers, followers are
-// spread over them, and an entry that knows fewer members chooses more readers, not fewer.
+// TestChoose guards against entries of a fleet that select different readers, against followers
+// concentrated on one reader, and against an entry with an incomplete list of members that selects
+// fewer readers than the others.
 func TestChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 180).Draw(t, "entries")
@@ -443,7 +446,7 @@
 			if c.IsReader {
 				readers++
 				few := feed.Choose(m, others[:len(others)/2])
-				assert.Assert(t, few.IsReader || n > 25, "a reader that knows half of the others reads")
+				assert.Assert(t, few.IsReader || n > 25, "a reader with half of the members is no longer a reader")
 				continue
 			}
 			followers[c.Parents[0].ID]++
@@ -455,7 +458,8 @@
 	})
 }
 
-// TestHostsWithFastLinksAreReaders guards against a reader whose link keeps all that follow it waiting.
+// TestHostsWithFastLinksAreReaders guards against a reader with a slow link that delays all its
+// followers.
 func TestHostsWithFastLinksAreReaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 180).Draw(t, "entries")
@@ -479,8 +483,8 @@
 	})
 }
 
-// TestTiming guards against times that leave no room for a reader's failure within the bound,
-// and against calls that grow with the fleet.
+// TestTiming guards against times that leave no room for the failure of a reader within the bound,
+// and against a number of calls that grows with the fleet.
 func TestTiming(t *testing.T) {
 	for _, within := range []time.Duration{0, time.Second, 2 * time.Second, 4 * time.Second, 15 * time.Second} {
 		p := feed.NewTiming(within)
--- a/feed/page.go
+++ b/feed/page.go
@@ -1,8 +1,8 @@
-// Package feed spreads published facts from a few entries that read the source to all
-// others. Each entry serves the facts that it holds, with their age; a follower watches one
-// of the readers in place of the source, and reads the source itself as soon as no reader's
-// answer is fresh enough. Revisions are the source's own, so that an entry goes on from any
-// of them.
+// Package feed distributes published facts from a few entries that read the source, the readers, to
+// all other entries, the followers. Each entry serves the facts that it holds together with their
+// age. A follower watches one of the readers instead of the source, and reads the source itself as
+// soon as no reader's response is fresh enough. Revisions are those of the source, so that an entry
+// can continue from any reader.
 package feed
 
 import (
@@ -24,35 +24,35 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// Path of the watch that an entry serves to its peers. Its query holds "topic", "after", a
-// revision (0 for all facts), "wait" and "fresh", both in milliseconds, and "direct", which
-// asks for the facts of an entry that reads the source itself.
+// Path is the HTTP path at which an entry serves facts to its peers. The query has the parameters
+// "topic"; "after", a revision (0 for all facts); "wait" and "fresh", both in milliseconds; and
+// "direct", which requests facts only from an entry that reads the source itself.
 const Path = "/feed"
 
-// Headers of an answer, beside a body of published facts.
+// Headers of a response, whose body is a list of published facts.
 const (
-	// headerAge is the age that the facts had when the request came, if nothing changed
-	// since, and headerSettle the time for which missing instances may come back, in
-	// milliseconds.
+	// headerAge is the age of the facts at the arrival of the request, provided that nothing has
+	// changed since. headerSettle is the time within which missing instances can return. Both are
+	// in milliseconds.
 	headerAge    = "Feed-Age"
 	headerSettle = "Feed-Settle"
-	// headerRevision is that up to which the facts are.
+	// headerRevision is the revision up to which the facts are complete.
 	headerRevision = "Feed-Revision"
-	// headerCompressed is set where the body is compressed.
+	// headerCompressed is set if the body is compressed.
 	headerCompressed = "Feed-Packed"
 )
 
-// minCompressSize is the size in bytes from which on a body is compressed.
+// minCompressSize is the minimum size in bytes of a body that is compressed.
 const minCompressSize = 2 << 10
 
-// page is an answer.
+// page is a decoded response.
 type page struct {
 	age, settle time.Duration
 	revision    uint64
 	facts       []publishedFact
 }
 
-// publishedFact is a fact as it was published.
+// publishedFact is a fact in the form in which it was published.
 type publishedFact struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     uint8
@@ -62,17 +62,18 @@
 	Raw      []byte
 }
 
-// maxCopies is how many peers get all facts at a time: a copy may take a good part of a
-// second of a host's link, and whoever has one can give it to the others.
+// maxCopies is the number of peers that can get all facts concurrently. A copy can take a
+// considerable part of a second of a host's link, and a peer that has received one can serve
+// others.
 const maxCopies = 2
 
-// Server answers peers that follow this entry. Set the fields before use.
+// Server serves the facts of this entry to its followers. Its fields must be set before use.
 type Server struct {
 	Roster *roster.Roster
 
 	activeCopies atomic.Int32
 	mu           sync.Mutex
-	// latest is the newest body of each topic, which most followers ask for.
+	// latest holds the most recent body of each topic, which most followers request.
 	latest [chestnutstep.TopicCount]body
 }
 
@@ -83,7 +84,7 @@
 	compressed      bool
 }
 
-// request is what a peer asks for.
+// request holds the parameters of a peer's request.
 type request struct {
 	topic        chestnutstep.Topic
 	after        uint64
@@ -104,9 +105,10 @@
 	return r, nil
 }
 
-// ServeHTTP answers with the facts after a revision as soon as there are any. It answers
-// 503 while nothing is known, too many ask for all, or this entry has no news and can't follow
-// the source itself; and 410 where the revision is too old.
+// ServeHTTP responds with the facts after a revision as soon as there are any. It responds with 503
+// while the entry has no facts, while maxCopies peers get all facts, and if there are no changes
+// and the entry cannot follow the source itself. It responds with 410 if the history since the
+// revision is no longer available.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req, err := parseRequest(r.URL.Query())
 	if err != nil {
@@ -130,7 +132,8 @@
 	s.respond(w, req, requestedAt)
 }
 
-// waitForChanges waits for news as long as the peer does and the facts here stay fresh.
+// waitForChanges waits for changes until the wait of the request is over or the facts exceed the
+// requested age.
 func (s *Server) waitForChanges(req request, requestedAt clock.Stamp, done <-chan struct{}) {
 	for end := requestedAt.Add(req.wait); !s.hasChanges(req); {
 		now := clock.Now()
@@ -147,12 +150,13 @@
 	}
 }
 
-// hasChanges says whether the peer gets its answer at once.
+// hasChanges reports whether the request can be answered without waiting: there are changes, or no
+// more will come because this entry does not follow the source.
 func (s *Server) hasChanges(req request) bool {
 	return s.Roster.HasNewer(req.topic, req.after) || !s.Roster.IsFollowing(req.topic, req.direct)
 }
 
-// respond writes what is known.
+// respond writes the facts after the requested revision.
 func (s *Server) respond(w http.ResponseWriter, req request, requestedAt clock.Stamp) {
 	age := max(s.age(requestedAt, req.topic), time.Millisecond)
 	b, ok := s.Roster.Since(clock.Now(), req.topic, req.after)
@@ -170,18 +174,18 @@
 		return
 	}
 	h := w.Header()
-	h["Date"] = nil // saves bytes: followers ask all the time
+	h["Date"] = nil // saves bytes: followers send requests continually
 	h.Set(headerAge, strconv.FormatInt(age.Milliseconds()+1, 10))
 	h.Set(headerSettle, strconv.FormatInt(b.SettleTime.Milliseconds(), 10))
 	h.Set(headerRevision, strconv.FormatUint(b.Revision, 10))
 	if encoded.compressed {
 		h.Set(headerCompressed, "1")
 	}
-	// An error here is the reader's: it sees that the answer is cut.
+	// A failed write needs no handling here: the peer detects the truncated response.
 	_, _ = w.Write(encoded.raw)
 }
 
-// encode returns the body of an answer. It is the same for all followers that are as far.
+// encode returns the body of a response. The body is cached for all followers at the same revision.
 func (s *Server) encode(req request, b chestnutstep.Batch) (body, error) {
 	if len(b.Facts) == 0 {
 		return body{}, nil
@@ -207,19 +211,20 @@
 	return *last, nil
 }
 
-// compress compresses.
+// compress returns the DEFLATE encoding of raw.
 func compress(raw []byte) []byte {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is a valid one
+		panic(err) // unreachable: the level is valid
 	}
-	_, _ = w.Write(raw) // a bytes.Buffer takes all
+	_, _ = w.Write(raw) // writes to a bytes.Buffer do not fail
 	_ = w.Close()
 	return b.Bytes()
 }
 
-// decode reads an answer.
+// decode parses a response. Its input is untrusted: it returns an error for a missing revision or
+// age, or a body that is not a valid list of facts.
 func decode(h http.Header, raw []byte) (*page, error) {
 	p := &page{age: parseMilliseconds(h.Get(headerAge)), settle: parseMilliseconds(h.Get(headerSettle))}
 	var err error
@@ -231,7 +236,7 @@
 	}
 	if h.Get(headerCompressed) != "" {
 		if raw, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), maxPageSize)); err != nil {
-			return nil, errors.Wrap(err, "unpack facts")
+			return nil, errors.Wrap(err, "decompress facts")
 		}
 	}
 	if len(raw) == 0 {
@@ -240,12 +245,12 @@
 	return p, errors.Wrap(cbor.Unmarshal(raw, &p.facts), "decode facts")
 }
 
-// age is how old the facts of a topic were at a moment.
+// age returns the age of the facts of a topic at a time.
 func (s *Server) age(at clock.Stamp, t chestnutstep.Topic) time.Duration {
 	return at.Sub(s.Roster.Proof(t))
 }
 
-// parseMilliseconds reads a number of a query; 0 for one that can't be read.
+// parseMilliseconds parses a number of milliseconds. It returns 0 if text is not a valid number.
 func parseMilliseconds(text string) time.Duration {
 	n, err := strconv.ParseInt(text, 10, 32)
 	if err != nil {
--- a/feed/page_test.go
+++ b/feed/page_test.go
@@ -15,7 +15,8 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// TestDecodeAnything guards against answers that are cut or no answers at all.
+// TestDecodeAnything guards against a panic or wrong facts on truncated responses and arbitrary
+// bytes.
 func TestDecodeAnything(t *testing.T) {
 	s := &Server{Roster: &roster.Roster{}}
 	facts := []chestnutstep.Fact{{Kind: chestnutstep.FactRouting, Revision: 7, Raw: []byte(strings.Repeat("configuration ", 1000))}}
@@ -39,14 +40,15 @@
 	})
 }
 
-// requestTargets asks a server for targets and returns the status.
+// requestTargets requests targets from a server and returns the status.
 func requestTargets(s *Server, query string) int {
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(http.MethodGet, Path+"?topic=targets&"+query, nil))
 	return w.Code
 }
 
-// TestLostReaderRejectsFollowers guards against followers that wait for news from a reader that gets none itself.
+// TestLostReaderRejectsFollowers guards against followers that wait for changes from a reader that
+// gets none itself.
 func TestLostReaderRejectsFollowers(t *testing.T) {
 	s := &Server{Roster: &roster.Roster{}}
 	s.Roster.Apply(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 3}, true)
@@ -60,10 +62,11 @@
 	removed := chestnutstep.Fact{Kind: chestnutstep.FactInstance, Name: "i-a", Revision: 4, Deleted: true}
 	s.Roster.Apply(clock.Now(), chestnutstep.TopicTargets, chestnutstep.Batch{Revision: 4, Facts: []chestnutstep.Fact{removed}}, false)
 	s.Roster.MarkLost(chestnutstep.TopicTargets)
-	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusOK, "news are given all the same")
+	assert.Equal(t, requestTargets(s, "after=3&wait=3600000&fresh=7200000"), http.StatusOK, "changes are served regardless")
 }
 
-// TestReadersDoNotFollowEachOther guards against readers that have lost the source and wait for each other's news.
+// TestReadersDoNotFollowEachOther guards against readers that have lost the source and wait for
+// each other's changes.
 func TestReadersDoNotFollowEachOther(t *testing.T) {
 	s := &Server{Roster: &roster.Roster{}}
 	follower := chestnutstep.Batch{Revision: 3, Age: time.Millisecond}
--- a/feed/ask.go
+++ b/feed/read.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	// maxPageSize bounds an answer in bytes: the largest configuration and the list of
-	// thousands of targets, with room.
+	// maxPageSize is the maximum size of a response body in bytes. It leaves room beyond the
+	// largest configuration and the list of thousands of targets.
 	maxPageSize = 8 << 20
-	// idleTimeout is the longest pause in the middle of a reader's answer.
+	// idleTimeout is the longest pause within the response of a reader.
 	idleTimeout = time.Second
 )
 
-// Read is one call of a reader or of the source.
+// Read describes one completed call of a reader or of the source.
 type Read struct {
-	// Peer that was asked; not valid for the source itself.
+	// Peer is the reader that was called; not valid for a call of the source.
 	Peer netip.AddrPort
-	// After is the revision that the changes were asked after; 0 asks for all facts.
+	// After is the revision after which changes were requested; 0 requests all facts.
 	After    uint64
 	Batch    chestnutstep.Batch
 	Duration time.Duration
 	Err      error
 }
 
-// ErrStale is the error of facts that are too old to rely on.
+// ErrStale is the error of a read whose facts exceed the maximum age.
 type ErrStale struct{ Age time.Duration }
 
-// Error states the age.
+// Error returns a text with the age.
 func (err ErrStale) Error() string { return "facts are " + err.Age.String() + " old" }
 
-// ErrStatus is the error of a reader that has no answer.
+// ErrStatus is the error of a reader's response with a status other than 200.
 type ErrStatus struct {
 	Status int
 	Reason string
 }
 
-// Error states the status and the reason.
+// Error returns a text with the status and the reason.
 func (err ErrStatus) Error() string { return fmt.Sprintf("status %d: %s", err.Status, err.Reason) }
 
-// query is what a reader is asked for.
+// query holds the parameters of a read from a reader.
 type query struct {
 	after  uint64
 	wait   time.Duration
 	direct bool
 }
 
-// readFromPeer reads from one reader. Facts that are too old are an error, and are returned.
+// readFromPeer reads from one reader. Facts that are too old are returned together with an
+// ErrStale.
 func (s *Source) readFromPeer(ctx context.Context, m Member, q query) (chestnutstep.Batch, error) {
 	timing := s.Timing()
 	requestedAt := clock.Now()
@@ -95,7 +96,7 @@
 	return b, nil
 }
 
-// reportRead reports a call, unless it found that nothing has changed.
+// reportRead passes a call to OnRead unless it succeeded without changes.
 func (s *Source) reportRead(r Read) {
 	if s.OnRead != nil && (r.Err != nil || len(r.Batch.Facts) > 0) {
 		s.OnRead(r)
--- a/feed/late_test.go
+++ b/feed/slowlink_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// slowRate is that of an entry's link, in bytes a second.
+	// slowRate is the rate of an entry's link in bytes per second.
 	slowRate = 200 << 10
-	// largeRoutes make a configuration of a megabyte.
+	// largeRoutes is the number of routes of a configuration of about 1 MB.
 	largeRoutes = 4500
 )
 
-// slowConn takes in no more than slowRate.
+// slowConn limits reads to slowRate.
 type slowConn struct{ net.Conn }
 
 func (c slowConn) Read(b []byte) (int, error) {
@@ -39,7 +39,7 @@
 	return slowConn{c}, nil
 }
 
-// newSlowFleet is a fleet whose links are slow.
+// newSlowFleet starts a fleet whose entries have slow links.
 func newSlowFleet(t *testing.T, n int) *fleet {
 	t.Helper()
 	f := &fleet{store: stand.NewStore(), dial: dialSlow}
@@ -48,7 +48,7 @@
 	return f
 }
 
-// publishLarge publishes a configuration that takes each entry's link for seconds.
+// publishLarge publishes a configuration whose transfer occupies each entry's link for seconds.
 func (f *fleet) publishLarge(version int) {
 	routes := make([]map[string]any, largeRoutes)
 	for i := range routes {
@@ -61,20 +61,21 @@
 	f.store.Put("op/config", map[string]any{"version": version, "services": []any{map[string]any{"name": "s"}}, "routes": routes})
 }
 
-// TestLargeConfigurationDoesNotDelayTargets guards against a target's leaving that is read only after a large configuration
-// which was published before it.
+// TestLargeConfigurationDoesNotDelayTargets guards against the leaving of a target being read only
+// after a large configuration that was published before it.
 func TestLargeConfigurationDoesNotDelayTargets(t *testing.T) {
 	f := newSlowFleet(t, 12)
 	f.addReadyTarget(t, "i-a")
 	f.publishLarge(2)
 	f.putTarget("i-a", "draining")
 	for _, e := range f.entries {
-		waitUntil(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target's leaving is known")
+		waitUntil(t, func() bool { return e.roster.View().ByID["i-a"].Leaving }, "the target is leaving")
 		assert.Equal(t, e.roster.Version(), uint64(1), "the configuration came first")
 	}
 }
 
-// TestLargeConfigurationTransferCompletes guards against a transfer that is given up while bytes arrive, and begun anew for ever.
+// TestLargeConfigurationTransferCompletes guards against a transfer that is aborted while bytes
+// still arrive, and restarted endlessly.
 func TestLargeConfigurationTransferCompletes(t *testing.T) {
 	f := newSlowFleet(t, 6)
 	f.publishLarge(2)
@@ -83,8 +84,9 @@
 	}
 }
 
-// TestRemovedTargetIsDroppedWhileReadersAreRejected guards against entries that take the loss of their readers, or
-// their own, for an outage in which entries of sound targets lapse: a target that is gone goes on getting requests.
+// TestRemovedTargetIsDroppedWhileReadersAreRejected guards against entries that treat the loss of
+// their readers, or their own rejection, as an outage during which the records of healthy targets
+// expire: a removed target would still get requests.
 func TestRemovedTargetIsDroppedWhileReadersAreRejected(t *testing.T) {
 	f := newFleet(t, 12)
 	f.addReadyTarget(t, "i-a")
@@ -97,13 +99,14 @@
 	f.store.Remove("servers/i-a")
 	f.putTarget("i-later", "ready")
 	for _, e := range f.entries {
-		waitUntil(t, func() bool { return e.roster.View().ByID["i-later"] != nil }, "what changed later is known")
+		waitUntil(t, func() bool { return e.roster.View().ByID["i-later"] != nil }, "the later change is read")
 		assert.Assert(t, e.roster.View().ByID["i-a"] == nil, "%s still uses the removed target", e.id)
 	}
 }
 
-// TestVersionReportsDoNotConfirmTargets guards against a reader that is cut off from the source, and whose targets pass
-// for known because other entries report its version of the configuration.
+// TestVersionReportsDoNotConfirmTargets guards against a reader that is cut off from the source and
+// counts its list of targets as current because other entries report the same configuration
+// version.
 func TestVersionReportsDoNotConfirmTargets(t *testing.T) {
 	f := newFleet(t, 12)
 	f.addReadyTarget(t, "i-a")
@@ -121,6 +124,6 @@
 				x.roster.ConfirmVersion(clock.Now())
 			}
 			return e.roster.View().ByID["i-a"].Leaving
-		}, "the target's leaving is known")
+		}, "the target is leaving")
 	}
 }
--- a/feed/source.go
+++ b/feed/source.go
@@ -15,64 +15,64 @@
 )
 
 const (
-	// failedPeerBackoff is how long a peer is not asked that failed, and avoidStale one whose facts
-	// were too old.
+	// failedPeerBackoff is how long a peer is not called after a failure, and stalePeerBackoff
+	// after facts that were too old.
 	failedPeerBackoff = 3 * time.Second
 	stalePeerBackoff  = time.Second
-	// maxParentAttempts bounds the readers that are asked before the source is.
+	// maxParentAttempts is the number of readers tried before the source.
 	maxParentAttempts = 2
-	// copyPollInterval is how often an entry without facts looks for a peer that has some.
+	// copyPollInterval is how often an entry without facts checks for a peer that has some.
 	copyPollInterval = 10 * time.Millisecond
-	// listTimeout bounds the fetching of all facts.
+	// listTimeout bounds the reading of all facts.
 	listTimeout = 2 * time.Second
-	// idleConnTimeout is how long a connection to a reader is kept between two calls.
+	// idleConnTimeout is how long an idle connection to a reader is kept.
 	idleConnTimeout = 5 * time.Second
 )
 
-// Source reads the facts of a topic from a reader or from the source of all; it implements
-// chestnutstep.Source. Set the fields before the first call.
+// Source reads the facts of a topic from a reader or from the underlying source; it implements
+// chestnutstep.Source. Its exported fields must be set before the first call.
 type Source struct {
 	Topic   chestnutstep.Topic
 	Source  chestnutstep.Source
 	Decoder chestnutstep.Decoder
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	// Self is this entry, and Members the others.
+	// Self is this entry. Members returns the other entries.
 	Self    Member
 	Members func() []Member
-	// Timing in force.
+	// Timing returns the intervals in force.
 	Timing func() Timing
-	// Empty reports whether this entry holds no facts of the topic: old ones are better.
+	// Empty reports whether this entry has no facts of the topic. Old facts are preferred to none.
 	Empty func() bool
-	// PeerWithFacts returns a peer that holds facts, and CopyWait is for how long after its start an
-	// entry without facts waits for one before it lists the source. Nil for never.
+	// PeerWithFacts returns a peer that has facts. CopyTimeout returns how long after its start an
+	// entry without facts waits for such a peer before it lists the source. Nil disables copies.
 	PeerWithFacts func() (Member, bool)
 	CopyTimeout   func() time.Duration
-	// OnParent is called when the entry follows another reader, or none: then parent is
-	// not valid. Err is what was wrong with the one before.
+	// OnParent is called when the entry follows another reader, or the source itself; parent is not
+	// valid in the latter case. err is the failure of the previous reader.
 	OnParent func(parent netip.AddrPort, err error)
-	// OnRead is called for each call that brought changes or failed.
+	// OnRead is called for each call that returned changes or failed.
 	OnRead func(Read)
-	// Breaker to the source; shared by the topics of one source.
+	// Breaker suspends calls of the source; it is shared by the topics of one source.
 	Breaker *Breaker
 
 	once   sync.Once
 	client *http.Client
-	// backoffUntil gives until when a peer is not asked.
+	// backoffUntil holds the time until which a peer is not called.
 	backoffUntil map[netip.AddrPort]clock.Stamp
 	parent       netip.AddrPort
 	parentErr    error
-	// copyDone says that the wait for a peer's copy is over.
+	// copyDone reports whether the wait for a copy from a peer is over.
 	copyDone bool
 }
 
 var _ chestnutstep.Source = (*Source)(nil)
 
-// List reads all facts.
+// List reads all facts from a peer or from the source.
 func (s *Source) List(ctx context.Context) (chestnutstep.Batch, error) {
 	return s.read(ctx, 0, listTimeout, s.Source.List)
 }
 
-// Watch waits until there are changes after a revision, or the time is over.
+// Watch waits until there are changes after a revision, or the wait is over.
 func (s *Source) Watch(ctx context.Context, after uint64, wait time.Duration) (chestnutstep.Batch, error) {
 	return s.read(ctx, after, min(wait, s.Timing().peerWait(s.Topic)), func(ctx context.Context) (chestnutstep.Batch, error) {
 		return s.Source.Watch(ctx, after, wait)
@@ -82,8 +82,9 @@
 // sourceCall reads from the source itself.
 type sourceCall func(context.Context) (chestnutstep.Batch, error)
 
-// read asks the source first or the readers first, and the others if that fails. That the
-// history is gone only the source itself can say: a reader that has just started knows less.
+// read calls the source first for a reader or an entry without facts, and the readers first
+// otherwise. If the first choice fails, it tries the other one. Only the source can report a gap in
+// the history, because a reader that has just started has less of it.
 func (s *Source) read(ctx context.Context, after uint64, wait time.Duration, call sourceCall) (chestnutstep.Batch, error) {
 	s.once.Do(s.initialize)
 	if s.PeerWithFacts != nil && s.Empty() {
@@ -116,9 +117,9 @@
 	return b, err
 }
 
-// copy takes all facts from a peer. Where all entries of a large fleet start at the same
-// moment, each would list the source: hundreds of lists of thousands of targets take seconds of
-// its link, and callers are refused until the list is there.
+// copy reads all facts from a peer. If all entries of a large fleet started at the same time and
+// each listed the source, hundreds of lists of thousands of targets would occupy its link for
+// seconds, and callers would be rejected until the list has arrived.
 func (s *Source) copy(ctx context.Context) (chestnutstep.Batch, bool) {
 	for start := clock.Now(); ctx.Err() == nil; clock.Sleep(ctx, copyPollInterval) {
 		if m, ok := s.PeerWithFacts(); ok {
@@ -127,7 +128,7 @@
 				s.setParent(m.ID)
 				return b, true
 			}
-			s.parentErr = errors.Wrapf(err, "copy of %s", m.ID)
+			s.parentErr = errors.Wrapf(err, "copy from %s", m.ID)
 		}
 		if s.copyDone || clock.Now().Sub(start) >= s.CopyTimeout() {
 			break
@@ -144,7 +145,7 @@
 	}}
 }
 
-// availableMembers are the other entries but for those that are avoided.
+// availableMembers returns the other entries except those in backoff.
 func (s *Source) availableMembers(now clock.Stamp) []Member {
 	var list []Member
 	for _, m := range s.Members() {
@@ -160,7 +161,7 @@
 	return list
 }
 
-// readSource asks the source itself.
+// readSource reads from the source itself.
 func (s *Source) readSource(ctx context.Context, after uint64, call sourceCall) (chestnutstep.Batch, error) {
 	requestedAt := clock.Now()
 	b, err := call(ctx)
@@ -171,10 +172,11 @@
 	return b, err
 }
 
-// readFromParents asks the first few readers. The error is that of the last one. A reader that can't
-// read the source itself follows one that can: two that follow each other would wait in vain.
+// readFromParents tries the first maxParentAttempts readers. The error is that of the last one. A
+// reader that cannot read the source follows only an entry that can: two readers that follow each
+// other would wait in vain.
 func (s *Source) readFromParents(ctx context.Context, c Choice, after uint64, wait time.Duration) (b chestnutstep.Batch, err error) {
-	err = errors.New("no reader is known")
+	err = errors.New("no reader available")
 	for _, m := range c.Parents[:min(maxParentAttempts, len(c.Parents))] {
 		b, err = s.readFromPeer(ctx, m, query{after: after, wait: wait, direct: c.IsReader})
 		if err == nil {
@@ -187,7 +189,7 @@
 		s.parentErr = errors.Wrapf(err, "reader %s", m.ID)
 		s.backOff(m, err)
 		if after > 0 && len(b.Facts) > 0 {
-			return b, nil // old, and yet news here
+			return b, nil // stale, but newer than the facts here
 		}
 	}
 	return b, err
@@ -203,7 +205,7 @@
 	s.backoffUntil[m.ID] = clock.Now().Add(d)
 }
 
-// setParent notes whom the entry follows.
+// setParent records the reader that the entry follows and reports a change.
 func (s *Source) setParent(id netip.AddrPort) {
 	if id == s.parent {
 		return
--- a/feed/source_test.go
+++ b/feed/source_test.go
@@ -18,7 +18,7 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// gapSource is a source that has dropped its history.
+// gapSource is a source that has compacted its history.
 type gapSource struct{}
 
 func (gapSource) List(context.Context) (chestnutstep.Batch, error) {
@@ -29,7 +29,7 @@
 	return chestnutstep.Batch{}, chestnutstep.ErrSource{Status: 410, Compacted: true}
 }
 
-// newFollowerID returns the ID of an entry that reads the source neither itself nor first.
+// newFollowerID returns the ID of an entry that is not a reader.
 func newFollowerID(members []feed.Member) netip.AddrPort {
 	for port := uint16(7000); ; port++ {
 		id := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 9, 9}), port)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestStaleCopyDoesNotHideGap guards against an entry that takes old facts from a peer again and again after the source has
-// dropped its history, and never reads what it missed.
+// TestStaleCopyDoesNotHideGap guards against an entry that repeatedly reads stale facts from a peer
+// after the source has compacted its history, and so never reads the changes that it missed.
 func TestStaleCopyDoesNotHideGap(t *testing.T) {
 	var members []feed.Member
 	for i := range 2 {
@@ -71,7 +71,7 @@
 	assert.Equal(t, b.Revision, uint64(9))
 }
 
-// decoder takes facts as they are.
+// decoder returns facts without decoding them.
 type decoder struct{}
 
 func (decoder) Decode(kind chestnutstep.FactKind, name string, revision uint64, raw []byte) chestnutstep.Fact {
