--- a/node/agent.go
+++ b/node/agent.go
@@ -24,7 +24,7 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// Agent is the process beside one target. Set the exported fields before Run.
+// Agent is the process that runs next to one target. Its exported fields must be set before Run.
 type Agent struct {
 	Settings *config.Settings
 	// Out receives the log; standard error if unset.
@@ -37,10 +37,10 @@
 	server   *grpc.Server
 }
 
-// Run serves until ctx ends, then lets what runs come to its end.
+// Run serves until ctx ends, then drains the running requests.
 func (n *Agent) Run(ctx context.Context) error {
-	// The listening port is the lock of the target's one slot: a second agent
-	// beside the same target can't get it, and says so instead of running.
+	// The listening port serves as the lock of the target's slot: a second agent of the same target
+	// cannot listen and returns an error.
 	l, err := net.Listen("tcp", n.Settings.Listen)
 	if err != nil {
 		return errors.Wrapf(err, "listen: the slot of %s is taken, or the address is not this host's", n.Settings.Name)
@@ -66,7 +66,8 @@
 	}
 }
 
-// stop takes no new work and waits for what runs: a planned stop cuts nothing.
+// stop rejects new work and waits until the running requests end, so that a planned stop interrupts
+// no response.
 func (n *Agent) stop() error {
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
 	n.log.Emit(event.ProcessDrain, event.Int("running", int64(n.agent.Load().Running)))
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// dial reaches another agent, to move KV cache.
+// dial returns a client of another agent, used to move KV cache.
 func (n *Agent) dial(addr string) (wire.AgentClient, error) {
 	conn, err := n.pool.Conn(addr)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return wire.NewAgentClient(conn), nil
 }
 
-// newRanker builds the ranking of a publication for a single use.
+// newRanker returns the ranking of a publication, built for a single use.
 func newRanker(v *chestnutstep.View) chestnutstep.Ranker {
 	t := &route.Table{View: v}
 	t.Build()
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// status is what this agent shows: its own target.
+// status returns the status page, which contains the agent's own target only.
 func (n *Agent) status() admin.Status {
 	ready := n.ready()
 	load := n.agent.Load()
--- a/node/base.go
+++ b/node/base.go
@@ -1,5 +1,6 @@
-// Package node puts the parts of one process together: settings, publication,
-// peers, logs, metrics, the admin address, and an entry or an agent.
+// Package node assembles the parts of one process from its settings: publication, peers, log,
+// metrics, the admin address, and an entry or an agent. A process runs until its context ends and
+// then drains its requests.
 package node
 
 import (
@@ -26,18 +27,18 @@
 )
 
 const (
-	// pauseCheckInterval is how often a process looks whether it slept, and pauseMost
-	// the gap that counts as a pause: far above what a busy host's scheduler
-	// causes, and below what any lease or time limit here allows.
+	// pauseCheckInterval is how often a process checks whether it was suspended, and pauseThreshold
+	// the gap between two checks that counts as a pause: far above the scheduling delays of a busy
+	// host, and below all leases and timeouts of the system.
 	pauseCheckInterval = 500 * time.Millisecond
 	pauseThreshold     = 2 * time.Second
-	// connectionBufferSize of gRPC for each connection and direction; the default
-	// of 32 KiB times hundreds of connections would take a quarter of the
-	// memory that a process may use.
+	// connectionBufferSize is the gRPC buffer size per connection and direction, in bytes. The
+	// default of 32 KiB for hundreds of connections would take a quarter of the memory limit of a
+	// process.
 	connectionBufferSize = 8 << 10
 )
 
-// base is what entries and agents have in common.
+// base holds the parts that entries and agents share.
 type base struct {
 	settings *config.Settings
 	role     config.Role
@@ -64,12 +65,12 @@
 	b.members = &member.Tracker{}
 	var err error
 	if b.meters, err = meter.NewSet(); err != nil {
-		return nil, errors.Wrap(err, "metrics")
+		return nil, errors.Wrap(err, "create metrics")
 	}
 	if s.Encrypted() {
 		b.certFiles = &cert.Files{Cert: s.TLS.Cert, Key: s.TLS.Key, CA: s.TLS.CA, Log: b.log}
 		if err := b.certFiles.Load(); err != nil {
-			return nil, errors.Wrap(err, "tls")
+			return nil, errors.Wrap(err, "load TLS files")
 		}
 	}
 	b.pool = &dial.Pool{Credentials: b.credentials(), IdleTimeout: s.IdleTimeout.Std()}
@@ -80,8 +81,8 @@
 	return b, nil
 }
 
-// credentials of links between processes. The settings were checked: plain
-// ones stand only where they say so or on loopback.
+// credentials returns the credentials of connections between processes. The checked settings allow
+// insecure ones only if configured explicitly or on loopback.
 func (b *base) credentials() credentials.TransportCredentials {
 	if b.certFiles == nil {
 		return insecure.NewCredentials()
@@ -89,7 +90,7 @@
 	return b.certFiles.Credentials()
 }
 
-// newServer returns a gRPC server for the other processes of the system.
+// newServer returns a gRPC server for the other processes of the fleet.
 func (b *base) newServer() *grpc.Server {
 	return grpc.NewServer(
 		grpc.Creds(b.credentials()),
@@ -102,9 +103,8 @@
 	)
 }
 
-// gracefulStop ends a gRPC server once its streams are over. Stop alone closes the
-// connections under frames that are written and not sent: callers would get
-// their answers short of the last piece.
+// gracefulStop stops a gRPC server once its streams have ended. Server.Stop alone closes
+// connections before written frames are sent, and callers would miss the end of their responses.
 type gracefulStop struct {
 	server *grpc.Server
 	done   chan struct{}
@@ -115,7 +115,7 @@
 	close(g.done)
 }
 
-// stopServer waits for the server's streams until ctx ends.
+// stopServer waits until the server's streams have ended, or stops the server when ctx ends.
 func stopServer(ctx context.Context, srv *grpc.Server) {
 	g := &gracefulStop{server: srv, done: make(chan struct{})}
 	go g.run()
@@ -126,7 +126,7 @@
 	}
 }
 
-// serveAdmin serves health, status, metrics and audit until ctx ends.
+// serveAdmin serves health, status, metrics and the audit trail until ctx ends.
 func (b *base) serveAdmin(ctx context.Context, ready func() error, status func() admin.Status) error {
 	srv := &admin.Server{
 		Addr:    b.settings.Admin,
@@ -139,8 +139,8 @@
 	return srv.Run(ctx)
 }
 
-// detectPauses looks for pauses of this process. Nothing depends on it: every decision
-// checks its own clock. It tells operators why requests were late.
+// detectPauses logs pauses of this process as a possible cause of late requests. No decision
+// depends on it: each one checks the clock itself.
 func (b *base) detectPauses(ctx context.Context) {
 	tick := time.NewTicker(pauseCheckInterval)
 	defer tick.Stop()
--- a/node/size_test.go
+++ b/node/bench_test.go
@@ -22,8 +22,8 @@
 	return float64(m.HeapAlloc) / (1 << 20)
 }
 
-// BenchmarkStore puts publications of the planned size in force, one target
-// changed each time: what each of 11,000 changes a day costs a process.
+// BenchmarkStore applies publications of the planned size with one changed target each. It measures
+// the cost of each of the 11,000 changes per day for a process.
 func BenchmarkStore(b *testing.B) {
 	before := heapMB()
 	s := &config.Store{}
@@ -46,8 +46,8 @@
 	runtime.KeepAlive(s)
 }
 
-// BenchmarkTable rebuilds the ranking as an entry does when a publication or
-// what it believes of hosts changes.
+// BenchmarkTable rebuilds the ranking as an entry does when a publication or the state of hosts
+// changes.
 func BenchmarkTable(b *testing.B) {
 	v := chestnutstep.NewView(fake.Planned.Publication(1))
 	n := &Entry{}
@@ -58,7 +58,7 @@
 	runtime.KeepAlive(t)
 }
 
-// BenchmarkAway is what an entry does each second while nothing changes.
+// BenchmarkAway measures the work of an entry in each second without changes.
 func BenchmarkAway(b *testing.B) {
 	l := &member.Tracker{}
 	now := time.Now()
--- a/node/learn.go
+++ b/node/cacheindex.go
@@ -17,44 +17,47 @@
 )
 
 const (
-	// cachePollInterval is how often an entry that just started looks whether a peer knows
-	// what targets hold, or a target has joined.
+	// cachePollInterval is how often an entry that has just started checks for a peer with a cache
+	// index, and for new targets.
 	cachePollInterval = 10 * time.Millisecond
-	// peerCacheTimeout is how long it waits for such a peer before it asks the targets:
-	// peers report to it within a few milliseconds, in another failure domain too.
+	// peerCacheTimeout is how long it waits for such a peer before it lists the caches of targets
+	// itself. Peers report within a few milliseconds, even from another failure domain.
 	peerCacheTimeout = 40 * time.Millisecond
-	// seedCacheTimeout is how long an entry that is no seed waits for one that knows: the seeds ask
-	// the targets for all, and hosts don't all start at the same moment. Requests wait no
-	// longer than settleMost.
+	// seedCacheTimeout is how long an entry that is not a seed waits for a peer with a cache index.
+	// The seeds list the caches for all entries, and hosts do not start at exactly the same time.
+	// Requests wait no longer than maxSettleTime.
 	seedCacheTimeout = 500 * time.Millisecond
-	// busyPeerDelay is the pause after a peer that could not give a copy now.
+	// busyPeerDelay is the pause after a peer failed to provide a copy.
 	busyPeerDelay = 50 * time.Millisecond
-	// listersPerTarget is how many entries ask one target, and report to the others: two, as the
-	// datagrams of one may be lost. Each listing costs its target some work.
+	// listersPerTarget is the number of entries that list the cache of one target and report it to
+	// the others. It is two because datagrams can be lost, and not more because each listing costs
+	// the target some work.
 	listersPerTarget = 2
-	// cacheLoadWindow is how long after the first view targets are asked that join: twice
-	// what it takes them to come back to the list after the source was away.
+	// cacheLoadWindow is the time after the first view during which the caches of new targets are
+	// listed. It is twice the time that targets take to return to the list after an outage of the
+	// source.
 	cacheLoadWindow = 4 * time.Second
-	// maxSettleTime is how long after the first view requests may still wait for what
-	// targets hold: a target that does not answer must not hold up all callers.
+	// maxSettleTime is how long after the first view requests can wait for the cache index. A
+	// target that does not respond must not delay all callers.
 	maxSettleTime = 250 * time.Millisecond
-	// otherListersTimeout is how long an entry that has asked its part of the targets waits for what the
-	// others report of theirs.
+	// otherListersTimeout is how long an entry that has listed its share of the targets waits for
+	// the reports of the other entries.
 	otherListersTimeout = 100 * time.Millisecond
-	// copyInterval is how often a peer is asked for a copy while more than copyPart of the targets
-	// are unknown: a copy is of all.
+	// copyInterval is how often a copy is requested from a peer while the caches of more than
+	// copyThreshold of the targets are missing. Copies are infrequent because each one contains all
+	// lists.
 	copyInterval  = 700 * time.Millisecond
 	copyThreshold = 0.1
-	// scanPauseFactor is the pause after a look at all targets, in times of what the look took: an entry
-	// that has just started needs its processor for callers.
+	// scanPauseFactor is the ratio of the pause after a scan of all targets to the duration of the
+	// scan. An entry that has just started needs its CPU time for callers.
 	scanPauseFactor = 20
-	// listWorkers is how many targets are asked at a time.
+	// listWorkers is the number of targets whose caches are listed concurrently.
 	listWorkers = 4
 )
 
-// loadCacheIndex finds out what targets hold, once after a start: from a peer that knows, or
-// else from the targets. An entry that knows nothing sends each prefix to a target
-// that has to read it again, which delays everybody's tokens there.
+// loadCacheIndex loads the index of the prefixes cached by targets once after a start, from a peer
+// if possible and otherwise from the targets. Without the index, an entry sends prefixes to targets
+// that must prefill them again, which delays the tokens of all requests there.
 func (n *Direct) loadCacheIndex(ctx context.Context) {
 	start := time.Now()
 	settle := sync.OnceFunc(func() { close(n.cacheIndexSettled) })
@@ -81,7 +84,7 @@
 	n.markCacheIndexLoaded(start)
 }
 
-// markCacheIndexLoaded notes that this entry knows what targets hold.
+// markCacheIndexLoaded marks the index as loaded and reports that to the peers and in the log.
 func (n *Direct) markCacheIndexLoaded(start time.Time) {
 	if !n.hasCacheIndex.Swap(true) {
 		n.peers.ReportNow()
@@ -89,7 +92,8 @@
 	}
 }
 
-// loadFromPeer asks a peer that knows, if there is one.
+// loadFromPeer copies the index from a peer. It returns false if no peer provides one within the
+// timeout.
 func (n *Direct) loadFromPeer(ctx context.Context, start time.Time) bool {
 	for {
 		pause := cachePollInterval
@@ -109,8 +113,9 @@
 	}
 }
 
-// peerTimeout is how long to wait for a peer that knows. After a loss of all entries none knows who
-// the others are: did each ask, every target would be asked by all.
+// peerTimeout returns how long to wait for a peer with a cache index. After a restart of all
+// entries none has an index or a list of peers; if each entry listed the caches itself, every
+// target would be called by all entries.
 func (n *Direct) peerTimeout() time.Duration {
 	if len(n.settings.Load().Seeds) == 0 || n.isSeed() {
 		return peerCacheTimeout
@@ -121,7 +126,8 @@
 // isSeed reports whether this entry is one of the seeds.
 func (n *Direct) isSeed() bool { return slices.Contains(n.settings.Load().Seeds, n.Settings.PeerAddr) }
 
-// isAssigned reports whether this entry asks a target: a seed shares them with the other seeds.
+// isAssigned reports whether this entry lists the cache of a target. Seeds divide the targets among
+// the live seeds.
 func (n *Direct) isAssigned(t *roster.Target) bool {
 	if !n.isSeed() {
 		return n.board.IsAssigned(&t.Instance, listersPerTarget)
@@ -129,21 +135,22 @@
 	return n.board.IsFirstOf(&t.Instance, n.peers.LiveSeeds(clock.Now()))
 }
 
-// cacheLoader is what an entry does in its first seconds to learn what targets hold. Where the
-// source was away as well, targets come back to its list one by one.
+// cacheLoader builds the cache index in the first seconds after a start. If the source was
+// unavailable as well, targets return to its list one by one.
 type cacheLoader struct {
 	node      *Direct
 	startedAt time.Time
 	settle    func()
-	// loadedAt is when enough was known, and copied when a peer was last asked for a copy.
+	// loadedAt is the time at which the index was complete enough to serve, and copiedAt the time
+	// of the last copy from a peer.
 	loadedAt, copiedAt time.Time
 
-	// queue is of the targets to ask; nil where a peer's copy made that needless.
+	// queue passes targets to the workers; nil if a peer's copy made listing unnecessary.
 	queue     chan *roster.Target
 	requested map[string]bool
-	// pending counts the targets that were asked and have not answered.
+	// pending counts the targets queued or being listed.
 	pending atomic.Int64
-	// idleSince is when the last of them did.
+	// idleSince is the time since which no listing is pending.
 	idleSince time.Time
 }
 
@@ -154,7 +161,7 @@
 	}
 }
 
-// markLoaded notes that enough is known to serve by.
+// markLoaded marks the index as complete enough to serve.
 func (l *cacheLoader) markLoaded() {
 	if l.loadedAt.IsZero() {
 		l.loadedAt, l.copiedAt = time.Now(), time.Now()
@@ -163,8 +170,8 @@
 	l.settle()
 }
 
-// run asks the targets that are this entry's to ask, and peers for a copy of what is still
-// unknown once they had the time to learn it.
+// run lists the caches of the targets assigned to this entry, and copies the missing ones from
+// peers once those had time to list theirs.
 func (l *cacheLoader) run(ctx context.Context) {
 	for end := time.Now().Add(cacheLoadWindow); time.Now().Before(end); {
 		scanStart := time.Now()
@@ -180,7 +187,7 @@
 	}
 }
 
-// copyMissing asks a peer for a copy where many targets are unknown still.
+// copyMissing requests a copy from a peer if the caches of many targets are still missing.
 func (l *cacheLoader) copyMissing(ctx context.Context, unknown int) {
 	if l.loadedAt.IsZero() || time.Since(l.copiedAt) < copyInterval {
 		return
@@ -191,8 +198,8 @@
 	}
 }
 
-// enqueue asks those of the targets that are this entry's to ask, and reports whether no more is to
-// be expected: one that is gone, or whose entry is, must not hold up what is known of the others.
+// enqueue queues the targets assigned to this entry. It reports whether no further lists are
+// expected; a target or an entry that is gone must not delay the use of the other lists.
 func (l *cacheLoader) enqueue(list []*roster.Target) bool {
 	unassigned := false
 	for _, t := range list {
@@ -217,7 +224,8 @@
 	return !unassigned || time.Since(l.idleSince) >= otherListersTimeout
 }
 
-// unlistedTargets are the engines whose caches neither they nor a peer have listed.
+// unlistedTargets returns the usable engines whose caches have not been listed by themselves or by
+// a peer.
 func (n *Direct) unlistedTargets() []*roster.Target {
 	v := n.roster.View()
 	var list []*roster.Target
@@ -229,7 +237,7 @@
 	return list
 }
 
-// listWorker asks targets, one after the other.
+// listWorker lists the caches of targets one at a time.
 type listWorker struct {
 	*cacheLoader
 }
@@ -241,7 +249,7 @@
 	}
 }
 
-// listTarget asks one target, and reports to the peers.
+// listTarget lists the cache of one target and reports it to the peers.
 func (l *listWorker) listTarget(ctx context.Context, t *roster.Target) {
 	n := l.node
 	parts, err := n.Caches.ListParts(ctx, t.Address)
--- a/node/learn_test.go
+++ b/node/cacheindex_test.go
@@ -16,11 +16,12 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// sharedPrompt is a prompt of a prefix that others share and a part of its own.
+// sharedPrompt is a prompt that consists of a prefix shared with other prompts and a part of its
+// own.
 const sharedPrompt = "aa11:9000,bb22:10"
 
-// startJoining starts an entry of a fleet that has served before, and waits until it
-// knows what targets hold.
+// startJoining starts an entry of a fleet that has served before, and waits until its cache index
+// is loaded.
 func startJoining(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
 	d := launchJoining(t, store, seeds...)
@@ -30,10 +31,11 @@
 
 func (d *direct) waitCacheIndex(t *testing.T) {
 	t.Helper()
-	waitFor(t, func() bool { return strings.Contains(d.out.text(), "caches_known") }, "the entry knows what targets hold")
+	waitFor(t, func() bool { return strings.Contains(d.out.text(), "caches_known") }, "the cache index is loaded")
 }
 
-// launchJoining starts an entry of a fleet that has served before. The seed "self" is its own address.
+// launchJoining starts an entry of a fleet that has served before. The seed "self" stands for its
+// own address.
 func launchJoining(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
 	d := &direct{door: store.Open(), out: &blockableLog{}, done: make(chan error, 1)}
@@ -55,7 +57,7 @@
 	return d
 }
 
-// publishEngine publishes an engine in place of a plain service.
+// publishEngine publishes an engine instead of a plain service.
 func publishEngine(store *stand.Store, x *stand.Target) {
 	publish(store, 1, []string{"k"}, x)
 	store.Put("op/config", map[string]any{
@@ -70,7 +72,7 @@
 	})
 }
 
-// newCachedPrefixStore is a store that lists one engine, which has the shared prefix.
+// newCachedPrefixStore returns a store that lists one engine, which has cached the shared prefix.
 func newCachedPrefixStore(t *testing.T) (*stand.Store, *stand.Target) {
 	t.Helper()
 	store, x := stand.NewStore(), newTarget(t, "i-a")
@@ -79,7 +81,7 @@
 	return store, x
 }
 
-// sendPrompt sends a request whose prompt has a shared prefix.
+// sendPrompt sends a request whose prompt starts with the shared prefix.
 func (d *direct) sendPrompt(t *testing.T, id string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+"/talk/stream/x", strings.NewReader("body"))
@@ -92,12 +94,13 @@
 	assert.Equal(t, status(resp, err), http.StatusOK)
 }
 
-// sentByCachedPrefix says whether an entry believed that the target had the prefix when it sent.
+// sentByCachedPrefix reports whether the entry counted the shared prefix as cached by the target
+// when it sent the request.
 func (d *direct) sentByCachedPrefix() bool { return strings.Contains(d.out.text(), `"own":9000`) }
 
-// One entry is replaced while others serve. It knows nothing of what targets hold:
-// each prefix that its callers bring would be read again, which those callers and
-// all beside them wait for. A peer tells it all at once, and no target is troubled.
+// TestDirectLoadsCacheIndexFromPeer guards against a replaced entry that has no cache index, so
+// that the prefixes of its callers are prefilled again and delay all requests at those targets. A
+// peer provides the whole index, without a call to any target.
 func TestDirectLoadsCacheIndexFromPeer(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publishEngine(store, x)
@@ -109,8 +112,8 @@
 	assert.Equal(t, x.Listed(), 0)
 }
 
-// All entries lose power at once, and nobody knows what targets hold. The targets
-// do: they are asked, by few entries, and all know.
+// TestDirectLoadsCacheIndexFromTargets guards against missing cache indexes after all entries lost
+// power at once. Few entries list the caches of targets, and all entries get the result.
 func TestDirectLoadsCacheIndexFromTargets(t *testing.T) {
 	store, x := newCachedPrefixStore(t)
 	first := startJoining(t, store)
@@ -120,11 +123,11 @@
 	second.sendPrompt(t, "b")
 	assert.Assert(t, first.sentByCachedPrefix(), first.out.text())
 	assert.Assert(t, second.sentByCachedPrefix(), second.out.text())
-	assert.Equal(t, x.Listed(), 1, "the first one told the second")
+	assert.Equal(t, x.Listed(), 1, "the second entry copies from the first one")
 }
 
-// TestOnlySeedsListTargetCaches guards against every entry of a fleet that lost power asking every
-// target what it holds, as none knows yet who the others are.
+// TestOnlySeedsListTargetCaches guards against every entry of a fleet that lost power listing the
+// cache of every target, because none has a list of peers yet.
 func TestOnlySeedsListTargetCaches(t *testing.T) {
 	const others = 5
 	store, x := newCachedPrefixStore(t)
@@ -141,7 +144,8 @@
 	assert.Equal(t, x.Listed(), 1)
 }
 
-// TestTargetCachesAreListedWithoutSeeds guards against entries that wait for a seed which is gone.
+// TestTargetCachesAreListedWithoutSeeds guards against entries that wait indefinitely for a seed
+// that is gone.
 func TestTargetCachesAreListedWithoutSeeds(t *testing.T) {
 	store, x := newCachedPrefixStore(t)
 	d := startJoining(t, store, node.FreeAddr(t))
@@ -150,8 +154,8 @@
 	assert.Equal(t, x.Listed(), 1)
 }
 
-// TestDeadTargetDoesNotDelayCacheIndex guards against entries that know nothing for seconds, as one of the
-// targets that they ask is gone.
+// TestDeadTargetDoesNotDelayCacheIndex guards against entries without a cache index for seconds
+// because one of the targets to list is gone.
 func TestDeadTargetDoesNotDelayCacheIndex(t *testing.T) {
 	store, _ := newCachedPrefixStore(t)
 	store.Put("servers/i-gone", map[string]any{
@@ -164,7 +168,8 @@
 	assert.Assert(t, d.sentByCachedPrefix(), d.out.text())
 }
 
-// TestCacheIndexWaitsForTargetList guards against an entry that counts as knowing what targets hold before it knows any target.
+// TestCacheIndexWaitsForTargetList guards against an entry that marks its cache index as loaded
+// before it has read the list of targets.
 func TestCacheIndexWaitsForTargetList(t *testing.T) {
 	store, x := newCachedPrefixStore(t)
 	door := store.Open()
@@ -185,6 +190,6 @@
 	time.Sleep(time.Second)
 	assert.Assert(t, !known())
 	close(slow.release)
-	waitFor(t, known, "what the target holds is known")
+	waitFor(t, known, "the cache index is loaded")
 	assert.Equal(t, x.Listed(), 1)
 }
--- a/node/callers.go
+++ b/node/callers.go
@@ -10,16 +10,16 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// gcPercentBusy is gcPercent while callers are many: each pass of the collector walks all their
-// connections, and would take the processor from their requests.
+// gcPercentBusy replaces gcPercent while there are many caller connections. Each garbage collection
+// scans all of them and would take CPU time from requests.
 const gcPercentBusy = 100
 
-// callerListenConfig takes callers' connections without keep-alive probes: each is bounded by
-// its request's time limit or by the idle time, and setting the probes up costs several
-// system calls, which counts where each request comes on a connection of its own.
+// callerListenConfig disables keep-alive probes on caller connections. Each connection is already
+// bounded by the timeout of its request or by the idle timeout. Setting up probes costs several
+// system calls, which is significant if each request arrives on its own connection.
 var callerListenConfig = net.ListenConfig{KeepAlive: -1}
 
-// maxFiles is how many descriptors the system allows this process.
+// maxFiles returns the limit of file descriptors of this process.
 func maxFiles() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -28,11 +28,11 @@
 	return int(min(limit.Cur, math.MaxInt32))
 }
 
-// defaultMaxFiles stands in where the system doesn't say how many descriptors it allows.
+// defaultMaxFiles is used if the limit of file descriptors cannot be read.
 const defaultMaxFiles = 1024
 
-// setGCPercent says that callers' connections have become many, or few again, and lets the
-// garbage collector spend memory in place of the processor meanwhile.
+// setGCPercent logs that the number of caller connections has become large or small, and adjusts
+// the garbage collector, which trades memory for CPU time while it is large.
 func (n *Direct) setGCPercent(open int, manyCallers bool) {
 	id, percent := event.CallersFew, gcPercent
 	if manyCallers {
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -12,7 +12,8 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// newDeadlyTargets is a store that lists six targets, which end when they run a request.
+// newDeadlyTargets returns a store that lists six targets, each of which ends when it runs a
+// request with the deadly text.
 func newDeadlyTargets(t *testing.T) (*stand.Store, []*stand.Target) {
 	t.Helper()
 	store := stand.NewStore()
@@ -36,7 +37,7 @@
 	return n
 }
 
-// repeat sends the same content again, and returns the status.
+// repeat sends the deadly content in a new attempt and returns the status.
 func (d *direct) repeat(id string) int {
 	resp, err := d.post("/talk/stream/x", "k", id)
 	if err == nil {
@@ -45,7 +46,7 @@
 	return status(resp, err)
 }
 
-// sendNewPrompt sends a request with a prompt of its own, which is news for the peers.
+// sendNewPrompt sends a request with a unique prompt, which causes an event for the peers.
 func (d *direct) sendNewPrompt(t *testing.T, n int) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.settings.CallerAddr+"/look/x", strings.NewReader("harmless"))
@@ -57,26 +58,28 @@
 	assert.Equal(t, status(http.DefaultClient.Do(r)), http.StatusOK)
 }
 
-// TestRepeatAtAnotherEntryIsRefused guards against a request that ends two targets for each entry that it comes to.
+// TestRepeatAtAnotherEntryIsRefused guards against a request that ends two targets at each entry
+// that receives it.
 func TestRepeatAtAnotherEntryIsRefused(t *testing.T) {
 	store, targets := newDeadlyTargets(t)
 	one := startDirect(t, store)
 	two := startDirect(t, store, one.settings.PeerAddr)
 	waitFor(t, func() bool {
 		return strings.Contains(one.out.text(), `"peers":1`) && strings.Contains(two.out.text(), `"peers":1`)
-	}, "the entries know each other")
+	}, "the entries have found each other")
 	got := ""
 	for n := range 6 {
 		got += fmt.Sprint([]*direct{one, two}[n%2].repeat(fmt.Sprint("r-", n)), " ")
 		for _, d := range []*direct{one, two} {
-			waitFor(t, func() bool { return strings.Count(d.out.text(), "crash_noted") >= countEndedTargets(targets) }, "the entry knows of all losses")
+			waitFor(t, func() bool { return strings.Count(d.out.text(), "crash_noted") >= countEndedTargets(targets) }, "the entry has recorded all crashes")
 		}
 	}
 	assert.Equal(t, got, "502 502 503 503 503 503 ", one.out.text()+two.out.text())
 	assert.Equal(t, countEndedTargets(targets), 2)
 }
 
-// TestEntryThatStartsRefusesDeadlyContent guards against an entry that was replaced and ends a target of its own.
+// TestEntryThatStartsRefusesDeadlyContent guards against a replaced entry that ends another target
+// because it has no record of the crashes before its start.
 func TestEntryThatStartsRefusesDeadlyContent(t *testing.T) {
 	store, targets := newDeadlyTargets(t)
 	one := startDirect(t, store)
@@ -88,7 +91,7 @@
 		one.sendNewPrompt(t, n)
 	}
 	late := startDirect(t, store, one.settings.PeerAddr)
-	waitFor(t, func() bool { return strings.Contains(late.out.text(), "crash_noted") }, "the new entry knows")
+	waitFor(t, func() bool { return strings.Contains(late.out.text(), "crash_noted") }, "the new entry has recorded the crashes")
 	assert.Equal(t, late.repeat("late"), http.StatusServiceUnavailable)
 	assert.Equal(t, countEndedTargets(targets), 2)
 }
--- a/node/delays.go
+++ b/node/delays.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	// delayCheckInterval is how often the wait for the processor is looked at.
+	// delayCheckInterval is how often the scheduling delay is sampled.
 	delayCheckInterval = 50 * time.Millisecond
-	// delaySamples is how many looks in a row have to show a wait: a single late wake-up is no
-	// queue.
+	// delaySamples is the number of consecutive samples that must show a delay. A single late
+	// wake-up is not a queue.
 	delaySamples = 2
-	// waitsPerRequest is how many times a request waits for the processor: to be read, sent, answered,
-	// passed on and canceled.
+	// waitsPerRequest is the number of times that a request waits to be scheduled: for reading,
+	// sending, the response, forwarding and cancellation.
 	waitsPerRequest = 5
-	// maxTrustedDelay is the wait up to which a time-out still says something of the other side:
-	// a small part of the shortest one.
+	// maxTrustedDelay is the maximum delay at which a timeout still indicates a problem of the
+	// other side: a small fraction of the shortest timeout.
 	maxTrustedDelay = 20 * time.Millisecond
-	// distrustWindow is how long after such a wait time-outs are trusted again: requests are
-	// refused so that it doesn't stand, and it comes back for as long as the load lasts.
+	// distrustWindow is the time after a longer delay during which timeouts are not trusted.
+	// Shedding reduces the delay, which returns as long as the load persists.
 	distrustWindow = 2 * time.Second
-	// fullLogInterval is the least time between two lines on an entry that is full.
+	// fullLogInterval is the minimum time between two log lines about an overloaded entry.
 	fullLogInterval = time.Second
-	// schedLatencies is the runtime's histogram of the time for which goroutines were ready to
-	// run before they ran.
+	// schedLatencies is the name of the runtime's histogram of the time that goroutines spend
+	// runnable before they run.
 	schedLatencies = "/sched/latencies:seconds"
 )
 
-// delayMonitor watches how long work waits for the processor, and lets requests be refused while
-// that is too long.
+// delayMonitor samples how long work waits to be scheduled, and sheds requests while the delay is
+// too long.
 type delayMonitor struct {
 	node       *Direct
 	sample     [1]metrics.Sample
 	lastCounts []uint64
-	// recent are the waits at the last looks.
+	// recent holds the delays of the last samples.
 	recent [delaySamples]time.Duration
 	next   int
-	// lastDelayed is when work last waited for more than trustedDelay, by clock.Stamp.
+	// lastDelayed is the last time at which the delay exceeded maxTrustedDelay, as a clock.Stamp.
 	lastDelayed atomic.Int64
-	// isFull says that the last line said so, logged when that was, and refused counts since.
+	// isFull reports whether the last log line was about an overload, loggedAt is its time, and
+	// refusedSinceLog counts the requests shed since.
 	isFull          bool
 	loggedAt        time.Time
 	refusedSinceLog int
@@ -54,8 +55,8 @@
 	d.sample[0].Name = schedLatencies
 	d.median()
 	for due := time.Now().Add(delayCheckInterval); clock.Sleep(ctx, delayCheckInterval); due = time.Now().Add(delayCheckInterval) {
-		// The runtime sees the wait behind other work of this process, a late timer the
-		// wait for the host, and the listener the wait of connections.
+		// The histogram covers waiting for other goroutines, a late timer covers waiting for the
+		// host's CPU, and the listener covers waiting connections.
 		backlog := d.node.callers.Backlog()
 		delay := max(d.sustained(max(waitsPerRequest*d.median(), time.Since(due))), backlog)
 		if delay > maxTrustedDelay {
@@ -67,8 +68,8 @@
 	}
 }
 
-// isOverloaded reports whether work waited of late for so long that time-outs of this entry say
-// nothing of targets' hosts.
+// isOverloaded reports whether a recent scheduling delay was so long that timeouts of this entry do
+// not indicate a problem of a target's host.
 func (d *delayMonitor) isOverloaded() bool {
 	lastDelayed := clock.Stamp(d.lastDelayed.Load())
 	return lastDelayed != 0 && clock.Now().Sub(lastDelayed) < distrustWindow
@@ -92,14 +93,14 @@
 	d.refusedSinceLog = 0
 }
 
-// sustained takes the wait at one look, and returns that which all of the last ones had.
+// sustained adds the delay of a sample and returns the minimum of the last delaySamples ones.
 func (d *delayMonitor) sustained(delay time.Duration) time.Duration {
 	d.recent[d.next] = delay
 	d.next = (d.next + 1) % delaySamples
 	return slices.Min(d.recent[:])
 }
 
-// median is the usual wait since the last call; 0 where nothing ran.
+// median returns the median scheduling delay since the previous call, 0 if nothing ran.
 func (d *delayMonitor) median() time.Duration {
 	metrics.Read(d.sample[:])
 	if d.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
@@ -123,7 +124,7 @@
 	}
 	copy(d.lastCounts, h.Counts)
 	if bucket == 0 {
-		return 0 // nothing ran, or it did not wait: the first bucket has no lower bound
+		return 0 // nothing ran, or without delay: the first bucket has no lower bound
 	}
 	return time.Duration(h.Buckets[bucket] * float64(time.Second))
 }
--- a/node/advice.go
+++ b/node/delegate.go
@@ -12,7 +12,7 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// FillReport fills a report to the peers.
+// FillReport sets the state of this entry in a report to its peers. It implements share.Delegate.
 func (n *Direct) FillReport(now clock.Stamp, r *share.Report) {
 	r.Version = n.roster.Version()
 	r.HasIndex = n.hasCacheIndex.Load()
@@ -25,19 +25,19 @@
 	r.Domain, r.Domains = board.DomainKey(n.Settings.Domain), n.board.DomainReports(now)
 }
 
-// TakeEvents returns what has happened since the last call, for all peers.
+// TakeEvents returns the events since the previous call, which all peers receive.
 func (n *Direct) TakeEvents() share.Events {
 	return share.Events{CachedParts: n.board.CacheChanges(), Replaced: n.board.ReplacedTargets(), Suspected: n.board.Suspicions(), Crashes: n.crashes.TakeReports()}
 }
 
-// RecentCrashes returns what an entry has to know of contents that end targets.
+// RecentCrashes returns the contents that recently crashed targets.
 func (n *Direct) RecentCrashes(now clock.Stamp) []share.Crash { return n.crashes.Losses(now) }
 
 // sendCrashes reports crashes without waiting for the next round.
 func (n *Direct) sendCrashes(list []share.Crash) { n.peers.SendCrashes(clock.Now(), list) }
 
-// MergeReport takes a peer's report. One that proves that the configuration in force
-// here is current saves this entry when it can't reach the source itself.
+// MergeReport merges a peer's report. A report that proves that the configuration in force here is
+// current lets this entry continue to serve while it cannot reach the source itself.
 func (n *Direct) MergeReport(now clock.Stamp, r *share.Report, notBefore clock.Stamp) {
 	n.board.MergeReport(now, r)
 	n.peers.ForwardCrashes(now, n.crashes.Merge(now, r.Crashes))
@@ -58,19 +58,19 @@
 	}
 }
 
-// newestTTL is how long a peer's word on a newer version counts. A peer that really
-// knows it repeats it several times a second; a datagram that was damaged on its way
-// must not make this entry doubt its configuration for ever.
+// newestTTL is how long a peer's report of a newer version counts. A peer that has the version
+// repeats the report several times per second; a corrupted datagram must not mark the configuration
+// of this entry as outdated indefinitely.
 const newestTTL = 3 * time.Second
 
-// isBehind says that a peer knows a newer configuration.
+// isBehind reports whether a peer has recently reported a newer configuration version.
 func (n *Direct) isBehind() bool {
 	return n.newestVersion.Load() > n.roster.Version() && clock.Now().Sub(clock.Stamp(n.newestSeenAt.Load())) < newestTTL
 }
 
 func (n *Direct) logDatagramError(err error) { n.log.Emit(event.DatagramFailed, event.Err(err)) }
 
-// OnChange logs what a read of the source changed.
+// OnChange logs the changes of a read of the source. It implements watch.Observer.
 func (n *Direct) OnChange(c roster.Change, requestedAt clock.Stamp) {
 	if n.hasFacts.CompareAndSwap(false, true) {
 		n.peers.ReportNow()
@@ -94,7 +94,7 @@
 	}
 }
 
-// OnSourceLost logs that a topic can't be read.
+// OnSourceLost logs that a topic cannot be read.
 func (n *Direct) OnSourceLost(t chestnutstep.Topic, err error) {
 	n.log.Emit(event.SourceLost, event.Str("topic", t.String()), event.Err(err), event.Dur("proof", n.factsAge(t)))
 }
--- a/node/direct.go
+++ b/node/direct.go
@@ -32,42 +32,42 @@
 )
 
 const (
-	// directHeaderTimeout bounds the reading of a caller's headers.
+	// directHeaderTimeout bounds the reading of request headers.
 	directHeaderTimeout = 5 * time.Second
-	// directMaxHeaderBytes bounds the headers of a request.
+	// directMaxHeaderBytes is the maximum size of request headers in bytes.
 	directMaxHeaderBytes = 64 << 10
-	// directTickInterval is how often the roster and the pool are looked at.
+	// directTickInterval is how often the roster, the pool and the metrics are updated.
 	directTickInterval = 250 * time.Millisecond
-	// balancerDelay is how long a stopping entry still takes connections: the
-	// balancer asks once a second and believes the second answer.
+	// balancerDelay is how long a stopping entry still accepts connections. The balancer probes
+	// once per second and removes an entry after two failures.
 	balancerDelay = 2500 * time.Millisecond
-	// graceRatio is the part of the grace in which requests may come to their
-	// end; the rest is for the process to end by itself.
+	// graceRatio is the fraction of the grace period during which requests can finish; the rest is
+	// left for the process to exit.
 	graceRatio = 0.94
-	// gcPercent collects garbage when the heap has grown by this much of what is in
-	// use. An entry lives on little, and less garbage beside it costs hardly any
-	// processor while callers are few.
+	// gcPercent is the growth of the heap in percent that starts a garbage collection. The live
+	// heap of an entry is small, so that frequent collections cost little CPU time while there are
+	// few callers.
 	gcPercent = 20
-	// readyProofRatio is the part of the bound on keys after which an entry that
-	// can't prove its configuration says that it is not ready: callers are then
-	// better served by another.
+	// readyProofRatio is the fraction of the maximum revocation time after which an entry without
+	// proof that its configuration is current reports that it is not ready, so that callers are
+	// sent to another entry.
 	readyProofRatio = 0.6
 )
 
-// Direct is an entry that brings requests to targets without agents. Set the
-// fields before Run.
+// Direct is an entry that sends requests to targets without agents. Its exported fields must be set
+// before Run.
 type Direct struct {
 	Settings *config.DirectSettings
-	// Source of each topic.
+	// Source returns the source of a topic.
 	Source func(chestnutstep.Topic) chestnutstep.Source
 	Wire   chestnutstep.HeaderCodec
-	// Decoder reads what a peer's copy holds; nil takes no copies.
+	// Decoder decodes facts copied from peers; nil disables reading from peers.
 	Decoder chestnutstep.Decoder
-	// Caches asks targets what they hold; nil for never.
+	// Caches lists the cached prefixes of targets; nil disables listing.
 	Caches chestnutstep.CacheLister
 	// Out receives the log; standard output if unset.
 	Out io.Writer
-	// Reloader brings changed settings; nil for none.
+	// Reloader loads changed settings; nil disables reloading.
 	Reloader *config.Reloader
 
 	settings atomic.Pointer[config.DirectSettings]
@@ -83,39 +83,40 @@
 	delays   *delayMonitor
 	pool     *link.Pool
 	peers    *share.Peers
-	// wake ends the present watch of the configuration.
+	// wake ends the current watch of the configuration.
 	wake chan struct{}
-	// breaker and pauses hold back calls of a source that fails.
+	// breaker and backoff suspend calls of a failing source.
 	breaker feed.Breaker
 	backoff watch.Backoff
-	// newestVersion is the newest version that a peer named, and newestAt when.
+	// newestVersion is the newest version reported by a peer, and newestSeenAt the time of its last
+	// report.
 	newestVersion atomic.Uint64
 	newestSeenAt  atomic.Int64
 	leaving       atomic.Bool
-	// hasFacts says that the first facts are there.
+	// hasFacts reports whether the first facts have been read.
 	hasFacts atomic.Bool
-	// hasCacheIndex says that this entry has learned what targets hold.
+	// hasCacheIndex reports whether the index of the prefixes cached by targets is loaded.
 	hasCacheIndex atomic.Bool
-	// cacheIndexSettled is closed once it does, or is late with it.
+	// cacheIndexSettled is closed once the index is loaded, or requests no longer wait for it.
 	cacheIndexSettled chan struct{}
 	reported          reportedCounts
 }
 
-// Run serves until ctx ends, then lets requests in progress come to their end.
+// Run serves until ctx ends, then drains requests in progress.
 func (n *Direct) Run(ctx context.Context) error {
 	if err := n.build(); err != nil {
 		return err
 	}
 	callers, err := callerListenConfig.Listen(ctx, "tcp", n.Settings.CallerAddr)
 	if err != nil {
-		return errors.Wrap(err, "callers")
+		return errors.Wrap(err, "listen for callers")
 	}
 	if err := relay.BoundQueue(callers); err != nil {
-		return errors.Wrap(err, "queue of callers")
+		return errors.Wrap(err, "bound the accept queue for callers")
 	}
 	ready, err := net.Listen("tcp", n.Settings.ReadyAddr)
 	if err != nil {
-		return errors.Wrap(err, "ready")
+		return errors.Wrap(err, "listen for readiness probes")
 	}
 	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, MaxConns: n.Settings.MaxCallers(maxFiles()), Shedder: n.shed}
 	n.logStart()
@@ -149,7 +150,7 @@
 		event.Int("callers", int64(n.callers.MaxConns)), event.Str("unknown", strings.Join(n.Settings.UnknownFields, " ")))
 }
 
-// startBackground starts what runs beside the servers.
+// startBackground starts the background tasks.
 func (n *Direct) startBackground(work context.Context) {
 	startTasks(work, n.tickLoop, n.loadCacheIndex, n.peers.Loop, n.delays.loop,
 		n.watcher(chestnutstep.TopicTargets).Run, n.watcher(chestnutstep.TopicRouting).Run)
@@ -173,7 +174,7 @@
 	n.settings.Store(n.Settings)
 	var err error
 	if n.meters, err = meter.NewSet(); err != nil {
-		return errors.Wrap(err, "metrics")
+		return errors.Wrap(err, "create metrics")
 	}
 	n.async = event.NewAsyncWriter(n.Out)
 	n.log = &event.Log{Out: n.async, Process: n.Settings.Name}
@@ -184,7 +185,7 @@
 	n.crashes = &relay.CrashTracker{Log: n.log, Meters: &n.meters.Relay, OnLoss: n.sendCrashes}
 	self, err := netip.ParseAddrPort(n.Settings.PeerAddr)
 	if err != nil {
-		return errors.Wrap(err, "peer address")
+		return errors.Wrap(err, "parse peer address")
 	}
 	n.delays = &delayMonitor{node: n}
 	n.board = &board.Board{Self: self, Domain: n.Settings.Domain, ColdBounds: n.coldBounds, Overloaded: n.delays.isOverloaded}
@@ -206,7 +207,7 @@
 	n.shed = &relay.Shedder{Relay: n.relay}
 	conn, err := net.ListenPacket("udp", n.Settings.PeerAddr)
 	if err != nil {
-		return errors.Wrap(err, "peer")
+		return errors.Wrap(err, "listen for peer datagrams")
 	}
 	n.peers = &share.Peers{Self: self, Incarnation: randomIncarnation(), Delegate: n, Conn: conn, OnError: n.logDatagramError, Link: uint32(n.Settings.LinkMbps)}
 	if a, err := netip.ParseAddrPort(n.Settings.ControlAddr); err == nil && n.Decoder != nil {
@@ -216,8 +217,8 @@
 	return nil
 }
 
-// seedAddrs reads the addresses of seeds; one that can't be read is left out, as
-// seeds may be stale anyway.
+// seedAddrs parses the addresses of seeds. It skips invalid ones, because seeds can be stale
+// anyway.
 func seedAddrs(list []string) []netip.AddrPort {
 	var addrs []netip.AddrPort
 	for _, s := range list {
@@ -240,8 +241,8 @@
 	return retry.Bounds{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}
 }
 
-// reload puts changed settings in force: bounds and seeds. Addresses are taken
-// at the next start.
+// reload applies changed settings: bounds and seeds. Changed addresses take effect at the next
+// start.
 func (n *Direct) reload(s *config.DirectSettings) {
 	n.settings.Store(s)
 	n.peers.SetSeeds(seedAddrs(s.Seeds))
@@ -250,14 +251,14 @@
 
 func (n *Direct) logRefusedSettings(err error) { n.log.Emit(event.SettingsRefused, event.Err(err)) }
 
-// randomIncarnation draws the number of this life of the process.
+// randomIncarnation returns a random number that identifies this run of the process.
 func randomIncarnation() uint32 {
 	var b [4]byte
-	_, _ = rand.Read(b[:]) // never fails, says its documentation
+	_, _ = rand.Read(b[:]) // never returns an error
 	return binary.LittleEndian.Uint32(b[:])
 }
 
-// tickLoop looks after what needs no hurry.
+// tickLoop performs periodic maintenance until ctx ends.
 func (n *Direct) tickLoop(ctx context.Context) {
 	tick := time.NewTicker(directTickInterval)
 	defer tick.Stop()
--- a/node/direct_test.go
+++ b/node/direct_test.go
@@ -25,7 +25,7 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// direct is an entry without agents in this process.
+// direct is an entry without agents that runs in the test process.
 type direct struct {
 	settings *config.DirectSettings
 	door     *stand.Door
@@ -34,7 +34,7 @@
 	done     chan error
 }
 
-// blockableLog is a log whose reader can stop.
+// blockableLog is a log whose writes block while the test holds its mutex.
 type blockableLog struct {
 	mu      sync.Mutex
 	written bytes.Buffer
@@ -121,7 +121,7 @@
 	return http.DefaultClient.Do(r)
 }
 
-// publish writes a configuration with these keys, and a list of targets.
+// publish writes a configuration with the given keys, and a list of targets.
 func publish(store *stand.Store, version int, keys []string, targets ...*stand.Target) {
 	route := func(name, kind string) map[string]any {
 		return map[string]any{
@@ -148,10 +148,9 @@
 	return x
 }
 
-// A key is taken away while one entry can reach neither the store nor a peer. Its
-// workspace's owner took it away after a leak: an entry that goes on with what it
-// knew lets the thief book. It refuses before the bound is over, and serves again
-// when it hears.
+// TestDirectCutOffFromTheStore guards against an entry that accepts a revoked key because it can
+// reach neither the store nor a peer. It must reject requests before the maximum revocation time
+// has passed, and serve again once the store is reachable.
 func TestDirectCutOffFromTheStore(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
@@ -169,21 +168,21 @@
 	}
 	assert.Equal(t, d.ready(), http.StatusServiceUnavailable)
 	d.door.Set(stand.None)
-	waitFor(t, func() bool { return status(d.post("/book/1", "k", "b")) == http.StatusUnauthorized }, "the key is dead")
+	waitFor(t, func() bool { return status(d.post("/book/1", "k", "b")) == http.StatusUnauthorized }, "the key is rejected")
 	assert.Equal(t, status(d.post("/book/1", "other", "c")), http.StatusOK)
 	assert.Assert(t, strings.Contains(d.out.text(), `"source_lost"`))
 	assert.Assert(t, strings.Contains(d.out.text(), `"source_regained"`))
 }
 
-// The store turns one entry away and serves another. The one that is turned away
-// takes its peer's word that the configuration is current, and a newer one from the
-// peer itself: its callers notice nothing.
+// TestDirectFollowsPeersWithoutStore guards against failed requests at an entry that the store
+// rejects while it serves another one. The rejected entry uses the reports of its peer as proof
+// that the configuration is current, and reads newer versions from the peer.
 func TestDirectFollowsPeersWithoutStore(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
 	first := startDirect(t, store)
 	second := startDirect(t, store, first.settings.PeerAddr)
-	waitFor(t, func() bool { return strings.Contains(second.out.text(), `"peers":1`) }, "they hear each other")
+	waitFor(t, func() bool { return strings.Contains(second.out.text(), `"peers":1`) }, "the entries have found each other")
 	second.door.Set(stand.Busy)
 	for range 30 {
 		assert.Equal(t, status(second.post("/book/1", "k", fmt.Sprint("p", time.Now().UnixNano()))), http.StatusOK)
@@ -192,11 +191,12 @@
 	publish(store, 2, []string{"new"})
 	waitFor(t, func() bool {
 		return status(second.post("/book/1", "new", fmt.Sprint("n", time.Now().UnixNano()))) == http.StatusOK
-	}, "the new version comes by the peer")
+	}, "the new version is read from the peer")
 	assert.Equal(t, status(second.post("/book/1", "k", "old")), http.StatusUnauthorized)
 }
 
-// A planned stop comes while answers are under way. Callers notice one that is cut.
+// TestDirectStops guards against a planned stop that interrupts responses in progress or rejects
+// connections before the balancer has noticed the stop.
 func TestDirectStops(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	x.Events, x.Pause = 100, 15*time.Millisecond
@@ -206,13 +206,13 @@
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	d.stop()
-	waitFor(t, func() bool { return d.ready() == http.StatusServiceUnavailable }, "it says that it is not ready")
+	waitFor(t, func() bool { return d.ready() == http.StatusServiceUnavailable }, "the entry reports that it is not ready")
 	late, err := net.Dial("tcp", d.settings.CallerAddr)
 	assert.NilError(t, err)
 	defer late.Close()
 	fmt.Fprint(late, "POST /book/1 HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: late\r\nCredential: k\r\nContent-Length: 0\r\n\r\n")
 	answer, err := io.ReadAll(late)
-	assert.NilError(t, err, "the connection is closed behind the answer")
+	assert.NilError(t, err, "the connection is closed after the response")
 	assert.Assert(t, strings.HasPrefix(string(answer), "HTTP/1.1 200"), "the balancer has not noticed yet: %s", answer)
 	assert.Assert(t, strings.Contains(string(answer), "Connection: close"))
 	raw, err := io.ReadAll(resp.Body)
@@ -222,8 +222,8 @@
 	assert.Assert(t, strings.Contains(d.out.text(), `"process_stop"`))
 }
 
-// Whatever reads standard output stops for five seconds. Requests must not wait for
-// their lines in the log.
+// TestDirectLogReaderStops guards against requests that wait for their log lines while the reader
+// of standard output is stopped for five seconds.
 func TestDirectLogReaderStops(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
@@ -239,8 +239,8 @@
 	assert.Assert(t, maxLatency < 3*time.Second, "%s", maxLatency)
 }
 
-// The settings file changes without a signal, first to something broken. The broken
-// one is named in the log and not used.
+// TestDirectReloads guards against a settings file that changes without a signal and is not
+// reloaded, and against broken settings taking effect. The error in the broken ones is logged.
 func TestDirectReloads(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
@@ -262,13 +262,13 @@
 		},
 	})
 	assert.NilError(t, os.WriteFile(file, []byte("broken"), 0o600))
-	waitFor(t, func() bool { return strings.Contains(d.out.text(), "field x: broken") }, "the mistake is logged")
+	waitFor(t, func() bool { return strings.Contains(d.out.text(), "field x: broken") }, "the error is logged")
 	assert.NilError(t, os.WriteFile(file, []byte("second"), 0o600))
 	waitFor(t, func() bool { return strings.Contains(d.out.text(), `"revoke":"1h0m0s"`) }, "the bounds are in force")
 	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
 }
 
-// slowList is a source whose list of targets comes late.
+// slowList is a source whose list of targets is delayed until it is released.
 type slowList struct {
 	chestnutstep.Source
 	called  chan struct{}
@@ -290,8 +290,8 @@
 	return s.Source.List(ctx)
 }
 
-// TestDirectIsNotReadyWithoutTargets guards against an entry that takes callers before it
-// has read the list of targets, and refuses them while all targets are well.
+// TestDirectIsNotReadyWithoutTargets guards against an entry that accepts callers before it has
+// read the list of targets, and rejects their requests although all targets are healthy.
 func TestDirectIsNotReadyWithoutTargets(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
@@ -314,7 +314,7 @@
 	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
 }
 
-// Operators read the metrics of an entry.
+// TestDirectMetrics guards against requests missing in the metrics of an entry.
 func TestDirectMetrics(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
--- a/node/entry.go
+++ b/node/entry.go
@@ -24,19 +24,18 @@
 )
 
 const (
-	// leaveDelay is how long a stopping entry still takes new requests after it
-	// said that it is not ready: the balancer needs a check or two to notice.
+	// leaveDelay is how long a stopping entry still accepts requests after it has reported that it
+	// is not ready. The balancer notices after one or two probes.
 	leaveDelay = time.Second
-	// headerTimeout bounds the reading of a caller's headers.
+	// headerTimeout bounds the reading of request headers.
 	headerTimeout = 10 * time.Second
-	// callerIdleTimeout closes callers' connections that carry nothing.
+	// callerIdleTimeout is how long an idle caller connection is kept.
 	callerIdleTimeout = 2 * time.Minute
-	// rankingInterval is how often the ranking takes in what changed about hosts.
+	// rankingInterval is how often the ranking is updated with the state of hosts.
 	rankingInterval = time.Second
 )
 
-// Entry is the process that callers talk to. Set the exported fields before
-// Run.
+// Entry is the process that serves callers. Its exported fields must be set before Run.
 type Entry struct {
 	Settings *config.Settings
 	// Out receives the log; standard error if unset.
@@ -48,18 +47,18 @@
 	server  *grpc.Server
 }
 
-// Run serves until ctx ends, then lets requests in progress come to their end.
+// Run serves until ctx ends, then drains requests in progress.
 func (n *Entry) Run(ctx context.Context) error {
 	if err := n.build(); err != nil {
 		return err
 	}
 	callers, err := net.Listen("tcp", n.Settings.Listen)
 	if err != nil {
-		return errors.Wrap(err, "listen")
+		return errors.Wrap(err, "listen for callers")
 	}
 	peers, err := net.Listen("tcp", n.Settings.Peer)
 	if err != nil {
-		return errors.Wrap(err, "peer")
+		return errors.Wrap(err, "listen for peers")
 	}
 	n.log.Emit(event.ProcessStart, event.Str("role", string(config.RoleEntry)))
 	work, stop := context.WithCancel(context.Background())
@@ -128,8 +127,8 @@
 	return srv.Serve(l)
 }
 
-// stop says "not ready" first, takes no new connections after a grace, and
-// waits for requests in progress: a planned stop cuts nothing.
+// stop reports that the entry is not ready, closes the listener after leaveDelay and waits for
+// requests in progress, so that a planned stop interrupts no response.
 func (n *Entry) stop(srv *http.Server) error {
 	n.entry.StartDrain()
 	n.log.Emit(event.ProcessNotReady, event.Str("cause", "leaving"))
@@ -143,13 +142,13 @@
 	return errors.Wrap(err, "drain")
 }
 
-// ranking is a table and the hosts that it leaves out.
+// ranking is a routing table and the hosts that it excludes.
 type ranking struct {
 	table         *route.Table
 	excludedHosts []string
 }
 
-// ranker returns the table of a publication, building it when it is new.
+// ranker returns the routing table of a publication and builds it if the publication is new.
 func (n *Entry) ranker(v *chestnutstep.View) chestnutstep.Ranker {
 	if r := n.ranking.Load(); r != nil && r.table.View == v {
 		return r.table
@@ -157,9 +156,9 @@
 	return n.rebuildRanking(v, n.members.Unavailable(time.Now()))
 }
 
-// rebuildRanking makes a table without the hosts that are leaving or silent. Where
-// that leaves a model with nothing, the evidence is more likely wrong (this
-// process may be the one that is cut off), and all its targets are kept.
+// rebuildRanking builds a routing table without the hosts that are leaving or unresponsive. If that
+// leaves no target of a model, this process is more likely to be the one that is cut off, and all
+// targets of the model are kept.
 func (n *Entry) rebuildRanking(v *chestnutstep.View, excludedHosts []string) *route.Table {
 	skip := func(t *chestnutstep.Target) bool {
 		_, found := slices.BinarySearch(excludedHosts, t.Host)
@@ -177,7 +176,7 @@
 	return t
 }
 
-// updateRanking rebuilds the table if what is believed of hosts has changed.
+// updateRanking rebuilds the table if the set of unavailable hosts has changed.
 func (n *Entry) updateRanking(v *chestnutstep.View) {
 	excludedHosts := n.members.Unavailable(time.Now())
 	if r := n.ranking.Load(); r != nil && r.table.View == v && slices.Equal(r.excludedHosts, excludedHosts) {
@@ -186,7 +185,7 @@
 	n.rebuildRanking(v, excludedHosts)
 }
 
-// refreshLoop rebuilds the table while what is believed of hosts changes.
+// refreshLoop updates the ranking and the gauges periodically until ctx ends.
 func (n *Entry) refreshLoop(ctx context.Context) {
 	tick := time.NewTicker(rankingInterval)
 	defer tick.Stop()
@@ -214,7 +213,7 @@
 	return nil
 }
 
-// status lists all targets as this entry sees them.
+// status returns the status page with the state of all targets as this entry sees them.
 func (n *Entry) status() admin.Status {
 	s := n.base.baseStatus(n.ready(), n.entry.OpenCount())
 	v := n.store.View()
@@ -229,7 +228,7 @@
 	return s
 }
 
-// countEntries counts the entries that share the callers.
+// countEntries returns the number of entries that share the load of callers, at least 1.
 func (n *Entry) countEntries() int {
 	v := n.store.View()
 	if v == nil {
--- a/node/error.go
+++ b/node/error.go
@@ -2,14 +2,15 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrNotReady says why a process should get no new work from the balancer.
+// ErrNotReady is the reason why a process must not get new work from the balancer.
 type ErrNotReady struct {
 	Cause string
 }
 
+// Error returns the cause.
 func (e *ErrNotReady) Error() string { return e.Cause }
 
-// IsErrNotReady says whether err is an ErrNotReady.
+// IsErrNotReady reports whether err is an ErrNotReady.
 func IsErrNotReady(err error) bool {
 	var e *ErrNotReady
 	return errors.As(err, &e)
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -1,7 +1,6 @@
 package node
 
-// FreeAddr and OwnHost give the tests outside the package addresses that no other
-// process takes.
+// FreeAddr and OwnHost provide external tests with addresses that no other process uses.
 var (
 	FreeAddr = freeAddr
 	OwnHost  = ownHost
--- a/node/feed.go
+++ b/node/feed.go
@@ -16,7 +16,7 @@
 	"chestnutstep.example/chestnutstep/watch"
 )
 
-// watcher follows a topic of the source, through peers where there are any.
+// watcher returns a watcher of a topic, which reads through peers if they are enabled.
 func (n *Direct) watcher(t chestnutstep.Topic) *watch.Watcher {
 	w := &watch.Watcher{
 		Topic:      t,
@@ -54,22 +54,22 @@
 	}
 }
 
-// peerWithFacts returns a peer that holds facts, if one is known.
+// peerWithFacts returns a peer that has facts, or false if there is none.
 func (n *Direct) peerWithFacts() (feed.Member, bool) {
 	m, ok := n.peers.PeerWithFacts()
 	return feedMember(m), ok
 }
 
 const (
-	// minCopyTimeout is how long an entry that has just started waits for a peer: hosts that
-	// come back together start within a tenth of a second.
+	// minCopyTimeout is how long an entry that has just started waits for a peer with facts. Hosts
+	// that are powered on together start within a tenth of a second.
 	minCopyTimeout = 150 * time.Millisecond
-	// maxCopyTimeout is how long a seed may take to list thousands of targets.
+	// maxCopyTimeout is the time allowed for a seed to list thousands of targets.
 	maxCopyTimeout = 1500 * time.Millisecond
 )
 
-// copyTimeout is how long an entry that has just started waits for a peer with facts. The seeds
-// list the source at once; while one of them is there, the others leave it to them.
+// copyTimeout returns how long an entry that has just started waits for a peer with facts. Seeds
+// list the source immediately; the other entries wait for them while one is live.
 func (n *Direct) copyTimeout() time.Duration {
 	switch {
 	case n.isSeed() || len(n.settings.Load().Seeds) == 0:
@@ -80,7 +80,8 @@
 	return minCopyTimeout
 }
 
-// timing derives the times of reading from the bounds on changes and on keys.
+// timing returns the intervals of reading, derived from the bounds on applying changes and on
+// revoking keys.
 func (n *Direct) timing() feed.Timing {
 	b := n.bounds()
 	bound := b.MaxApplyTime
@@ -94,7 +95,7 @@
 	return feed.Member{ID: m.Addr, FeedAddr: m.ControlAddr, Link: m.Link}
 }
 
-// members are the other entries that serve their facts.
+// members returns the other entries that serve their facts.
 func (n *Direct) members() []feed.Member {
 	var list []feed.Member
 	for _, m := range n.peers.Members(clock.Now()) {
@@ -112,8 +113,8 @@
 		event.Dur("proof", n.factsAge(t)))
 }
 
-// logRead logs a call that brought changes or failed. Its gap is how old the last proof is: no
-// change that the call brought is older.
+// logRead logs a call that returned changes or failed. The field "gap" is the age of the last
+// proof, which is an upper bound for the age of the changes.
 func (n *Direct) logRead(t chestnutstep.Topic, r feed.Read) {
 	peer := ""
 	if r.Peer.IsValid() {
@@ -127,7 +128,7 @@
 	n.countRead(t, r)
 }
 
-// countRead counts a call for the metrics.
+// countRead adds a call to the metrics.
 func (n *Direct) countRead(t chestnutstep.Topic, r feed.Read) {
 	m, from := &n.meters.Relay, "source"
 	switch {
@@ -143,23 +144,23 @@
 	}
 }
 
-// proofAge is the age of the proof that the configuration is current.
+// proofAge returns the age of the proof that the configuration is current.
 func (n *Direct) proofAge() time.Duration { return clock.Now().Sub(n.roster.VersionConfirmedAt()) }
 
-// factsAge is the age of the proof that all facts of a topic are known.
+// factsAge returns the age of the proof that the facts of a topic are complete.
 func (n *Direct) factsAge(t chestnutstep.Topic) time.Duration {
 	return clock.Now().Sub(n.roster.Proof(t))
 }
 
-// wakeWatch ends the present watch.
+// wakeWatch ends the current watch of the configuration.
 func (n *Direct) wakeWatch() {
 	select {
 	case n.wake <- struct{}{}:
-	default: // one is on its way
+	default: // a wake-up is already pending
 	}
 }
 
-// serveControl answers peers until ctx ends.
+// serveControl serves facts and cache lists to peers until ctx ends.
 func (n *Direct) serveControl(ctx context.Context) {
 	l, err := net.Listen("tcp", n.Settings.ControlAddr)
 	if err != nil {
--- a/node/watch.go
+++ b/node/gauges.go
@@ -9,9 +9,8 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// updateMetrics sets the gauges and notes changes of the target's state, once a
-// second: soon enough for who reads them, and a change that is undone within a
-// second is none that an operator could act on.
+// updateMetrics sets the gauges and records changes of the target's state once per second. A change
+// that is undone within a second is not relevant to operators.
 func (n *Agent) updateMetrics(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -29,7 +28,7 @@
 	}
 }
 
-// mean is the estimated mean load of the target's model.
+// mean returns the estimated mean load of the target's model.
 func (n *Agent) mean() chestnutstep.Mean {
 	lock := n.agent.Locker()
 	lock.Lock()
@@ -52,8 +51,8 @@
 	g.Cold.Set(cold)
 }
 
-// recordChanges notes what no notice of the agent tells: that the target has proven
-// warm, and that it leaves or is back by a publication.
+// recordChanges records the changes for which the agent sends no notice: the target has become
+// warm, or is leaving or back because of a publication.
 func (n *Agent) recordChanges(before, l chestnutstep.Load) {
 	if before.Cold && !l.Cold {
 		n.recordTransition(event.TargetWarm, "cold", "warm", "whole answers")
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -11,8 +11,7 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// newGossip returns this process's part in the gossip; an agent adds its load
-// and its suspicions.
+// newGossip returns this process's gossip node; an agent adds its load and its suspicions.
 func (b *base) newGossip(name, address string) *gossip.Node {
 	return &gossip.Node{
 		Store:    b.store,
@@ -27,13 +26,13 @@
 	}
 }
 
-// runGossip keeps the publication and what is known of hosts up to date.
+// runGossip keeps the publication and the state of hosts up to date until ctx ends.
 func (b *base) runGossip(ctx context.Context) { _ = b.gossipNode.Run(ctx) }
 
-// registerPeerServer lets other processes ask this one.
+// registerPeerServer registers the gossip service for the other processes.
 func (b *base) registerPeerServer(srv *grpc.Server) { wire.RegisterPeerServer(srv, b.gossipNode) }
 
-// gossipEvents are the log events of gossip's notices.
+// gossipEvents maps the notices of gossip to log events.
 var gossipEvents = map[gossip.NoticeKind]event.ID{
 	gossip.NoticeUnreachable: event.PeerUnreachable,
 	gossip.NoticeLost:        event.PeersLost,
@@ -65,13 +64,14 @@
 	b.meters.Publication.GossipRounds.Add(1, result)
 }
 
-// publicationTimeout bounds how long a starting process looks for a publication
-// before it says so in its log.
+// publicationTimeout is how long a starting process waits for a publication before it logs that
+// there is none.
 const publicationTimeout = 5 * time.Second
 
-// awaitPublication tells operators when a process has no publication to work by.
+// awaitPublication logs that the process is ready, or that it still has no publication after
+// publicationTimeout.
 func (b *base) awaitPublication(ctx context.Context) {
-	// Asked for before the look: a change in between would not be seen.
+	// Changed is called before View, so that a change between the two calls is not missed.
 	changed := b.store.Changed()
 	if b.store.View() == nil {
 		select {
--- a/node/count.go
+++ b/node/metrics.go
@@ -8,21 +8,21 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// serveMetrics serves the metrics address until ctx ends.
+// serveMetrics serves metrics at their own address until ctx ends.
 func (n *Direct) serveMetrics(ctx context.Context) {
 	srv := &admin.Server{Addr: n.Settings.MetricsAddr, Log: n.log, Ready: n.ready, Metrics: n.meters.Handler()}
-	// A failure is logged there; requests don't need the address.
+	// The server logs a failure itself. Requests do not depend on this address.
 	_ = srv.Run(ctx)
 }
 
-// reportedCounts is what was passed to the metrics already.
+// reportedCounts holds the totals already added to the metrics.
 type reportedCounts struct {
 	dropped, opened, out, in int64
 	peers                    int
 	manyCallers              bool
 }
 
-// updateMetrics passes on what is counted elsewhere.
+// updateMetrics transfers counts kept by other parts into the metrics and logs their changes.
 func (n *Direct) updateMetrics() {
 	m, c := &n.meters.Relay, &n.reported
 	dropped, opened := n.async.Dropped(), n.pool.Opened()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -16,7 +16,7 @@
 	"chestnutstep.example/chestnutstep/config"
 )
 
-// logBuffer is a log that tests read.
+// logBuffer is a log whose content tests can read.
 type logBuffer struct {
 	mu      sync.Mutex
 	written []byte
@@ -35,17 +35,17 @@
 	return string(l.written)
 }
 
-// firstPort lies below the ports that systems hand out by themselves: one of
-// those may be given to another process between a test's choice and its use.
+// firstPort is below the range of ephemeral ports: the system could give one of those to another
+// process between its selection by a test and its use.
 const firstPort = 21000
 
-// ports counts the ports given out, at a loopback address of this process's own.
+// ports counts the ports assigned at a loopback address that is random per process.
 var (
 	ports   atomic.Int32
 	ownHost = fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(63), rand.IntN(256), 1+rand.IntN(254))
 )
 
-// freeAddr returns an address that nothing listens at.
+// freeAddr returns an address at which no process listens.
 func freeAddr(*testing.T) string {
 	return fmt.Sprintf("%s:%d", ownHost, firstPort+ports.Add(1))
 }
@@ -59,9 +59,9 @@
 	return s
 }
 
-// An operator starts a second agent beside a target by mistake. Two agents
-// would each admit up to the target's cap and hand out tickets that the other
-// does not know. The second one must say so and stop.
+// TestSecondAgentStops guards against two agents of one target, started by mistake. Each would
+// admit up to the target's cap and issue tickets that the other one does not recognize. The second
+// agent must stop with an error.
 func TestSecondAgentStops(t *testing.T) {
 	listen := freeAddr(t)
 	out := &logBuffer{}
@@ -83,9 +83,9 @@
 	assert.NilError(t, <-first)
 }
 
-// The platform is down when a process starts, and no peer is there. The
-// process says that it is not ready, so that the balancer sends no callers, and
-// why; it does not stop.
+// TestStartWithoutPlatform guards against a process that stops because neither the platform nor a
+// peer is available at its start. It must report that it is not ready and why, so that the balancer
+// sends no callers.
 func TestStartWithoutPlatform(t *testing.T) {
 	out := &logBuffer{}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/node/notice.go
+++ b/node/notice.go
@@ -12,8 +12,8 @@
 	"chestnutstep.example/chestnutstep/order"
 )
 
-// targetEvents are the notices of an agent that change the state of its
-// target: they go to the log and the audit trail.
+// targetEvents maps the notices of an agent about its target's state to log events. They also go to
+// the audit trail.
 var targetEvents = map[agent.NoticeKind]event.ID{
 	agent.NoticeCold:    event.TargetCold,
 	agent.NoticeDown:    event.TargetDown,
@@ -22,13 +22,13 @@
 	agent.NoticeLeaving: event.TargetLeaving,
 }
 
-// contentEvents are about a request's content.
+// contentEvents maps the notices about the content of a request to log events.
 var contentEvents = map[agent.NoticeKind]event.ID{
 	agent.NoticeSuspect:   event.ContentSuspect,
 	agent.NoticeCondemned: event.ContentCondemned,
 }
 
-// offerEvents are the steps of an offer that was taken.
+// offerEvents maps the steps of an offer to log events.
 var offerEvents = map[agent.NoticeKind]event.ID{
 	agent.NoticeAccepted:  event.OfferTaken,
 	agent.NoticeQueued:    event.OfferTaken,
@@ -39,7 +39,7 @@
 	agent.NoticeEnded:     event.RunEnded,
 }
 
-// handleNotice puts what an agent says into log, metrics and audit trail.
+// handleNotice records a notice of the agent in the log, the metrics and the audit trail.
 func (n *Agent) handleNotice(m agent.Notice) {
 	if id, ok := targetEvents[m.Kind]; ok {
 		n.log.Emit(id, event.Target(m.Subject))
@@ -83,8 +83,8 @@
 	}
 }
 
-// countRefusedOffer notes an offer that did not run, for a ticket with what became of
-// it; 0 writes no line for others.
+// countRefusedOffer records an offer that did not run. An offer with a ticket gets a log event of
+// its own kind; id 0 writes no log line for others.
 func (n *Agent) countRefusedOffer(m agent.Notice, id event.ID) {
 	switch {
 	case m.HasTicket && slices.Contains(ticketReasons, m.Reason):
@@ -101,13 +101,13 @@
 	}
 }
 
-// ticketReasons are refusals for the ticket's own sake.
+// ticketReasons are the reasons for refusing an offer because of its ticket.
 var ticketReasons = []chestnutstep.Reason{
 	chestnutstep.ReasonTicket, chestnutstep.ReasonDead, chestnutstep.ReasonExpired, chestnutstep.ReasonSpent,
 	chestnutstep.ReasonForged, chestnutstep.ReasonDropped, chestnutstep.ReasonGone,
 }
 
-// recordOrder notes an order to the engine.
+// recordOrder records an order to the engine.
 func (n *Agent) recordOrder(m agent.Notice) {
 	id := event.OrderDone
 	switch order.Event(m.After) {
@@ -122,7 +122,7 @@
 	n.auditNotice(audit.KindOrder, m)
 }
 
-// countRun counts a run.
+// countRun records a completed run in the metrics.
 func (n *Agent) countRun(m agent.Notice) {
 	result := string(m.Reason)
 	if result == "" {
@@ -140,7 +140,7 @@
 	}
 }
 
-// logFailedRun logs runs that an operator should know of, and counts tickets.
+// logFailedRun logs runs that need an operator's attention, and counts tickets.
 func (n *Agent) logFailedRun(m agent.Notice) {
 	request, target := event.Request(m.Subject), event.Target(n.agent.Name)
 	switch m.Reason {
@@ -165,7 +165,7 @@
 	})
 }
 
-// handleNotice puts how a caller's request ended into log and metrics.
+// handleNotice records the end of a caller's request in the log and the metrics.
 func (n *Entry) handleNotice(m entry.Notice) {
 	result := "ok"
 	if m.Reason != "" {
@@ -194,7 +194,7 @@
 	}
 }
 
-// countProgress notes what a request met before it ended.
+// countProgress records reattachments, retries and hints of a request.
 func (n *Entry) countProgress(m entry.Notice) {
 	if m.Reattached > 0 {
 		n.log.Emit(event.AnswerAttached, event.Request(m.Request), event.Target(m.Target))
@@ -216,7 +216,7 @@
 	}
 }
 
-// onOffer puts what became of an offer into log and metrics.
+// onOffer records the outcome of an offer in the log and the metrics.
 func (n *Entry) onOffer(o entry.Offer) {
 	id := event.OfferAnswered
 	if o.Answer == entry.OfferUnresponsive || o.Answer == entry.OfferBroken {
@@ -230,7 +230,7 @@
 	n.meters.Entry.Offers.Add(1, o.Profile, string(o.Answer))
 }
 
-// requestEvent is the log event of how a request ended.
+// requestEvent returns the log event for the end of a request.
 func requestEvent(m entry.Notice) event.ID {
 	switch {
 	case m.Reason == "":
--- a/node/probe.go
+++ b/node/probe.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// probeInterval and probeMost bound the connections that an entry tries to
-	// suspect hosts: a failure domain of 190 targets must not cost it a core.
+	// probeInterval and maxProbes limit the connection attempts to suspect hosts: a failure domain
+	// of 190 targets must not occupy a CPU core of an entry.
 	probeInterval = time.Second
 	maxProbes     = 8
-	// probeTimeout is how long one try may take.
+	// probeTimeout bounds one connection attempt.
 	probeTimeout = 400 * time.Millisecond
 )
 
-// probeLoop tries suspect hosts again, apart from callers' requests: a request that
-// tries a host which is still silent pays for it with half a second.
+// probeLoop probes suspect hosts independently of callers' requests. A request sent to a host that
+// is still unresponsive would be delayed by half a second.
 func (n *Entry) probeLoop(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
--- a/node/publication.go
+++ b/node/publication.go
@@ -13,18 +13,18 @@
 	"chestnutstep.example/chestnutstep/gossip"
 )
 
-// sourceStatus remembers what the status page says about the publication.
+// sourceStatus holds the state of the publication for the status page.
 type sourceStatus struct {
 	mu             sync.Mutex
 	acceptedAt     time.Time
 	refusedVersion uint64
 	refusedReason  string
-	// serviceDown and alone are what gossip said last of the service and of peers.
+	// serviceDown and isolated are the last state of the platform and of peers reported by gossip.
 	serviceDown bool
 	isolated    bool
 }
 
-// handleNotice takes what gossip notices of the service and of peers.
+// handleNotice updates the state of the platform and of peers from a notice of gossip.
 func (s *sourceStatus) handleNotice(kind gossip.NoticeKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	b.meters.Process.Audit.Add(1, string(r.Kind))
 }
 
-// onPublicationAccepted notes a publication that came into force.
+// onPublicationAccepted records a publication that came into force.
 func (b *base) onPublicationAccepted(c config.Change) {
 	p := c.To.Publication
 	b.sourceStatus.mu.Lock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// onPublicationRefused notes a publication that was not put in force.
+// onPublicationRefused records a publication that was refused.
 func (b *base) onPublicationRefused(r config.Refusal) {
 	b.sourceStatus.mu.Lock()
 	b.sourceStatus.refusedVersion = r.Stamp.Version
@@ -115,7 +115,7 @@
 	}
 }
 
-// baseStatus fills in what entries and agents show alike.
+// baseStatus returns the part of the status page that entries and agents share.
 func (b *base) baseStatus(ready error, streams int64) admin.Status {
 	s := admin.Status{
 		NoPeers:      b.isIsolated(),
@@ -136,5 +136,5 @@
 	return s
 }
 
-// maxStatusChanges is how many audit records a status page shows.
+// maxStatusChanges is the number of audit records on a status page.
 const maxStatusChanges = 20
--- a/node/random.go
+++ b/node/random.go
@@ -5,7 +5,7 @@
 	"encoding/hex"
 )
 
-// newIncarnation draws the name of one life of a process.
+// newIncarnation returns a random name that identifies one run of a process.
 func newIncarnation() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
--- a/node/ready.go
+++ b/node/ready.go
@@ -8,7 +8,7 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// ready says whether the balancer should send callers here.
+// ready returns nil if the balancer can send callers to this entry, and an ErrNotReady otherwise.
 func (n *Direct) ready() error {
 	if n.leaving.Load() {
 		return &ErrNotReady{Cause: "leaving"}
@@ -17,8 +17,7 @@
 	if v == nil {
 		return &ErrNotReady{Cause: "no configuration yet"}
 	}
-	// Ready without the list, an entry would refuse its first callers for want of
-	// targets.
+	// Without the list, the entry would reject its first callers for lack of targets.
 	if !v.Listed {
 		return &ErrNotReady{Cause: "no list of targets yet"}
 	}
@@ -37,8 +36,8 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// stop says "not ready" first, takes connections until the balancer has noticed,
-// and waits for requests in progress: a planned stop cuts nothing.
+// stop reports that the entry is not ready, accepts connections until the balancer has noticed, and
+// waits for requests in progress, so that a planned stop interrupts no response.
 func (n *Direct) stop(srv *http.Server) error {
 	start := time.Now()
 	n.leaving.Store(true)
--- a/node/task.go
+++ b/node/task.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// task is a part of a process that runs until its context ends.
+// task is a function that runs until its context ends.
 type task func(ctx context.Context)
 
-// run is what a goroutine of a process executes.
+// run calls the task; it is the body of its goroutine.
 func (t task) run(ctx context.Context) { t(ctx) }
 
-// startTasks runs the parts of a process side by side.
+// startTasks starts each task in its own goroutine.
 func startTasks(ctx context.Context, tasks ...task) {
 	for _, t := range tasks {
 		go t.run(ctx)
--- a/node/path_test.go
+++ b/node/tls_test.go
@@ -25,8 +25,8 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// testFleet is a fleet of one engine, its agent and an entry in this process, under
-// TLS on all links, with the platform's stand-in.
+// testFleet is a fleet of one engine, its agent and an entry in the test process, with TLS on all
+// connections and a stand-in for the platform.
 type testFleet struct {
 	t           *testing.T
 	dir         string
@@ -83,7 +83,7 @@
 	return s
 }
 
-// runner is a process of the system.
+// runner is an entry or an agent.
 type runner interface {
 	Run(ctx context.Context) error
 }
@@ -136,15 +136,15 @@
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// The whole path as operators would run it: a caller over HTTPS, mutual TLS
-// between entry and agent, the publication from the platform.
+// TestWholePathUnderTLS guards against failures of the complete request path in a production setup:
+// a caller over HTTPS, mutual TLS between entry and agent, and the publication from the platform.
 func TestWholePathUnderTLS(t *testing.T) {
 	f := newTestFleet(t)
 	f.request()
 }
 
-// request sends a request on a connection of its own and returns the serial number
-// of the certificate that the entry showed.
+// request sends a request on a connection of its own and returns the serial number of the entry's
+// certificate.
 func (f *testFleet) request() string {
 	t := f.t
 	client := &http.Client{Transport: &http.Transport{
@@ -164,8 +164,9 @@
 	return rs.TLS.PeerCertificates[0].SerialNumber.String()
 }
 
-// Certificates end, and operators write new ones over them. A process that kept
-// the old ones until its next start would refuse callers one night.
+// TestRotatedCertificatesAreUsedWithoutRestart guards against a process that uses its old
+// certificates until a restart, and rejects callers once they have expired although operators have
+// replaced the files.
 func TestRotatedCertificatesAreUsedWithoutRestart(t *testing.T) {
 	f := newTestFleet(t)
 	old := f.request()
@@ -174,23 +175,23 @@
 	f.issue(string(config.RoleAgent))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if f.request() == old {
-			return poll.Continue("the old certificate is still shown")
+			return poll.Continue("the old certificate is still in use")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
 }
 
-// Somebody on the operators' network starts a process of their own and talks to
-// agents. Without certificates of the fleet's authority it could run actions in
-// the name of any workspace.
+// TestUntrustedClientCantReachAgent guards against a foreign process on the operators' network that
+// connects to agents. Without a certificate of the fleet's authority, it could run actions in the
+// name of any workspace.
 func TestUntrustedClientCantReachAgent(t *testing.T) {
 	f := newTestFleet(t)
 	other, err := fake.NewAuthority()
 	assert.NilError(t, err)
 	untrusted, err := other.Issue(t.TempDir(), "stranger", ownHost)
 	assert.NilError(t, err)
-	// The stranger trusts the fleet's authority, so that only the agent's check
-	// of the stranger's own certificate is between them.
+	// The untrusted client trusts the fleet's authority, so that only the agent's check of the
+	// client certificate can reject it.
 	files := &cert.Files{Cert: untrusted.Cert, Key: untrusted.Key, CA: f.issue("trusted").CA}
 	assert.NilError(t, files.Load())
 	pool := &dial.Pool{Credentials: files.Credentials()}
