--- a/link/call.go
+++ b/link/call.go
@@ -18,31 +18,32 @@
 // Call is a request to one target.
 type Call struct {
 	Method string
-	// URI as the caller wrote it, so that the target gets the same bytes.
+	// URI is the request URI as the caller sent it, so that the target gets the same bytes.
 	URI    string
 	Host   string
 	Header http.Header
-	// Body is whole: what is sent again must be the same bytes.
+	// Body is the complete body, because a retry must send the same bytes.
 	Body    []byte
 	HasBody bool
-	// MaxIdle is how many idle connections to the target are kept, this one's included.
+	// MaxIdle is the maximum number of idle connections kept to the target, including the one of
+	// this call.
 	MaxIdle int
-	// NewConn opens a connection for the request: that it opens proves that the host is there,
-	// which an idle connection does not.
+	// NewConn requires a new connection. A successful dial proves that the host is up, which an
+	// idle connection does not.
 	NewConn bool
 	// DialTimeout bounds the opening of a connection; 0 for the default.
 	DialTimeout time.Duration
-	// OnUnresponsive is called when the target's host does not acknowledge the request. True gives
-	// the request up. Nil for never.
+	// OnUnresponsive is called if the target's host does not acknowledge the request. If it returns
+	// true, the call is aborted. Nil disables the check.
 	OnUnresponsive func() bool
 }
 
-// Response is a target's answer whose body is still to be read. Close it.
+// Response is the response of a target whose body is still to be read. It must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length of the body, -1 where it is not said.
+	// Length is the length of the body, -1 if the target does not state it.
 	Length int64
 
 	pool           *Pool
@@ -55,23 +56,23 @@
 	requestWritten bool
 }
 
-// ErrCall says that a target gave no usable answer.
+// ErrCall is the error of a call without a usable response.
 type ErrCall struct {
-	// Run says what is known of the request.
+	// Run states whether the target can have run the request.
 	Run chestnutstep.RunStatus
-	// Reason is short and stable, for logs and decisions.
+	// Reason is a short, stable code for logs and decisions.
 	Reason chestnutstep.Reason
-	// Reused says that the connection had carried a request before.
+	// Reused reports whether the connection had carried a request before.
 	Reused bool
-	// Unresponsive says that the target's host did not acknowledge the request.
+	// Unresponsive reports whether the target's host did not acknowledge the request.
 	Unresponsive bool
-	// PeerClosed says that the target's side ended the connection before the answer was whole,
-	// whatever of it had come.
+	// PeerClosed reports whether the target's side ended the connection before the response was
+	// complete.
 	PeerClosed bool
 	Err        error
 }
 
-// Error says what happened.
+// Error returns a text with the reason, the run status and the cause.
 func (err ErrCall) Error() string {
 	return fmt.Sprintf("call: %s (run: %s): %v", err.Reason, err.Run, err.Err)
 }
@@ -79,8 +80,8 @@
 // Unwrap returns the cause.
 func (err ErrCall) Unwrap() error { return err.Err }
 
-// Do sends a request and reads the head of the answer. The connection is closed
-// when ctx ends: the target stops work on the request. The error is ErrCall.
+// Do sends a request and reads the status line and headers of the response. When ctx ends, the
+// connection is reset, so that the target stops working on the request. The error is an ErrCall.
 func (p *Pool) Do(ctx context.Context, address string, call *Call) (*Response, error) {
 	c, err := p.get(ctx, address, call)
 	if err != nil {
@@ -115,22 +116,22 @@
 	select {
 	case err := <-sent:
 		a.requestWritten = err == nil
-	default: // an answer before the body was taken: the connection is not used again
+	default: // responded before reading the whole body: the connection is not reused
 	}
 	return a, nil
 }
 
-// maxInlineWrite is what a connection takes without waiting for its reader. A
-// longer message is written beside the reading of the answer: a target may
-// answer before it has read a long body.
+// maxInlineWrite is the size in bytes up to which a message is written without a goroutine, because
+// the socket buffer holds it without waiting for the peer. A longer message is written concurrently
+// with reading the response: a target can respond before it has read a long body.
 const maxInlineWrite = 12 << 10
 
-// message is the whole request as it goes over the wire.
+// message returns the complete request in its HTTP/1.1 encoding.
 func (call *Call) message() []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(call.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.URI, call.Host)
-	_ = call.Header.Write(&b) // a bytes.Buffer takes all
+	_ = call.Header.Write(&b) // writes to a bytes.Buffer do not fail
 	if call.HasBody || len(call.Body) > 0 {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(call.Body))
 	}
@@ -139,7 +140,7 @@
 	return b.Bytes()
 }
 
-// readHead reads the head of the final answer, past interim ones.
+// readHead reads the status line and headers of the final response and skips interim ones.
 func readHead(c *Conn, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
@@ -166,7 +167,7 @@
 	}
 }
 
-// Read reads the body; io.EOF says that it is whole.
+// Read reads from the body. It returns io.EOF once the body is complete.
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.Body.Read(b)
 	if err == io.EOF {
@@ -175,9 +176,9 @@
 	return n, err
 }
 
-// Close gives the connection back where the answer was read to its end and
-// nothing is in doubt, and closes it otherwise. Sound says that the caller of
-// Close found the answer to be that of its request.
+// Close returns the connection to the pool if the response was read completely and the connection
+// is in a defined state, and resets it otherwise. reusable reports whether the caller found the
+// response to belong to its request.
 func (a *Response) Close(reusable bool) {
 	if a.stop != nil && !a.stop() {
 		reusable = false // ctx ended, and the connection is closed or about to be
@@ -190,17 +191,17 @@
 	a.pool.put(a.address, a.conn, keepAliveTimeout(a.Header), a.maxIdle)
 }
 
-// IsCloseDelimited says that only the end of the connection ends the body.
+// IsCloseDelimited reports whether the body ends only with the connection.
 func (a *Response) IsCloseDelimited() bool { return a.Length < 0 && len(a.resp.TransferEncoding) == 0 }
 
-// abort closes the connection, which makes the target stop.
+// abort resets the connection, so that the target stops working on the request.
 func (a *Response) abort() {
 	a.stop()
 	a.conn.reset()
 }
 
-// keepAliveTimeout is how long the target keeps an idle connection, less a margin; 0
-// where it does not say.
+// keepAliveTimeout returns how long the target keeps an idle connection according to its Keep-Alive
+// header, less idleMargin; 0 if it does not state a time.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/link/keep_test.go
+++ b/link/idle_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/poll"
 )
 
-// Many entries stand before few targets, and each keeps connections that it does not
-// use. Together they take all that a target accepts, and callers' requests are reset
-// on connections beyond that. In a fleet of any size half is left for requests.
+// TestIdleConnectionsOverAllEntries guards against the idle connections of many entries using all
+// connections that a target accepts, so that requests on further ones are reset. In a fleet of any
+// size, half of the connections remain for requests.
 func TestIdleConnectionsOverAllEntries(t *testing.T) {
 	for _, connections := range []int{0, 96, 110, 200, 370} {
 		for _, entries := range []int{0, 1, 5, 24, 350} {
@@ -23,7 +23,7 @@
 	assert.Equal(t, MaxIdle(0, 350), maxIdleConns)
 }
 
-// A connection beyond what is kept is closed at once.
+// TestPoolClosesExcessIdleConnections guards against idle connections beyond the maximum.
 func TestPoolClosesExcessIdleConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(p.idle[target]), 1)
 }
 
-// TestClosed guards against requests that are sent on for callers who have left.
+// TestClosed guards against requests that are sent although their callers have disconnected.
 func TestClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -52,7 +52,7 @@
 	_, err = peer.Write([]byte("x"))
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result { return success(!IsIdle(c)) })
-	assert.Assert(t, !IsClosed(c), "bytes wait")
+	assert.Assert(t, !IsClosed(c), "bytes are pending")
 	_, err = c.Read(make([]byte, 1))
 	assert.NilError(t, err)
 	assert.Assert(t, !IsClosed(c))
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -18,7 +18,7 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// send makes one call and reads the answer to its end.
+// send makes one call and reads the complete response.
 func send(ctx context.Context, p *link.Pool, x *stand.Target, id, body string) (string, error) {
 	h := http.Header{}
 	h.Set("Attempt-Id", id)
@@ -47,7 +47,7 @@
 	return x
 }
 
-// Requests that follow each other use one connection.
+// TestConnectionIsKept guards against a new connection for each of several consecutive requests.
 func TestConnectionIsKept(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	for i := range 5 {
@@ -59,9 +59,9 @@
 	assert.Equal(t, p.Opened(), int64(1))
 }
 
-// What is known of a request after each failure. An entry that takes "maybe" for
-// "no" sends a booking twice.
-func TestErrorsTellWhetherRequestMayHaveRun(t *testing.T) {
+// TestErrorsStateWhetherRequestCanHaveRun guards against a wrong run status after a failure. An
+// entry that treats "maybe" as "no" sends a booking twice.
+func TestErrorsStateWhetherRequestCanHaveRun(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	for manner, want := range map[stand.Manner]string{stand.Resets: "link maybe", stand.Garbage: "link maybe"} {
 		x.Behave(stand.Fine, manner)
@@ -82,8 +82,9 @@
 	assert.Equal(t, reason(err), "down no")
 }
 
-// A target closed an idle connection, or sent a late second answer on it. The next
-// request must not be lost, nor be given that answer.
+// TestUnsafeConnectionIsNotReused guards against the next request being lost, or getting the wrong
+// response, on a connection that the target has closed or on which it has sent a late second
+// response.
 func TestUnsafeConnectionIsNotReused(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	x.Behave(stand.Fine, stand.Extra)
@@ -102,12 +103,13 @@
 	assert.NilError(t, err)
 }
 
-// A target answers before it has read a long body. What is left of the body would be
-// read as the next request on that connection.
+// TestEarlyAnswer guards against the reuse of a connection on which a target responded before it
+// had read a long body. The rest of the body would be parsed as the next request.
 func TestEarlyAnswer(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	x.Behave(stand.Fine, stand.Early)
-	// More than any connection holds, so that the answer comes before its end is sent.
+	// More bytes than the socket buffers hold, so that the response arrives before the end of the
+	// body is sent.
 	_, err := send(context.Background(), p, x, "long", strings.Repeat("x", 64<<20))
 	if err != nil {
 		assert.Equal(t, reason(err), "link maybe")
@@ -118,7 +120,7 @@
 	assert.Equal(t, x.Opened(), 2)
 }
 
-// Connections that stay idle are closed before the target does.
+// TestSweep guards against idle connections that are kept longer than the target keeps them.
 func TestSweep(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	_, err := send(context.Background(), p, x, "a", "b")
@@ -129,7 +131,8 @@
 	assert.Equal(t, x.Opened(), 2)
 }
 
-// Cancelling closes the connection, which makes the target stop.
+// TestCancel guards against a canceled call that leaves its connection open, so that the target
+// continues to work on the request.
 func TestCancel(t *testing.T) {
 	x, p := target(t), &link.Pool{}
 	x.Behave(stand.Hangs)
@@ -139,10 +142,10 @@
 	assert.Equal(t, reason(err), fmt.Sprint(chestnutstep.ReasonCanceled, " maybe"))
 }
 
-// The network is cut while a request is on its way, and the entry gives it up and asks
-// another target. When the cut heals, the first target must not get the request after
-// all: it may be leaving by then, and nobody waits for the answer. Only a reset tells
-// the network to drop what it still holds; a usual close lets it through.
+// TestCanceledRequestResetsConnection guards against a request that is delivered after a network
+// partition although the entry has canceled it and sent it to another target. Only a reset discards
+// the unacknowledged bytes; a regular close delivers them when the network recovers, to a target
+// that can be leaving by then.
 func TestCanceledRequestResetsConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/link/pool.go
+++ b/link/pool.go
@@ -1,6 +1,6 @@
-// Package link carries requests to targets without an agent: a pool of HTTP/1.1
-// connections that says of each failure whether the target may have run the
-// request.
+// Package link sends requests to targets without an agent. Its pool of HTTP/1.1 connections takes
+// requests with complete bodies and guarantees that each failure states whether the target can have
+// run the request.
 package link
 
 import (
@@ -16,48 +16,49 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. A host that is gone doesn't
-	// refuse, it stays silent; a live one answers within milliseconds.
+	// dialTimeout bounds the opening of a connection. An unreachable host does not refuse
+	// connections but leaves them unanswered; a live one responds within milliseconds.
 	dialTimeout = 400 * time.Millisecond
-	// ackTimeout is how long a peer may leave bytes unacknowledged. A host that
-	// lost power, or a connection that went silent for good, shows by this alone:
-	// without it the request would wait until its deadline.
+	// ackTimeout is how long a peer can leave bytes unacknowledged. It is the only sign of a host
+	// that lost power or a connection that is permanently cut; without it the request would wait
+	// until its deadline.
 	ackTimeout = 1200 * time.Millisecond
-	// probeAfter, probeEvery and probeCount find a peer that went silent while
-	// only it had something to say.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unresponsive peer while all
+	// sent bytes are acknowledged and only the peer has data to send.
 	keepAliveIdle     = 1 * time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 2
-	// defaultIdleTimeout is how long a connection is kept where the target names no
-	// time: shorter than what servers usually allow, so that a request rarely
-	// meets a connection that the target is closing.
+	// defaultIdleTimeout is how long an idle connection is kept if the target states no time. It is
+	// shorter than the idle timeout of common servers, so that a request rarely uses a connection
+	// that the target is closing.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is how much sooner than the target we stop using a connection,
-	// for the same reason.
+	// idleMargin is how much earlier than the target the pool stops using an idle connection, for
+	// the same reason.
 	idleMargin = time.Second
-	// readBufferSize holds a stream's events, and most answers of services.
+	// readBufferSize is enough for an event of a stream and for most responses of services, in
+	// bytes.
 	readBufferSize = 2 << 10
 )
 
 // Conn is a connection to a target.
 type Conn struct {
 	net.Conn
-	// Reused says that it carried a request before.
+	// Reused reports whether the connection has carried a request before.
 	Reused bool
 
 	br        *bufio.Reader
 	idleUntil time.Time
 }
 
-// Pool keeps idle connections by address.
+// Pool keeps idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*Conn
-	// opened counts connections that were opened.
+	// opened counts the connections opened by the pool.
 	opened int64
 }
 
-// Dial opens a TCP connection that notices a silent peer.
+// Dial opens a TCP connection that fails if the peer becomes unresponsive.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return dial(ctx, network, address, dialTimeout)
 }
@@ -82,17 +83,17 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// reset resets a connection whose request is given up. Closed in the usual way, what
-// a cut network holds back would still be delivered when it heals: seconds later, at a
-// target that is leaving by then, a request that another target has long answered.
+// reset closes a connection with a TCP reset, because its request is canceled. After a regular
+// close, bytes held back by a network partition would still be delivered when it ends: seconds
+// later, to a target that can be leaving by then, although another target has served the request.
 func (c *Conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 	_ = c.Close()
 }
 
-// get returns an idle connection that is still sound, or opens one.
+// get returns a usable idle connection, or opens one.
 func (p *Pool) get(ctx context.Context, address string, call *Call) (*Conn, error) {
 	for c := p.idleConnFor(address, call); c != nil; c = p.idleConnFor(address, call) {
 		if time.Now().Before(c.idleUntil) && IsIdle(c.Conn) {
@@ -108,7 +109,7 @@
 	return p.open(ctx, address, timeout)
 }
 
-// open opens a connection.
+// open opens and counts a connection.
 func (p *Pool) open(ctx context.Context, address string, timeout time.Duration) (*Conn, error) {
 	raw, err := dial(ctx, "tcp", address, timeout)
 	if err != nil {
@@ -120,7 +121,8 @@
 	return &Conn{Conn: raw, br: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// idleConnFor takes an idle connection that a request may use.
+// idleConnFor removes an idle connection from the pool for a call, or returns nil if there is none
+// or the call requires a new one.
 func (p *Pool) idleConnFor(address string, call *Call) *Conn {
 	if call.NewConn {
 		return nil
@@ -140,7 +142,8 @@
 	return c
 }
 
-// put keeps a connection for the next request, unless most are kept already.
+// put keeps a connection for the next request for the given idle time, 0 for the default. It closes
+// the connection if maxIdle connections are already kept.
 func (p *Pool) put(address string, c *Conn, idle time.Duration, maxIdle int) {
 	if idle <= 0 {
 		idle = defaultIdleTimeout
@@ -158,7 +161,7 @@
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// CloseIdle closes the idle connections to an address: its target is gone.
+// CloseIdle closes the idle connections to an address whose target is gone.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -169,7 +172,7 @@
 	}
 }
 
-// Sweep closes connections that were idle for too long.
+// Sweep closes connections that exceed their idle time.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,32 +193,33 @@
 	}
 }
 
-// Opened is how many connections were opened.
+// Opened returns the number of connections opened.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// IsIdle reports that nothing waits to be read and the peer has not closed. Bytes
-// that come while no request is open belong to none: a late second answer would
-// be taken for the next request's.
+// IsIdle reports whether the connection is open with no bytes to read. Bytes that arrive while no
+// request is in progress belong to no request: a late second response would be taken for that of
+// the next request.
 func IsIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// IsClosed reports that the peer has closed the connection. Unlike a read it neither waits nor
-// takes bytes, and it is true as soon as the close has reached the host.
+// IsClosed reports whether the peer has closed the connection. Unlike a read, it does not block or
+// consume bytes. It returns true as soon as the close has reached this host.
 func IsClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n == 0 || errors.Is(err, unix.ECONNRESET)
 }
 
-// errNoSocket is the error of a connection that is no socket.
-var errNoSocket = errors.New("no socket")
+// errNoSocket is the error for a connection that is not a socket.
+var errNoSocket = errors.New("connection is not a socket")
 
-// peek looks at the first byte that waits, if any.
+// peek reads up to one pending byte without consuming it. It returns EAGAIN if the connection is
+// open and has none.
 func peek(c net.Conn) (n int, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -226,7 +230,7 @@
 		return 0, err
 	}
 	var one [1]byte
-	// Control, unlike Read, doesn't wait for whoever reads from the connection.
+	// Control, unlike Read, does not wait for concurrent reads of the connection.
 	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
--- a/link/probe.go
+++ b/link/probe.go
@@ -7,20 +7,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ProbeResult is what a new connection says of a target.
+// ProbeResult is the result of opening a connection to a target.
 type ProbeResult uint8
 
-// The answers.
+// The results of a probe.
 const (
-	// Unknown says that no connection was opened, for whatever reason.
+	// Unknown means that no connection could be opened, for a reason other than a refusal.
 	Unknown ProbeResult = iota
-	// Alive says that the target takes connections.
+	// Alive means that the target accepts connections.
 	Alive
-	// Refused says that its host does, but that nothing listens there.
+	// Refused means that the host responds but no process listens at the address.
 	Refused
 )
 
-// Probe opens a connection to an address, and keeps it for the next request there.
+// Probe opens a connection to an address and keeps it for the next request.
 func (p *Pool) Probe(address string) ProbeResult {
 	c, err := p.open(context.Background(), address, dialTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
--- a/link/silence.go
+++ b/link/silence.go
@@ -9,18 +9,21 @@
 )
 
 const (
-	// ackCheckInterval is how often a connection is looked at whose request has no answer yet: less
-	// than two looks after its first byte, TCP has sent a lost packet once more.
+	// ackCheckInterval is how often a connection with a pending response is checked for
+	// unacknowledged bytes. Within less than two intervals of the first byte, TCP has retransmitted
+	// a lost packet.
 	ackCheckInterval = 125 * time.Millisecond
-	// maxUnackedChecks is for how many looks in a row the same bytes have to be unacknowledged.
+	// maxUnackedChecks is the number of consecutive checks at which the same number of bytes must
+	// be unacknowledged.
 	maxUnackedChecks = 2
 )
 
-// ackWatcher watches a connection for a peer that no longer acknowledges what it is sent. It
-// shows a host that is gone long before TCP gives the connection up.
+// ackWatcher detects a peer that no longer acknowledges sent bytes. That reveals an unreachable
+// host long before TCP closes the connection.
 type ackWatcher struct {
 	conn *Conn
-	// onUnresponsive is called once, when the peer counts as silent; true gives the request up.
+	// onUnresponsive is called when the peer counts as unresponsive; if it returns true, the
+	// request is aborted.
 	onUnresponsive func() bool
 
 	mu           sync.Mutex
@@ -31,15 +34,16 @@
 	timer        *time.Timer
 }
 
-// start begins to look.
+// start begins the periodic checks.
 func (s *ackWatcher) start() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timer = time.AfterFunc(ackCheckInterval, s.check)
 }
 
-// stop ends it, and reports whether the peer was found to be silent and given up. A look that is
-// under way ends first: afterwards the connection may carry another request.
+// stop ends the checks and reports whether the request was aborted because the peer was
+// unresponsive. It waits for a running check, because the connection can carry another request
+// afterwards.
 func (s *ackWatcher) stop() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +54,7 @@
 	return s.unresponsive
 }
 
-// check runs on the timer, one after the other.
+// check runs on the timer, never concurrently with itself.
 func (s *ackWatcher) check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +63,7 @@
 	}
 	n := unackedBytes(s.conn)
 	if n == 0 {
-		return // it has all: what it does with it is no matter of the connection
+		return // all bytes are acknowledged: the time until the response is not limited here
 	}
 	if n != s.unacked {
 		s.unacked, s.checks = n, 0
@@ -74,8 +78,8 @@
 	}
 }
 
-// unackedBytes is the number of bytes that were written and not acknowledged by the peer's
-// host; 0 where that can't be told.
+// unackedBytes returns the number of bytes that were written and not yet acknowledged by the peer's
+// host; 0 if it cannot be determined.
 func unackedBytes(c *Conn) int {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/link/silence_test.go
+++ b/link/silence_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStoppedWatcherDoesNotResetConnection guards against a look that was under way when the answer
-// came, and resets the connection under the next request.
+// TestStoppedWatcherDoesNotResetConnection guards against a check that is running when the response
+// arrives, and resets the connection during the next request.
 func TestStoppedWatcherDoesNotResetConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -24,10 +24,10 @@
 	watcher.start()
 	time.Sleep(ackCheckInterval + ackCheckInterval/2)
 	assert.Assert(t, !watcher.stop())
-	watcher.check() // one that the timer had begun
+	watcher.check() // a check that the timer has already started
 	select {
 	case <-notified:
-		t.Fatal("the watch went on after its end")
+		t.Fatal("the watcher continued after stop")
 	case <-time.After(2 * ackCheckInterval):
 	}
 }
