--- a/dial/dial.go
+++ b/dial/dial.go
@@ -1,6 +1,6 @@
-// Package dial opens gRPC connections between the fleet's processes when they
-// are needed and closes them when idle, so that a process's memory follows its
-// traffic and not the number of targets.
+// Package dial provides a pool of gRPC connections between the processes of the fleet. Connections
+// are opened on demand and closed when idle, so that the memory of a process depends on its traffic
+// and not on the number of targets.
 package dial
 
 import (
@@ -17,40 +17,43 @@
 )
 
 const (
-	// connectTimeout bounds one attempt to connect. A host that is cut off does
-	// not refuse, it stays silent; callers have 1.4 s to their first token.
+	// connectTimeout bounds one attempt to connect. An unreachable host does not refuse connections
+	// but leaves them unanswered, and the time limit for the first token is 1.4 s.
 	connectTimeout = 400 * time.Millisecond
-	// maxBackoff bounds the pause between attempts, so that a host that comes
-	// back is used again within seconds.
+	// maxBackoff is the maximum pause between attempts, so that a recovered host is used again
+	// within seconds.
 	maxBackoff = 2 * time.Second
-	// pingInterval and pingLimit find a peer that went silent under open streams.
+	// pingInterval and pingTimeout detect a peer that becomes unresponsive while streams are open.
 	pingInterval = 10 * time.Second
 	pingTimeout  = 3 * time.Second
-	// bufferSize is smaller than gRPC's 32 KiB: two of these stand for each
-	// connection, and an entry may hold hundreds.
+	// bufferSize is the gRPC buffer size in bytes. It is smaller than the default of 32 KiB,
+	// because each connection has two buffers and an entry can have hundreds of connections.
 	bufferSize = 8 << 10
-	// DefaultIdleTimeout closes a connection that carried nothing for this long.
+	// DefaultIdleTimeout is the default of Pool.IdleTimeout.
 	DefaultIdleTimeout = time.Minute
 )
 
-// Pool keeps one connection for each address in use. Set the fields first.
+// Pool keeps one connection per address in use. Its exported fields must be set before use. It is
+// safe for concurrent use.
 type Pool struct {
-	// Credentials of the links; insecure ones only where settings allow it.
+	// Credentials are the transport credentials of connections; insecure ones only if the settings
+	// allow them.
 	Credentials credentials.TransportCredentials
-	// IdleTimeout is when an unused connection is closed.
+	// IdleTimeout is the time after which an unused connection is closed; 0 for DefaultIdleTimeout.
 	IdleTimeout time.Duration
 
 	mu    sync.Mutex
 	conns map[string]*pooledConn
 }
 
-// pooledConn is a connection and when it was last asked for.
+// pooledConn is a connection and the time of its last use.
 type pooledConn struct {
 	conn     *grpc.ClientConn
 	lastUsed time.Time
 }
 
-// Conn returns the connection to an address. It does not wait for it.
+// Conn returns the connection to an address and creates it if necessary. It does not wait until it
+// is established.
 func (p *Pool) Conn(addr string) (grpc.ClientConnInterface, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +95,7 @@
 	return p.IdleTimeout
 }
 
-// Run forgets connections that have been idle for long, until ctx ends.
+// Run removes connections that have been idle for long, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(p.idleTimeout())
 	defer tick.Stop()
@@ -106,8 +109,8 @@
 	}
 }
 
-// sweep forgets what was unused for twice the idle time. A connection with a
-// stream still open is kept: closing it would cut an answer.
+// sweep removes connections unused for twice the idle timeout. A connection with an open stream is
+// kept, because closing it would interrupt a response.
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,15 +123,15 @@
 	}
 }
 
-// Len is how many connections are kept.
+// Len returns the number of connections kept.
 func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// Connect connects to an address, or says why it can't within ctx. A frozen
-// process does not answer the connection's first frames, so it isn't reached.
+// Connect establishes the connection to an address, or returns an error if ctx ends first. It also
+// fails for a suspended process, which does not respond to the first frames of the connection.
 func (p *Pool) Connect(ctx context.Context, addr string) error {
 	c, err := p.Conn(addr)
 	if err != nil {
@@ -142,7 +145,7 @@
 			return nil
 		}
 		if !conn.WaitForStateChange(ctx, state) {
-			return errors.Wrapf(ctx.Err(), "reach %s", addr)
+			return errors.Wrapf(ctx.Err(), "connect to %s", addr)
 		}
 	}
 }
--- a/dial/dial_test.go
+++ b/dial/dial_test.go
@@ -16,7 +16,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// startServer is a peer that answers nothing but holds its connections.
+// startServer starts a peer that implements no call but keeps its connections open, and returns its
+// address.
 func startServer(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -33,9 +34,10 @@
 	assert.NilError(t, p.Connect(ctx, addr))
 }
 
-// An entry talks to each of 2,700 targets a few times an hour. Connections that
-// stayed open would fill its memory until it is killed in mid-answer.
-func TestIdleConnectionsAreClosedAndForgotten(t *testing.T) {
+// TestIdleConnectionsAreClosedAndRemoved guards against memory growth until the process is
+// killed: an entry sends requests to each of 2,700 targets a few times per hour, and its
+// connections must not stay open.
+func TestIdleConnectionsAreClosedAndRemoved(t *testing.T) {
 	p := &Pool{Credentials: insecure.NewCredentials(), IdleTimeout: 50 * time.Millisecond}
 	addr := startServer(t)
 	connect(t, p, addr)
@@ -53,8 +55,8 @@
 	connect(t, p, addr)
 }
 
-// A long answer is under way on a connection that was taken out of the pool a
-// while ago. Closing it would cut the answer.
+// TestConnectionInUseIsKept guards against closing a connection that was returned by the pool long
+// ago and still carries a long response.
 func TestConnectionInUseIsKept(t *testing.T) {
 	p := &Pool{Credentials: insecure.NewCredentials()}
 	addr := startServer(t)
@@ -63,8 +65,8 @@
 	assert.Equal(t, p.Len(), 1)
 }
 
-// A host that is cut off does not refuse. Whoever waits for it longer than the
-// limit keeps a caller from the next target.
+// TestConnectToUnresponsiveHostTimesOut guards against a wait beyond the deadline for a host that
+// does not respond, which delays the attempt at the next target.
 func TestConnectToUnresponsiveHostTimesOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -75,8 +77,7 @@
 	assert.ErrorIs(t, p.Connect(ctx, l.Addr().String()), context.DeadlineExceeded)
 }
 
-// BenchmarkIdle counts the memory of one open connection that carries nothing,
-// at both of its ends.
+// BenchmarkIdle measures the memory of one idle open connection, at both ends.
 func BenchmarkIdle(b *testing.B) {
 	const conns = 200
 	addrs := make([]string, conns)
