--- a/fetch/fetch.go
+++ b/fetch/fetch.go
@@ -1,5 +1,6 @@
-// Package fetch reads HTTP answers within limits on waiting, not on size: a large answer over
-// a slow link may take as long as its bytes arrive, and a peer that falls silent is given up.
+// Package fetch reads HTTP responses with limits on pauses instead of on the total time: a large
+// response over a slow link can take as long as its bytes arrive, and a call to an unresponsive
+// peer is aborted.
 package fetch
 
 import (
@@ -11,49 +12,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bufferSize is how many bytes are read at a time.
+// bufferSize is the size of a read in bytes.
 const bufferSize = 32 << 10
 
-// Limits of one call.
+// Limits bound one call.
 type Limits struct {
-	// FirstByteTimeout is the longest time to the beginning of the answer, Idle the longest pause
-	// after that.
+	// FirstByteTimeout is the maximum time until the response headers, IdleTimeout the maximum
+	// pause after that.
 	FirstByteTimeout, IdleTimeout time.Duration
-	// MaxBytes is the largest body, in bytes.
+	// MaxBytes is the maximum size of the body in bytes.
 	MaxBytes int
 }
 
-// Response is what came back.
+// Response is an HTTP response with its complete body, or the part received before an error.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// TimeToFirstByte is the time to its beginning.
+	// TimeToFirstByte is the time until the response headers arrived.
 	TimeToFirstByte time.Duration
 }
 
-// ErrUnresponsive is the cause of a call that was given up.
+// ErrUnresponsive is the error of a call that was aborted because the peer sent nothing.
 type ErrUnresponsive struct {
-	// Bytes of the body that had come, and Pause after them.
+	// Bytes is the number of body bytes received, and Idle the pause after them.
 	Bytes int
 	Idle  time.Duration
 }
 
-// Error says how long nothing came.
+// Error returns a text with the pause and the bytes received.
 func (err ErrUnresponsive) Error() string {
-	return errors.Newf("silent for %s after %d bytes", err.Idle, err.Bytes).Error()
+	return errors.Newf("no data for %s after %d bytes", err.Idle, err.Bytes).Error()
 }
 
-// ErrTooLarge is the error of a body that is larger than allowed.
+// ErrTooLarge is the error of a body larger than MaxBytes.
 type ErrTooLarge struct{ MaxBytes int }
 
-// Error states the limit.
+// Error returns a text with the limit.
 func (err ErrTooLarge) Error() string {
-	return errors.Newf("body above %d bytes", err.MaxBytes).Error()
+	return errors.Newf("body exceeds %d bytes", err.MaxBytes).Error()
 }
 
-// Get calls an URL. The end of ctx ends the call until the answer begins; from then on only
-// the limits do, as a transfer that is broken off has to begin anew.
+// Get requests a URL. The end of ctx aborts the call only until the response begins; after that
+// only the limits apply, because an aborted transfer would have to start over. The error is an
+// ErrUnresponsive or an ErrTooLarge if a limit is exceeded.
 func Get(ctx context.Context, client *http.Client, url string, l Limits) (a Response, err error) {
 	callCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
@@ -65,7 +67,7 @@
 	if err != nil {
 		return a, err
 	}
-	req.Header.Set("User-Agent", "") // saves bytes: followers ask all the time
+	req.Header.Set("User-Agent", "") // saves bytes: followers send requests continually
 	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
@@ -79,7 +81,7 @@
 	return a, cause(callCtx, err)
 }
 
-// readBody reads a body as long as bytes arrive.
+// readBody reads a body as long as bytes arrive within the idle timeout.
 func readBody(cancel context.CancelCauseFunc, r io.Reader, l Limits) ([]byte, error) {
 	var body []byte
 	buffer := make([]byte, bufferSize)
@@ -100,7 +102,7 @@
 	}
 }
 
-// cause returns why a call was ended, rather than that it was.
+// cause returns the reason for which the context of a call was canceled, and err if it was not.
 func cause(ctx context.Context, err error) error {
 	if err != nil && ctx.Err() != nil {
 		return context.Cause(ctx)
--- a/fetch/fetch_test.go
+++ b/fetch/fetch_test.go
@@ -18,8 +18,8 @@
 // noTimeout is a limit that no test reaches.
 const noTimeout = time.Minute
 
-// serveBytes answers with bytes one by one, each when it is released; nothing more is sent once the
-// channel is closed.
+// serveBytes starts a server that sends one byte for each value received from bytes, and nothing
+// more once the channel is closed.
 func serveBytes(t *testing.T, sendHeader bool, bytes <-chan struct{}) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,8 +40,8 @@
 	return server.URL
 }
 
-// TestSlowBodyIsReadToItsEnd guards against a limit on the whole of a transfer, which a large answer over a slow link
-// never meets.
+// TestSlowBodyIsReadToItsEnd guards against a limit on the total time of a transfer, which a large
+// response over a slow link always exceeds.
 func TestSlowBodyIsReadToItsEnd(t *testing.T) {
 	const idle, count = 2 * time.Second, 10
 	bytes := make(chan struct{})
@@ -58,7 +58,8 @@
 	assert.Equal(t, len(a.Body), count)
 }
 
-// TestUnresponsivePeerTimesOut guards against a peer that is waited for without end, before or in the middle of its answer.
+// TestUnresponsivePeerTimesOut guards against an unbounded wait for a peer, before or during its
+// response.
 func TestUnresponsivePeerTimesOut(t *testing.T) {
 	const limit = 50 * time.Millisecond
 	for name, begin := range map[string]bool{"no answer": false, "cut short": true} {
@@ -79,7 +80,7 @@
 	}
 }
 
-// onRead is a transport that calls a function before the first byte of a body is read.
+// onRead is a transport that calls a function before each read of a body.
 type onRead struct {
 	io.ReadCloser
 	call func()
@@ -98,7 +99,8 @@
 	return r.ReadCloser.Read(b)
 }
 
-// TestCancelDoesNotInterruptTransfer guards against a transfer that is broken off by news of what it brings.
+// TestCancelDoesNotInterruptTransfer guards against a transfer that is aborted because its context
+// is canceled after the response has begun.
 func TestCancelDoesNotInterruptTransfer(t *testing.T) {
 	bytes := make(chan struct{})
 	url := serveBytes(t, true, bytes)
@@ -117,7 +119,7 @@
 	assert.Equal(t, len(a.Body), 2)
 }
 
-// TestCancelEndsWaitForResponse guards against a call that goes on after its owner has stopped.
+// TestCancelEndsWaitForResponse guards against a call that continues after its context is canceled.
 func TestCancelEndsWaitForResponse(t *testing.T) {
 	bytes := make(chan struct{})
 	close(bytes)
@@ -127,7 +129,7 @@
 	assert.Assert(t, errors.Is(err, context.Canceled), "%v", err)
 }
 
-// TestLargeBodyIsRefused guards against an answer that takes all memory.
+// TestLargeBodyIsRefused guards against a response that uses up the memory.
 func TestLargeBodyIsRefused(t *testing.T) {
 	bytes := make(chan struct{}, 9)
 	for range 9 {
