--- a/watch/backoff.go
+++ b/watch/backoff.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// minBackoff and pauseMost bound the pause after a failure. The least lets a
-	// lost answer be asked for at once; the most keeps a fleet of 350 under
-	// 1,200 calls a second while the source refuses them.
+	// minBackoff and maxBackoff bound the pause after a failure. The minimum allows an immediate
+	// retry after a lost response; the maximum limits a fleet of 350 entries to 1,200 calls per
+	// second while the source rejects them.
 	minBackoff = 30 * time.Millisecond
 	maxBackoff = 300 * time.Millisecond
 )
 
-// Backoff spaces calls that fail: each pause in a row is longer. It is safe for concurrent use,
-// and its zero value works.
+// Backoff spaces calls that fail with increasing pauses. It is safe for concurrent use. The zero
+// value is ready to use.
 type Backoff struct {
 	mu    sync.Mutex
 	delay time.Duration
-	// pausedUntil is when the last pause that was given ends.
+	// pausedUntil is the end of the last pause returned.
 	pausedUntil clock.Stamp
 }
 
-// next returns how long to pause after a failure.
+// next returns the pause after a failure.
 func (p *Backoff) next(now clock.Stamp) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,7 +34,7 @@
 	return p.pausedUntil.Sub(now)
 }
 
-// reset begins anew after a success.
+// reset returns to the minimum pause after a success.
 func (p *Backoff) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -1,5 +1,6 @@
-// Package watch keeps a roster up to date from a source of facts: it reads all
-// once, then waits for changes, and reads all again after a gap.
+// Package watch keeps a roster up to date from a source of facts: it lists all facts once, then
+// watches for changes, and lists all facts again after a gap in the history. Failed calls are
+// retried with backoff until the context ends.
 package watch
 
 import (
@@ -14,28 +15,28 @@
 	"chestnutstep.example/chestnutstep/roster"
 )
 
-// maxLostWait is how long a watch waits after the source was lost. What is missing
-// counts as gone two seconds after its return, and a watch that waits long notices
-// the return with the next change only: a target that is removed meanwhile
-// would pass for one whose entry only lapsed, and still get requests.
+// maxLostWait limits the wait of a watch after the source was lost. Missing targets are removed two
+// seconds after the return of the source, and a long watch notices the return only with the next
+// change. A target removed in the meantime would be taken for one whose record has expired, and
+// would still get requests.
 const maxLostWait = 50 * time.Millisecond
 
-// Watcher follows the source of a topic. Set the fields before Run.
+// Watcher follows one topic of a source. Its exported fields must be set before Run.
 type Watcher struct {
 	Topic  chestnutstep.Topic
 	Source chestnutstep.Source
 	Roster *roster.Roster
-	// Observer is called for each change, and for each loss and return of the source.
+	// Observer is notified of each change, and of each loss and return of the source.
 	Observer Observer
-	// Wait is how long the next watch waits for changes.
+	// Wait returns how long the next watch waits for changes.
 	Wait func() time.Duration
-	// BatchDelay is how long to rest after changes, so that what changes together is read by one
-	// call.
+	// BatchDelay returns the pause after changes, so that changes in quick succession are read by
+	// one call.
 	BatchDelay func() time.Duration
-	// Wake ends the present watch, so that the next one begins; nil for never.
+	// Wake ends the current watch, so that the next one begins; nil for never.
 	Wake chan struct{}
-	// Backoff between calls that fail; shared by the watchers of one source, so that two
-	// topics cost a source that is down no more calls than one.
+	// Backoff spaces calls that fail. It is shared by the watchers of one source, so that two
+	// topics cause no more calls of an unavailable source than one.
 	Backoff *Backoff
 
 	revision uint64
@@ -43,9 +44,10 @@
 	woken    atomic.Bool
 }
 
-// Observer is what a watcher reports.
+// Observer is notified by a watcher. requestedAt is the time before the call that returned the
+// change.
 type Observer interface {
-	OnChange(c roster.Change, asked clock.Stamp)
+	OnChange(c roster.Change, requestedAt clock.Stamp)
 	OnSourceLost(t chestnutstep.Topic, err error)
 	OnSourceRegained(t chestnutstep.Topic)
 }
@@ -59,7 +61,7 @@
 	}
 }
 
-// step makes one call.
+// step makes one call and applies its result.
 func (w *Watcher) step(ctx context.Context) error {
 	requestedAt := clock.Now()
 	full := w.revision == 0
@@ -96,12 +98,12 @@
 	return nil
 }
 
-// watch waits for changes, and gives up when it is woken.
+// watch waits for changes; a wake-up cancels it.
 func (w *Watcher) watch(ctx context.Context) (chestnutstep.Batch, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	select {
-	case <-w.Wake: // this watch begins later than that
+	case <-w.Wake: // obsolete: this watch begins after the wake-up
 	default:
 	}
 	done := make(chan struct{})
@@ -114,7 +116,7 @@
 	return w.Source.Watch(ctx, w.revision, wait)
 }
 
-// cancelOnWake ends a watch that is woken.
+// cancelOnWake cancels a watch on a wake-up.
 func (w *Watcher) cancelOnWake(done <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-done:
@@ -124,7 +126,7 @@
 	}
 }
 
-// handleFailure records a failure, and pauses.
+// handleFailure records a failure and pauses.
 func (w *Watcher) handleFailure(ctx context.Context, err error) {
 	w.Roster.MarkLost(w.Topic)
 	var e chestnutstep.ErrSource
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -18,7 +18,7 @@
 	"chestnutstep.example/chestnutstep/watch"
 )
 
-// follower is a watcher over one door of the stand-in store.
+// follower runs the watchers of all topics over one door of the stand-in store.
 type follower struct {
 	store  *stand.Store
 	door   *stand.Door
@@ -51,7 +51,7 @@
 	return f
 }
 
-// onceEach is that each topic is lost or regained one time.
+// onceEach is one loss or return per topic.
 var onceEach = [chestnutstep.TopicCount]int{1, 1}
 
 func batchDelay() time.Duration { return 300 * time.Millisecond }
@@ -70,7 +70,7 @@
 	f.regained[t]++
 }
 
-// waitUntil waits for a condition with a generous limit.
+// waitUntil waits for a condition with a long timeout.
 func waitUntil(t *testing.T, ok func() bool, what string) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -124,9 +124,9 @@
 	return f
 }
 
-// The list is longer than a page, entries of other writers lie in it, and changes
-// come one by one. A target that an entry does not hear of gets no work; one whose
-// leaving it misses cuts off what it is given.
+// TestFollowsChanges guards against missed changes: the list is longer than a page, it contains
+// invalid records of other writers, and changes arrive one by one. A target missing from the roster
+// gets no requests, and a leaving target that is not marked interrupts the requests sent to it.
 func TestFollowsChanges(t *testing.T) {
 	f := startFollower(t)
 	f.store.Put("servers/odd", []byte("{not json"))
@@ -134,9 +134,9 @@
 	f.store.Put("servers/unknown", serverRecord("resting"))
 	f.store.Remove("servers/b")
 	f.store.Put("servers/f", serverRecord("ready"))
-	waitUntil(t, f.hasTargets("a", "c", "d", "e", "f"), "changes are seen, odd entries are not")
+	waitUntil(t, f.hasTargets("a", "c", "d", "e", "f"), "changes are applied, invalid records are not")
 	f.store.Put("servers/a", serverRecord("draining"))
-	waitUntil(t, func() bool { v := f.roster.View(); return !v.Usable(v.ByID["a"]) }, "leaving is seen")
+	waitUntil(t, func() bool { v := f.roster.View(); return !v.Usable(v.ByID["a"]) }, "the target is leaving")
 	f.store.Put("op/evacuate/z", map[string]any{})
 	waitUntil(t, func() bool { return f.roster.View().Out["z"] }, "the domain is out")
 	f.store.Remove("op/evacuate/z")
@@ -145,8 +145,8 @@
 	waitUntil(t, f.hasVersion(8), "the version is in force")
 }
 
-// The store forgets its history while a watch is cut, and things change meanwhile.
-// An entry that went on from where it was would never hear of them.
+// TestHistoryIsGone guards against an entry that continues from its last revision and misses
+// changes although the store has compacted its history while the watch was interrupted.
 func TestHistoryIsGone(t *testing.T) {
 	f := startFollower(t)
 	f.door.Set(stand.Busy)
@@ -157,14 +157,14 @@
 	f.store.Forget()
 	f.door.Set(stand.None)
 	waitUntil(t, f.hasVersion(9), "the version is read in full")
-	waitUntil(t, f.hasTargets("a", "b", "d", "e"), "what is still missing after the return is gone")
+	waitUntil(t, f.hasTargets("a", "b", "d", "e"), "the target still missing after the return is removed")
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	assert.Equal(t, f.regained, onceEach)
 }
 
-// The store turns one host away in each of its ways and serves another. The host
-// goes on with what it knows, asks again soon, and does not flood the store.
+// TestRejectedByStore guards against an entry that drops its facts, retries too rarely or floods
+// the store while the store rejects it, in each possible manner, and serves another entry.
 func TestRejectedByStore(t *testing.T) {
 	for _, trouble := range []stand.Trouble{stand.Busy, stand.Many, stand.Reset, stand.Silent, stand.Lost} {
 		t.Run(string(trouble), func(t *testing.T) {
@@ -180,18 +180,18 @@
 			assert.Assert(t, f.hasTargets("a", "b", "c", "d", "e")(), "nothing is dropped")
 			assert.Assert(t, f.door.Calls()-before < 30, "%d calls", f.door.Calls()-before)
 			f.door.Set(stand.None)
-			waitUntil(t, f.hasVersion(4), "it hears again")
+			waitUntil(t, f.hasVersion(4), "the entry follows the store again")
 		})
 	}
 }
 
-// TestWake guards against a long watch that keeps the proof of the facts old: woken, the
-// entry begins the next watch at once, whose return proves them current.
+// TestWake guards against a long watch that leaves the proof of the facts old. After a wake-up the
+// next watch begins at once, and its return proves that the facts are current.
 func TestWake(t *testing.T) {
 	f := startFollowerWithWait(t, time.Hour)
 	before := f.door.Calls()
 	f.wake <- struct{}{}
-	waitUntil(t, func() bool { return f.door.Calls() > before }, "it watches again")
+	waitUntil(t, func() bool { return f.door.Calls() > before }, "a new watch has begun")
 	at := clock.Now()
 	f.store.Put("op/config", config(4))
 	waitUntil(t, f.hasVersion(4), "the newer version is in force")
@@ -200,7 +200,7 @@
 	assert.Assert(t, f.roster.Proof(chestnutstep.TopicRouting) >= at)
 }
 
-// flakySource is a source whose first watch fails, and that notes how long each is to wait.
+// flakySource is a source whose first watch fails, and that records the wait of each watch.
 type flakySource struct {
 	waits chan time.Duration
 	calls int
@@ -219,10 +219,9 @@
 	return chestnutstep.Batch{Revision: 1}, nil
 }
 
-// The store turns an entry away for a while, and nothing changes as it lets it in
-// again. A watch that waits long would learn of the return seconds later, with the
-// first change: a target that is removed then is taken for one that lapsed meanwhile,
-// and callers are sent there for two seconds more.
+// TestReturnOfTheSourceIsNoticedAtOnce guards against a long watch that notices the return of the
+// source seconds later, with the first change. A target removed at that time would be taken for one
+// whose record has expired, and would get requests for two more seconds.
 func TestReturnOfTheSourceIsNoticedAtOnce(t *testing.T) {
 	const long = 10 * time.Second
 	s := &flakySource{waits: make(chan time.Duration)}
