--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -378,9 +378,9 @@
 	}
 }
 
-// TestStoreForgetsItsHistory guards against followers that miss a removal because the store
+// TestFollowersNoticeCompactedHistory guards against followers that miss a removal because the store
 // compacted its history while the readers could not read it.
-func TestStoreForgetsItsHistory(t *testing.T) {
+func TestFollowersNoticeCompactedHistory(t *testing.T) {
 	f := newFleet(t, 8)
 	for _, id := range []string{"i-a", "i-b"} {
 		f.putTarget(id, "ready")
@@ -430,8 +430,8 @@
 }
 
 // TestChoose guards against entries of a fleet that select different readers, against followers
-// concentrated on one reader, and against an entry with an incomplete list of members that selects
-// fewer readers than the others.
+// concentrated on one reader, and against a reader that does not select itself because its list of
+// members is incomplete.
 func TestChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 180).Draw(t, "entries")
--- a/node/delays.go
+++ b/node/delays.go
@@ -24,7 +24,7 @@
 	// other side: a small fraction of the shortest timeout.
 	maxTrustedDelay = 20 * time.Millisecond
 	// distrustWindow is the time after a longer delay during which timeouts are not trusted.
-	// Shedding reduces the delay, which returns as long as the load persists.
+	// Shedding lowers the delay only temporarily while the load persists.
 	distrustWindow = 2 * time.Second
 	// fullLogInterval is the minimum time between two log lines about an overloaded entry.
 	fullLogInterval = time.Second
--- a/share/peers.go
+++ b/share/peers.go
@@ -224,8 +224,9 @@
 	return x.lastSeen != 0 && now.Sub(x.lastSeen) <= livenessTimeout
 }
 
-// selectPeers assigns the report its sequence number and returns its recipients: the live peers and
-// the due probes whose last datagram is the oldest. It removes peers that exceed peerTTL.
+// selectPeers assigns the report its sequence number and returns its recipients. It selects among
+// the live peers and the unresponsive ones that are due for a probe, and prefers those to which
+// nothing was sent for longest. It removes peers that exceed peerTTL.
 func (p *Peers) selectPeers(now clock.Stamp, r *Report) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestAddressWithoutEntryIsForgotten guards against sending datagrams indefinitely to an address
+// TestAddressWithoutEntryIsRemoved guards against sending datagrams indefinitely to an address
 // that a peer reported but at which no entry runs.
-func TestAddressWithoutEntryIsForgotten(t *testing.T) {
+func TestAddressWithoutEntryIsRemoved(t *testing.T) {
 	k := &testDelegate{reports: make(map[netip.AddrPort]*Report), notBefore: make(map[netip.AddrPort]clock.Stamp)}
 	self, deadAddr := netip.MustParseAddrPort("10.0.0.1:7"), netip.MustParseAddrPort("10.0.0.9:7")
 	p := &Peers{Self: self, Incarnation: 1, Delegate: k, Conn: &recordingConn{}, OnError: func(error) {}}
