--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the one process beside each target. Every request to the
-// target passes through it, so it alone knows the target's load, cold start,
-// running requests and tickets, and it keeps every promise to callers here:
-// what an entry believes may be stale without harm.
+// Package agent implements the process that runs next to each target and through which every
+// request to the target passes. Its inputs are the publication, the offers of entries and the
+// probes of the target; it keeps the target's load, cold start, running requests and tickets. All
+// guarantees to callers are enforced here, so stale data at an entry does no harm.
 package agent
 
 import (
@@ -17,32 +17,32 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// Defaults of the settings that few operators touch.
+// Defaults of settings that are rarely changed.
 const (
-	// DefaultLinger is how long a run goes on after its entry vanished. A
-	// balancer needs a few seconds to send the caller's repeat to another
-	// entry; much longer and a dead entry's runs crowd out live ones.
+	// DefaultLinger is how long a run continues after its last entry has disconnected. A load
+	// balancer needs a few seconds to send the caller's retry to another entry; with a much longer
+	// value the runs of a failed entry crowd out those of live entries.
 	DefaultLinger = 10 * time.Second
-	// bodyIdleTimeout is how long an accepted request may go without a piece of its
-	// body. A frozen entry would otherwise hold a place at the target for as
-	// long as it sleeps, seen as load that never generates a token.
+	// bodyIdleTimeout is the maximum time between two pieces of the body of an accepted request.
+	// Without it, a frozen entry occupies a place at the target until it resumes, and the place
+	// counts as load without generating a token.
 	bodyIdleTimeout = 2 * time.Second
-	// pollInterval is how often waiting work is looked at when nothing else
-	// happens; it bounds how late a refusal for lateness may come.
+	// pollInterval is the interval between checks of the queue when no other event triggers one. It
+	// bounds how late a request is refused for lateness.
 	pollInterval = 50 * time.Millisecond
-	// pollsPerTick is how many of these pass between two looks at everything else
-	// that time alone changes. It is a quarter of a second: the shortest limit
-	// there is a body's two seconds, and at every tick an idle agent spent 1.3%
-	// of a core.
+	// pollsPerTick is the number of polls per call of tick, which handles everything else that
+	// depends on time alone. One tick per 250 ms is enough because the shortest limit that tick
+	// enforces is bodyIdleTimeout, 2 s. With a tick at every poll, an idle agent used 1.3% of a
+	// core.
 	pollsPerTick = 5
 )
 
-// Agent serves the target beside it. Set the exported fields before Run.
+// Agent serves the target on its host. Set the exported fields before calling Run.
 type Agent struct {
-	// Name of the target; URL is where it listens.
+	// Name is the target's name and URL its base address.
 	Name string
 	URL  string
-	// Incarnation is drawn anew at each start of this process.
+	// Incarnation is a new random value for each start of this process.
 	Incarnation string
 	// View returns the publication in force, or nil before the first one.
 	View func() *chestnutstep.View
@@ -53,46 +53,45 @@
 	Sampler  chestnutstep.Sampler
 	Answers  *answer.Store
 
-	// PooledClient is the client of requests that may be sent again; Single opens a
-	// connection for each request. See Clients for why there are two.
+	// PooledClient reuses connections and sends requests that can be retried; UnpooledClient opens
+	// a connection for each request. See Clients for the reason.
 	PooledClient   *http.Client
 	UnpooledClient *http.Client
-	// Dial reaches another agent and Ranker the next target of a chat, both to
-	// move KV cache; nil switches it off.
+	// Dial connects to another agent, and Ranker ranks the targets of a chat. Both are needed to
+	// move KV caches; nil disables moving them.
 	Dial   func(addr string) (wire.AgentClient, error)
 	Ranker func(*chestnutstep.View) chestnutstep.Ranker
 
 	Linger time.Duration
-	// HostLeaving says whether the platform's list shows this host as leaving; nil
-	// if nobody knows.
+	// HostLeaving reports whether the platform lists this host as leaving; nil if the platform
+	// provides no such list.
 	HostLeaving func() bool
-	// HostUptime is the host's at this process's start: with the publication's
-	// version it makes fencing numbers that rise without a disk.
+	// HostUptime is the host's uptime at the start of this process. Together with the publication's
+	// version it yields fencing numbers that increase without being stored on disk.
 	HostUptime time.Duration
-	// Clock is time.Now, but for tests.
+	// Clock returns the current time. It defaults to time.Now; tests replace it.
 	Clock func() time.Time
-	// Notify is told of what operators should see; it must not block.
+	// Notify receives the notices for operators; it must not block.
 	Notify func(Notice)
 
-	// mu guards the decisions and all jobs: they are short and never block.
+	// mu guards all decisions and jobs. It is held for short times only, never while blocking.
 	mu   sync.Mutex
 	jobs map[string]*job
-	// jobCount counts the offers that became jobs.
+	// jobCount is the number of offers that became jobs.
 	jobCount uint64
-	// movedTo notes where requests run for which this agent would be asked next, so
-	// that a repeat through another entry finds the run.
+	// movedTo maps a request to the target that runs it, for requests whose callers retry here
+	// first, so that a retry through another entry joins the run.
 	movedTo recentMap
-	// lastRuns notes the job that was the last to run under an id: the target tells
-	// answers apart by their id alone, and two workspaces may use the same.
+	// lastRuns maps a request id to the key of the job that last ran under it. The target
+	// identifies answers by id alone, and two workspaces can use the same id.
 	lastRuns recentMap
 	chats    chatCache
-	// appliedView is the publication that was applied last, version its version. Two
-	// operators may publish different content under one version; the view tells
-	// them apart.
+	// appliedView is the publication that was applied last and appliedVersion its version. Two
+	// operators can publish different content under one version; only the view distinguishes them.
 	appliedView    *chestnutstep.View
 	appliedVersion uint64
 	health         health
-	// draining is this process's own stop, away that of its host.
+	// draining is set when this process stops, hostLeaving when its host leaves.
 	draining     bool
 	hostLeaving  bool
 	probeMu      sync.Mutex
@@ -102,12 +101,12 @@
 	orderSender  orderSender
 	cacheEvents  cacheEventReader
 	outOfService bool
-	// targetState is the state of the target's chart; it changes only by turn.
+	// targetState is the state of the target's chart; only applyEvent changes it.
 	targetState string
 }
 
-// Run watches the target and the clock until ctx ends. It must run before the
-// gRPC service is served.
+// Run monitors the target and runs the periodic work until ctx ends, and returns ctx.Err(). It must
+// be started before the gRPC service is served.
 func (a *Agent) Run(ctx context.Context) error {
 	a.init()
 	go a.migrator.loop(ctx, a)
@@ -118,7 +117,7 @@
 	return ctx.Err()
 }
 
-// init prepares the maps; Run and Service call it before the first offer.
+// init sets defaults and initializes the state; Run and Service call it before the first offer.
 func (a *Agent) init() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,8 +140,8 @@
 		a.Notify = func(Notice) {}
 	}
 	a.applyPublication(a.Clock())
-	// An agent that starts knows nothing of its target: it may have restarted
-	// with the host, so it counts as cold until it proves warm.
+	// After its own start the agent has no state of the target. The target can have restarted
+	// together with the host, so it counts as cold until it has served requests at full speed.
 	a.Gate.MarkCold(a.Clock())
 }
 
@@ -163,7 +162,7 @@
 	}
 }
 
-// pollQueue starts or refuses waiting work whose time has come.
+// pollQueue starts or refuses the queued work that is due.
 func (a *Agent) pollQueue() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -173,8 +172,8 @@
 	}
 }
 
-// tick applies what time alone changes: a new publication, a new mean, stalled
-// bodies, vanished entries and waiting work that is too late.
+// tick handles everything that depends on time alone: a new publication, a new mean, stalled
+// bodies, disconnected entries and expired queued work.
 func (a *Agent) tick() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -190,7 +189,8 @@
 	a.removeExpired()
 }
 
-// updateHostLeaving leaves with the host, and comes back if the list was wrong.
+// updateHostLeaving marks the target as leaving when its host leaves, and reverts this when the
+// host is no longer listed.
 func (a *Agent) updateHostLeaving(now time.Time) {
 	if a.HostLeaving == nil || a.draining {
 		return
@@ -210,7 +210,7 @@
 	return eventStay
 }
 
-// dispatchQueue starts or drops what the gate decided on waiting work.
+// dispatchQueue starts or refuses the jobs that the gate has released from its queue.
 func (a *Agent) dispatchQueue(now time.Time) {
 	next := a.Gate.AdvanceQueue(now)
 	for _, id := range next.Started {
@@ -225,8 +225,8 @@
 	}
 }
 
-// Drain stops new work for good and returns when nothing runs any more or ctx
-// ends: a planned stop cuts no request in progress.
+// Drain stops accepting new work for good and returns nil when no job is in progress, or the error
+// of ctx when it ends first. A planned stop therefore interrupts no request.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.mu.Lock()
 	a.draining = true
@@ -252,7 +252,8 @@
 	}
 }
 
-// busyJobs counts the jobs that are not over, or whose answer a link still reads.
+// busyJobs returns the number of jobs that are not finished or whose answer is still being read by
+// a link.
 func (a *Agent) busyJobs() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -265,13 +266,12 @@
 	return n
 }
 
-// Load reports the target's state, for status pages.
+// Load returns the target's current load, for status pages.
 func (a *Agent) Load() chestnutstep.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.Gate.Load(a.Clock())
 }
 
-// Locker returns the lock that guards Sampler and Detector, for the gossip that
-// feeds them.
+// Locker returns the lock that guards Sampler and Detector, for the gossip that updates them.
 func (a *Agent) Locker() sync.Locker { return &a.mu }
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -20,27 +20,28 @@
 )
 
 const (
-	// chunkSize is one message of KV cache: large enough for the link, small
-	// enough not to hold up an answer's frames on the same connection.
+	// chunkSize is the size in bytes of one KV cache message. Larger messages would delay the
+	// frames of answers on the same connection; smaller ones would not fill the link.
 	chunkSize = 64 << 10
-	// maxCacheSize bounds what is held in memory of one chat's KV cache. Longer
-	// ones are rebuilt: a process may use 64 MB.
+	// maxCacheSize is the maximum size in bytes of one chat's KV cache held in memory, as the
+	// process is limited to 64 MB. Larger caches are rebuilt instead of moved.
 	maxCacheSize = 16 << 20
 )
 
-// kvCache is a chat's KV cache as an engine exports it.
+// kvCache is a chat's KV cache as exported by an engine.
 type kvCache struct {
 	tokens int64
 	data   []byte
 }
 
-// cacheURL is where an engine exports and imports a chat's KV cache.
+// cacheURL returns the URL at which an engine exports and imports a chat's KV cache.
 func (a *Agent) cacheURL(c chatKey) string {
 	q := url.Values{"workspace": {c.workspace}, "chat": {c.name}}
 	return a.URL + "/control/kv?" + q.Encode()
 }
 
-// Export sends a chat's KV cache to the agent that asks for it.
+// Export streams a chat's KV cache to the requesting agent. It fails with NotFound if the target
+// can't export it and with ResourceExhausted if the export budget is spent.
 func (s *service) Export(rq *wire.ExportRequest, st grpc.ServerStreamingServer[wire.Chunk]) error {
 	a := s.Agent
 	kv, err := a.readCache(st.Context(), chatKey{rq.Workspace, rq.Chat}, rq.Most)
@@ -64,9 +65,9 @@
 	return nil
 }
 
-// spendExport takes bytes from this agent's budget for KV cache moves. The
-// budget is a bucket of one second's worth: without it, a leaving failure
-// domain fills the links that live answers need.
+// spendExport takes n bytes from this agent's budget for KV cache moves and reports whether they
+// were available. The budget is a token bucket that holds one second of the export rate; without
+// it, the moves out of a leaving failure domain fill the links that live answers need.
 func (a *Agent) spendExport(n int64) bool {
 	v := a.View()
 	if v == nil {
@@ -77,9 +78,9 @@
 	return a.exportBudget.spend(a.Clock(), float64(n), float64(v.Publication.Budget.ExportRate))
 }
 
-// tokenBucket is a token bucket of bytes. It may go below zero by one chat: refusing
-// any chat that is larger than a second's worth would leave the longest, and so
-// the dearest, to be rebuilt.
+// tokenBucket is a token bucket of bytes. Its balance can fall below zero by the size of one chat:
+// if chats larger than one second of the rate were rejected, the longest ones, which are the most
+// expensive to rebuild, could never be moved.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Time
@@ -98,7 +99,8 @@
 	return true
 }
 
-// readCache exports a chat's KV cache out of the target.
+// readCache exports a chat's KV cache from the target. It fails if the cache exceeds maxBytes or
+// maxCacheSize.
 func (a *Agent) readCache(ctx context.Context, c chatKey, maxBytes int64) (kvCache, error) {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, a.cacheURL(c), nil)
 	if err != nil {
@@ -110,7 +112,7 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode != http.StatusOK {
-		return kvCache{}, errors.Newf("export: the target answered %d", rs.StatusCode)
+		return kvCache{}, errors.Newf("export: target answered with status %d", rs.StatusCode)
 	}
 	limit := min(maxBytes, maxCacheSize)
 	data, err := io.ReadAll(io.LimitReader(rs.Body, limit+1))
@@ -118,7 +120,7 @@
 		return kvCache{}, errors.Wrap(err, "export")
 	}
 	if int64(len(data)) > limit {
-		return kvCache{}, errors.Newf("export: larger than %d bytes", limit)
+		return kvCache{}, errors.Newf("export: KV cache larger than %d bytes", limit)
 	}
 	tokens, err := strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCachedTokens), 10, 64)
 	return kvCache{tokens: tokens, data: data}, errors.Wrap(err, "export")
@@ -137,16 +139,17 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode/100 != 2 {
-		return errors.Newf("import: the target answered %d", rs.StatusCode)
+		return errors.Newf("import: target answered with status %d", rs.StatusCode)
 	}
 	return nil
 }
 
-// importCache imports a chat's KV cache from another agent where that is cheaper than
-// rebuilding, and gives up as soon as it has cost as much.
+// importCache imports a chat's KV cache from another agent if that is cheaper than rebuilding it,
+// and returns its size in bytes. The import is canceled once it has taken as long as rebuilding
+// would.
 func (a *Agent) importCache(ctx context.Context, source string, c chatKey) (int64, error) {
 	if a.Dial == nil {
-		return 0, errors.New("import: no way to other agents")
+		return 0, errors.New("import: no connection to other agents")
 	}
 	peer, err := a.Dial(source)
 	if err != nil {
@@ -181,11 +184,11 @@
 	return int64(len(data)), nil
 }
 
-// importQuote is what an import is weighed by.
+// importQuote returns the cost estimate that decides between importing and rebuilding.
 func (a *Agent) importQuote(first *wire.Chunk) price.Inputs {
 	q := price.Inputs{PromptTokens: float64(first.Tokens), HolderCached: float64(first.Tokens)}
-	// The holder has refused the request, or leaves: no patience is left for
-	// waiting there, which would otherwise be the cheapest way always.
+	// The holder has refused the request or is leaving, so waiting there is not an option. With a
+	// wait of zero it would always be the cheapest choice.
 	q.HolderWait = time.Nanosecond
 	m, v := a.model(), a.View()
 	if m == nil || v == nil {
@@ -211,25 +214,26 @@
 		}
 		data = append(data, c.Data...)
 		if int64(len(data)) > size {
-			return nil, errors.Newf("more than the %d bytes announced", size)
+			return nil, errors.Newf("received more than the announced %d bytes", size)
 		}
 		if c.Last && int64(len(data)) == size {
 			return data, nil
 		}
 		if c.Last {
-			return nil, errors.Newf("%d of %d bytes", len(data), size)
+			return nil, errors.Newf("received %d of %d bytes", len(data), size)
 		}
 	}
 }
 
-// acceptsChats says whether this target has new work to come, and so a use for chats.
+// acceptsChats reports whether this target accepts new work, and so has a use for imported chats.
 func (a *Agent) acceptsChats() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.mintRefusal() == ""
 }
 
-// Take imports a chat whose target is leaving, before its next request comes.
+// Take imports a chat from a leaving target before the chat's next request arrives. A reply of zero
+// bytes means that this target accepts no new work.
 func (s *service) Take(ctx context.Context, rq *wire.TakeRequest) (*wire.TakeReply, error) {
 	a := s.Agent
 	if !a.acceptsChats() {
--- a/agent/cachelog.go
+++ b/agent/cachelog.go
@@ -12,12 +12,11 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// cacheEventInterval is how often an engine is asked for its cache events. They come
-// late anyway.
+// cacheEventInterval is the interval at which an engine's cache events are fetched. Engines report
+// them with delay, so a shorter interval gains nothing.
 const cacheEventInterval = time.Second
 
-// cacheEvent is one line of an engine's cache events, which come late and with
-// gaps.
+// cacheEvent is one entry of an engine's cache event log, which is delayed and can have gaps.
 type cacheEvent struct {
 	Seq       uint64 `json:"seq"`
 	Kind      string `json:"kind"`
@@ -26,15 +25,15 @@
 	Tokens    int64  `json:"tokens"`
 }
 
-// Kinds of cache events. An engine that lost all is known by its boot id.
+// Kinds of cache events. The loss of the whole cache has no event; it is detected by a new boot id.
 const (
 	cacheEventStored  = "stored"
 	cacheEventEvicted = "evicted"
 )
 
-// cacheEventReader follows what an engine says of its prompt cache. What it says only
-// corrects what the agent believes: a gap or a late event costs a wait at a
-// target that has lost the prefix, or a rebuild, and never an answer.
+// cacheEventReader follows an engine's prompt cache events. They only correct the agent's own list
+// of cached chats: a missing or late event costs a wait at a target that has lost the prefix, or a
+// rebuild, but never an answer.
 type cacheEventReader struct {
 	lastSeq uint64
 }
--- a/agent/call.go
+++ b/agent/call.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// resumeTimeout is how long an engine may go on without a connection. On the
-	// same host a connection is made again in milliseconds.
+	// resumeTimeout is how long an engine keeps generating without a connection. On the same host a
+	// connection is restored within milliseconds.
 	resumeTimeout = 2 * time.Second
-	// connectTimeout bounds a dial to the target on the same host.
+	// connectTimeout is the timeout for connecting to the target on the same host.
 	connectTimeout = time.Second
 )
 
-// Clients returns the two clients for a target. Reused connections save a
-// handshake, but net/http repeats a request by itself when a reused connection
-// dies and the request has an Idempotency-Key: a booking would run twice with
-// nobody having sent it twice. A client that opens a connection for each
-// request has nothing to repeat on.
+// Clients returns the two HTTP clients for a target. The pooled client reuses connections and saves
+// handshakes, but net/http retries a request by itself when a reused connection breaks and the
+// request has an Idempotency-Key: a booking could run twice although it was sent once. The unpooled
+// client opens a connection for each request, so it has no reused connection on which net/http
+// would retry.
 func Clients() (pooled, unpooled *http.Client) {
 	dial := &net.Dialer{Timeout: connectTimeout}
 	pooledTransport := &http.Transport{
@@ -48,18 +48,18 @@
 	return pooled, unpooled
 }
 
-// callResult is how a call to the target ended.
+// callResult is the result of a call to the target.
 type callResult struct {
 	outcome chestnutstep.Outcome
 	reason  chestnutstep.Reason
 	run     chestnutstep.RunStatus
-	// unsent says that no byte of the request left this process.
+	// unsent is set if no byte of the request left this process.
 	unsent bool
 }
 
 var servedResult = callResult{outcome: chestnutstep.OutcomeServed, run: chestnutstep.RunYes}
 
-// run calls the target and copies its answer to the log.
+// run calls the target and copies its answer to the job's log.
 func (j *job) run(ctx context.Context) {
 	defer j.agent.runs.Done()
 	res := j.call(ctx)
@@ -70,8 +70,8 @@
 		j.cancelOnTarget()
 	}
 	if res.outcome == chestnutstep.OutcomeFailed {
-		// Ask before the job is marked ended: if the target died, this job and
-		// all that ran beside it become crash suspects.
+		// Probe before the job is marked as finished: if the target crashed, this job and all
+		// others that were running become crash suspects.
 		j.agent.health.check(j.agent)
 		res.reason = j.classifyFailure(res.reason)
 	}
@@ -82,11 +82,11 @@
 	j.agent.finishJob(j, res)
 }
 
-// classifyFailure tells a dead target from a dropped connection: only the first
-// makes a request suspect. Content that this crash condemned is named so: the
-// entry then warns the agents to which the caller's repeat would go. Where the
-// entry had not heard of an earlier crash here, as its link broke, it would take
-// this one for the first and let the content take down another target.
+// classifyFailure distinguishes a crashed target from a dropped connection; only a crash makes a
+// request suspect. If the crash condemned the content, it returns ReasonCondemned, on which the
+// entry warns the agents that the caller's retry would reach. An entry that missed an earlier crash
+// because its link broke would otherwise take this one for the first, and the content could crash
+// another target.
 func (j *job) classifyFailure(reason chestnutstep.Reason) chestnutstep.Reason {
 	if reason != chestnutstep.ReasonCrashed && reason != chestnutstep.ReasonShort {
 		return reason
@@ -102,16 +102,16 @@
 	return chestnutstep.ReasonCrashed
 }
 
-// stopCrashTracking ends the watch on a request that never reached the target, before the
-// target is found dead: it can't have been the cause.
+// stopCrashTracking ends crash tracking of a request that never reached the target. It must run
+// before the target is found dead, as the request can't be the cause.
 func (a *Agent) stopCrashTracking(j *job) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Detector.End(a.Clock(), j.offer.Fingerprint, false)
 }
 
-// resolveUnsent turns "nothing was sent" into a true "not run", for a ticket by its
-// tombstone.
+// resolveUnsent reports a request of which nothing was sent as "not run"; for a request with a
+// ticket the ticket's tombstone makes that final.
 func (a *Agent) resolveUnsent(j *job, res *callResult) {
 	if !res.unsent {
 		return
@@ -127,8 +127,8 @@
 }
 
 func (j *job) call(ctx context.Context) callResult {
-	// Set once the request had a connection: the client sends it again by itself
-	// when a reused one breaks, and its error is then that of the last attempt.
+	// connected is set once the request had a connection: net/http retries by itself when a reused
+	// connection breaks, and then returns the error of its last attempt only.
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	rq, err := j.newRequest(httptrace.WithClientTrace(ctx, trace))
@@ -140,8 +140,8 @@
 	if j.atMostOnce() {
 		client = j.agent.UnpooledClient
 	}
-	// The clock once more, right before the call: a process that slept since
-	// the last check must not run what its caller has given up.
+	// Check the clock again right before the call: the process can have been suspended since the
+	// last check, and a request that its caller has given up must not run.
 	if !j.agent.Clock().Before(j.deadline) {
 		return callResult{outcome: chestnutstep.OutcomeAbandoned, reason: chestnutstep.ReasonTimeout, unsent: true}
 	}
@@ -163,8 +163,8 @@
 	return j.copy(ctx, rs)
 }
 
-// fetchCache imports the chat's prompt prefix from the target that refused it, if
-// that beats rebuilding. Its failure only means that the prefix is rebuilt.
+// fetchCache imports the chat's prompt prefix from the target that refused the request, if that is
+// cheaper than rebuilding it. Errors are ignored because the prefix is then rebuilt.
 func (j *job) fetchCache(ctx context.Context) {
 	c := chatKey{j.offer.Workspace, j.offer.Chat}
 	if j.offer.Source == "" || j.agent.hasChat(c) {
@@ -179,8 +179,8 @@
 	return a.chats.has(c)
 }
 
-// newRequest builds what the target gets: path, headers and body as the caller
-// sent them, and what the target needs to know of the request.
+// newRequest builds the request to the target: path, headers and body as sent by the caller, plus
+// the request's id, priority, chat and workspace.
 func (j *job) newRequest(ctx context.Context) (*http.Request, error) {
 	at, err := url.Parse(j.agent.URL + j.offer.Path)
 	if err != nil {
@@ -203,16 +203,16 @@
 	return rq, nil
 }
 
-// headerWorkspace tells the target whose chat it is: two workspaces may use
-// the same chat name and must never share a prompt cache entry.
+// headerWorkspace names the workspace of the chat for the target: two workspaces can use the same
+// chat name and must never share an entry of the prompt cache.
 const headerWorkspace = "Chestnut-Workspace"
 
-// headerLinger asks an engine to go on for a while after its connection broke,
-// so that the stream can be resumed; a cancel is then told in so many words.
+// headerLinger asks an engine to continue for a while after its connection breaks, so that the
+// stream can be resumed. A cancel is therefore sent as an explicit request.
 const headerLinger = "Linger"
 
-// isOwnAnswer says that the answer belongs to this request. Engines repeat its id; a
-// plain service may not, but must not repeat another's.
+// isOwnAnswer reports whether the answer belongs to this request. Engines return the request's id;
+// a plain service can omit it but must not return a different one.
 func (j *job) isOwnAnswer(rs *http.Response) bool {
 	id := rs.Header.Get(chestnutstep.HeaderRequestID)
 	if id == "" {
@@ -232,7 +232,8 @@
 	return callResult{outcome: chestnutstep.OutcomeFailed, reason: chestnutstep.ReasonCrashed, run: chestnutstep.RunMaybe}
 }
 
-// contextResult tells a time limit and a cancel from a fault of the target.
+// contextResult returns the result of a call whose context has timed out or was canceled, and false
+// if the context is still valid, so that the error is a fault of the target.
 func contextResult(ctx context.Context) (callResult, bool) {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/agent/call_test.go
+++ b/agent/call_test.go
@@ -16,7 +16,7 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// closingTarget answers its first request and dies with the second one in hand.
+// closingTarget answers its first request and closes the connection after reading the second.
 type closingTarget struct {
 	l net.Listener
 
@@ -49,8 +49,9 @@
 	}
 }
 
-// TestRetryByHTTPClientIsNotUnsent guards against a "not run" for a request that a target had in hand when it died:
-// net/http sends it again by itself, and only that second connection is refused.
+// TestRetryByHTTPClientIsNotUnsent guards against "not run" for a request that a target had
+// received when it crashed: net/http retries the request by itself, and only the connection of that
+// retry is refused.
 func TestRetryByHTTPClientIsNotUnsent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -76,8 +77,8 @@
 	assert.Equal(t, res.run, chestnutstep.RunMaybe)
 }
 
-// TestLastEventEndsTheStream guards against a whole answer that counts as failed because its connection ended late or
-// badly, and against half an answer that counts as whole.
+// TestLastEventEndsTheStream guards against a whole answer that counts as failed because its
+// connection ended late or with an error, and against a partial answer that counts as whole.
 func TestLastEventEndsTheStream(t *testing.T) {
 	for _, c := range []struct {
 		wanted, text string
--- a/agent/chats.go
+++ b/agent/chats.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// maxChats bounds the chats whose prompt prefix is thought to be at the
-	// target. 10 million chats over 2,700 targets are 3,700 each.
+	// maxChats is the maximum number of chats listed as cached at the target. 10 million chats over
+	// 2,700 targets are 3,700 per target.
 	maxChats = 8192
 )
 
-// chatKey names a chat of a workspace.
+// chatKey identifies a chat by its workspace and name.
 type chatKey struct {
 	workspace string
 	name      string
 }
 
-// chatEntry is what is thought to be of a chat at the target.
+// chatEntry describes a chat whose prompt prefix is assumed to be cached at the target.
 type chatEntry struct {
 	chatKey
-	// tokens of its prefix as the engine said, 0 if it has not said yet.
+	// tokens is the size of the prefix as reported by the engine, 0 before the first report.
 	tokens int64
 	// lastServed is when the chat's last request ended.
 	lastServed time.Time
 }
 
-// chatCache remembers which chats were served here lately, corrected by what
-// the engine says late and with gaps. An error costs a wait or a rebuild, never
-// an answer.
+// chatCache lists the chats that the target served recently, the last served first. The engine's
+// cache events, which are delayed and can have gaps, correct it. An error in it costs a wait or a
+// rebuild, never an answer.
 type chatCache struct {
 	elements map[chatKey]*list.Element
 	order    list.List
@@ -39,7 +39,8 @@
 	return ok
 }
 
-// recordServed notes that a chat was served here.
+// recordServed records that a chat was served here and evicts the oldest chat if the list exceeds
+// maxChats.
 func (c *chatCache) recordServed(key chatKey, now time.Time) {
 	h := c.touch(key)
 	h.lastServed = now
@@ -50,8 +51,8 @@
 	c.remove(last.chatKey)
 }
 
-// setTokens notes the size of a chat's prefix. A chat that is not known was served
-// before this agent's start.
+// setTokens records the size of a chat's prefix. A chat that is not listed was served before this
+// agent started and is added.
 func (c *chatCache) setTokens(key chatKey, tokens int64, now time.Time) {
 	if !c.has(key) {
 		c.recordServed(key, now)
@@ -59,7 +60,7 @@
 	c.touch(key).tokens = tokens
 }
 
-// touch finds or adds a chat and moves it to the front.
+// touch returns the chat's entry, adding it if missing, and moves it to the front.
 func (c *chatCache) touch(key chatKey) *chatEntry {
 	if c.elements == nil {
 		c.elements = make(map[chatKey]*list.Element)
@@ -82,7 +83,7 @@
 	delete(c.elements, key)
 }
 
-// list lists the chats, the last served first.
+// list returns all chats, the last served first.
 func (c *chatCache) list() []chatEntry {
 	out := make([]chatEntry, 0, c.order.Len())
 	for e := c.order.Front(); e != nil; e = e.Next() {
@@ -91,7 +92,7 @@
 	return out
 }
 
-// clear forgets all chats: the target restarted and lost its cache.
+// clear removes all chats. It is called when the target has restarted and lost its cache.
 func (c *chatCache) clear() {
 	c.elements = nil
 	c.order.Init()
--- a/agent/copy.go
+++ b/agent/copy.go
@@ -15,23 +15,22 @@
 )
 
 const (
-	// readBufferSize is the buffer for one read of the target's answer: a token's
-	// event is a few hundred bytes, a plain answer a few kilobytes.
+	// readBufferSize is the buffer size in bytes for one read of the target's answer: the event of
+	// one token is a few hundred bytes, a plain answer a few kilobytes.
 	readBufferSize = 16 << 10
-	// maxResumes is how often a stream that broke is continued at a target that
-	// still lives. A third break in one answer is no passing fault.
+	// maxResumes is the maximum number of times a broken stream is resumed at a target that is
+	// still running. A third break in one answer indicates a permanent fault.
 	maxResumes = 2
-	// endTimeout is how long the end of the connection may take after a stream's
-	// last event. The target is on the same host and has nothing left to send.
+	// endTimeout is how long the connection can take to end after the stream's last event. The
+	// target is on the same host and has nothing left to send.
 	endTimeout = 100 * time.Millisecond
-	// replayTimeout bounds the reading of an answer that the engine has kept, half
-	// of the time that is left does as well. An engine that is slow to send it
-	// would be as slow to answer a new run.
+	// replayTimeout bounds the reading of an answer that the engine has kept; half of the time to
+	// the deadline bounds it as well. An engine that is slow to send a kept answer would be as slow
+	// to answer a new run.
 	replayTimeout = 2 * time.Second
 )
 
-// copy moves the answer into the log, and continues a stream that breaks
-// while the target lives.
+// copy copies the answer into the log and resumes a broken stream while the target is running.
 func (j *job) copy(ctx context.Context, rs *http.Response) callResult {
 	body := rs.Body
 	tail := &tail{terminator: j.agent.streamTerminator(rs)}
@@ -61,15 +60,15 @@
 	return callResult{outcome: chestnutstep.OutcomeFailed, reason: chestnutstep.ReasonShort, run: chestnutstep.RunYes}
 }
 
-// readToEnd reads a whole answer's body to its end, as the connection is only used again then. An error costs that
-// connection and nothing else.
+// readToEnd reads the body of a complete answer to its end, as net/http reuses the connection only
+// then. An error costs only that connection.
 func (j *job) readToEnd(body io.Reader) {
 	limit := time.AfterFunc(endTimeout, j.cancelCall)
 	defer limit.Stop()
 	_, _ = io.Copy(io.Discard, body)
 }
 
-// copyBody moves what comes into the log, up to the stream's last event or the end of the body.
+// copyBody copies the body into the log, up to the stream's last event or the end of the body.
 func (j *job) copyBody(body io.Reader, t *tail) error {
 	buf := make([]byte, readBufferSize)
 	for {
@@ -89,8 +88,9 @@
 	}
 }
 
-// resume asks an engine that still has the same boot id to go on from an
-// offset. A target that restarted has forgotten the stream.
+// resume requests the rest of the stream from an offset, in bytes, and returns nil if the engine
+// can't provide it. The engine must have the same boot id: one that has restarted has lost the
+// stream.
 func (j *job) resume(ctx context.Context, rs *http.Response, offset int64) io.ReadCloser {
 	next := j.openStream(ctx, rs.Header.Get(chestnutstep.HeaderBootID), offset)
 	if next == nil {
@@ -99,9 +99,9 @@
 	return next.Body
 }
 
-// replay serves the answer of an earlier run that the engine still has: one that
-// came too late for its caller is done, and need not be run again. It returns
-// false unless that answer is whole, and its own.
+// replay serves the answer of an earlier run that the engine still has: a run that finished too
+// late for its caller need not be repeated. It returns false unless that answer is complete and
+// belongs to this job.
 func (j *job) replay(ctx context.Context) bool {
 	if !j.mayReplay {
 		return false
@@ -115,7 +115,7 @@
 	}
 	defer rs.Body.Close()
 	tail := &tail{terminator: j.agent.streamTerminator(rs)}
-	// An error shows in a tail that has not ended.
+	// An error leaves the tail incomplete, which is checked below.
 	body, _ := io.ReadAll(io.LimitReader(rs.Body, answer.DefaultMaxBytes))
 	tail.add(body)
 	if !tail.isEnded() || !j.isLastRun() {
@@ -131,28 +131,28 @@
 	return true
 }
 
-// isLastRun says that nothing else has run under the job's id since it started.
+// isLastRun reports whether no other job has run under the job's id since it started.
 func (j *job) isLastRun() bool {
 	j.agent.mu.Lock()
 	defer j.agent.mu.Unlock()
 	return j.agent.isLastRun(j.agent.Clock(), j)
 }
 
-// isLastRun says that the job, or an earlier one of the same request, was the last
-// to run under its id.
+// isLastRun reports whether the job, or an earlier job of the same request, was the last to run
+// under its id.
 func (a *Agent) isLastRun(now time.Time, j *job) bool {
 	return a.lastRuns.get(j.offer.Id, now) == j.key
 }
 
-// bootID is the target's boot id as it was last seen.
+// bootID returns the target's last observed boot id.
 func (a *Agent) bootID() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.health.bootID
 }
 
-// openStream asks an engine for a stream of the job's id from an offset on, or
-// returns nil where that is not to be had.
+// openStream requests the stream of the job's id from an engine, starting at an offset in bytes. It
+// returns nil if the target is no engine, has another boot id or no longer has the stream.
 func (j *job) openStream(ctx context.Context, bootID string, offset int64) *http.Response {
 	if bootID == "" || j.agent.modelKind() != chestnutstep.KindEngine {
 		return nil
@@ -173,8 +173,8 @@
 	return next
 }
 
-// cancelOnTarget tells an engine that nobody wants the answer any more. The place at the
-// target is only free when it has stopped.
+// cancelOnTarget asks an engine to stop generating an answer that is no longer needed. The place at
+// the target is free only once it has stopped.
 func (j *job) cancelOnTarget() {
 	if j.agent.modelKind() != chestnutstep.KindEngine {
 		return
--- a/agent/head.go
+++ b/agent/head.go
@@ -8,8 +8,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// answerHead is what the caller gets before the body. The answer's length goes along
-// where the target gave it, so that a caller can tell a short answer.
+// answerHead builds the status and headers sent to the caller before the body. It includes the
+// answer's length if the target gave it, so that a caller can detect a truncated answer.
 func answerHead(rs *http.Response) *wire.Head {
 	h := &wire.Head{Status: uint32(rs.StatusCode)}
 	h.Cached, _ = strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCachedTokens), 10, 64)
@@ -30,7 +30,7 @@
 	return h
 }
 
-// isAgentOnlyHeader keeps what a target says to its agent from callers.
+// isAgentOnlyHeader reports whether a header is meant for the agent and must not reach callers.
 func isAgentOnlyHeader(name string) bool {
 	return name == chestnutstep.HeaderBootID || chestnutstep.IsChestnutHeader(name)
 }
--- a/agent/health.go
+++ b/agent/health.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// probeInterval is how often the target is asked for its boot id: a restart
-	// with no request running is noticed within this time.
+	// probeInterval is the interval between probes of the target's boot id. A restart while no
+	// request is running is detected within this time.
 	probeInterval = time.Second
-	// probeTimeout is how long a probe may take. A target that hangs longer is
-	// slow, not dead: only a refused connection or a new boot id is a crash.
+	// probeTimeout is the timeout of a probe. A target that doesn't answer in this time is slow,
+	// not crashed: only a refused or dropped connection or a new boot id counts as a crash.
 	probeTimeout = 500 * time.Millisecond
 )
 
-// health is what the agent knows of the target's life. Guarded by Agent.mu.
+// health holds what the probes and answers of the target have shown. It is guarded by Agent.mu.
 type health struct {
 	bootID string
 	isDown bool
-	// hasAnswered says that the target has answered since this agent's start.
+	// hasAnswered is set once the target has answered since this agent started.
 	hasAnswered bool
-	// reportedCold is what the target last said of itself.
+	// reportedCold is the cold flag of the target's last load report.
 	reportedCold bool
-	// crashCount counts deaths with requests running.
+	// crashCount is the number of crashes of the target since this agent started.
 	crashCount int
 }
 
-// loadReport is the target's own load report, which lags.
+// loadReport is the target's own load report, which lags behind its actual state.
 type loadReport struct {
 	Boot    string `json:"boot"`
 	Running int    `json:"running"`
@@ -55,14 +55,14 @@
 	}
 }
 
-// check probes the target once and draws the consequences. One probe at a
-// time: jobs that broke together must not count one crash several times.
+// check probes the target once and updates its state. Probes run one at a time: otherwise several
+// jobs that fail together would count one crash several times.
 func (h *health) check(a *Agent) {
 	a.probeMu.Lock()
 	defer a.probeMu.Unlock()
 	r, err := a.probe()
 	if isConnDropped(err) {
-		// Once may be a connection that broke by itself.
+		// A single dropped connection can be a fault of the connection, so probe again.
 		r, err = a.probe()
 	}
 	a.mu.Lock()
@@ -78,7 +78,7 @@
 	a.dispatchQueue(now)
 }
 
-// probe asks the target for its boot id.
+// probe requests the target's load report, which includes its boot id.
 func (a *Agent) probe() (loadReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -92,7 +92,7 @@
 	}
 	defer rs.Body.Close()
 	var r loadReport
-	// A plain service may know no such path: that it answers is enough.
+	// A plain service can lack this path; any answer shows that it is running.
 	_ = json.NewDecoder(rs.Body).Decode(&r)
 	if boot := rs.Header.Get(chestnutstep.HeaderBootID); boot != "" {
 		r.Boot = boot
@@ -100,9 +100,8 @@
 	return r, nil
 }
 
-// updateCold notices a target that turned cold without restarting. Only the change
-// counts: the report lags, and says cold for a while after the target has
-// proven warm.
+// updateCold detects a target that turned cold without restarting. Only the transition counts: the
+// report lags and stays cold for a while after the target has proven warm.
 func (h *health) updateCold(now time.Time, a *Agent, cold bool) {
 	becameCold := cold && !h.reportedCold
 	h.reportedCold = cold
@@ -115,9 +114,9 @@
 	a.Notify(Notice{Kind: NoticeCold, Subject: a.Name, Before: h.bootID, After: h.bootID})
 }
 
-// observeBoot takes the boot id from a job's answer. One that began before the target's
-// last death is late: taken as news, its old id would look like one more
-// restart, and what runs now would be suspected of it.
+// observeBoot applies the boot id of a job's answer. An answer to a job that started before the
+// target's last crash is ignored: its old boot id would count as another restart, and the requests
+// that are now running would become suspects.
 func (h *health) observeBoot(j *job, boot string) {
 	if boot == "" {
 		return
@@ -143,7 +142,7 @@
 		return
 	}
 	if h.bootID != "" && !wasDown {
-		// It restarted between two probes: what was running died with it.
+		// The target restarted between two probes, and its running requests were lost.
 		a.applyEvent(eventCold)
 		h.recordCrash(now, a)
 	}
@@ -165,8 +164,8 @@
 	h.recordCrash(now, a)
 }
 
-// recordCrash makes what was running suspect: one of these requests may have
-// killed the target, and its caller will send it again.
+// recordCrash marks the requests that were running as suspects: one of them can have caused the
+// crash, and its caller will retry it.
 func (h *health) recordCrash(now time.Time, a *Agent) {
 	h.crashCount++
 	a.chats.clear()
@@ -180,14 +179,14 @@
 	}
 }
 
-// isConnRefused says that nothing listens at the target's address: on the same
-// host that is certain, unlike a probe that takes too long.
+// isConnRefused reports whether the connection was refused, so that no process listens at the
+// target's address. On the same host this is certain, unlike a probe that times out.
 func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// isConnDropped says that the target's address took the connection and closed it
-// without a word: what listens there is not the target that was running, but
-// what restarts it. Waiting for a clear answer would let the request that
-// killed it go unsuspected to the next target, and the next.
+// isConnDropped reports whether the connection was accepted and then closed without an answer. The
+// listener is then not the target that was running but the supervisor that restarts it. This counts
+// as a crash because the request that caused it would otherwise go to further targets without
+// becoming a suspect.
 func isConnDropped(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/agent/job.go
+++ b/agent/job.go
@@ -10,22 +10,22 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// jobState of a job at this agent.
+// jobState is the state of a job at this agent.
 type jobState uint8
 
 const (
 	jobQueued   jobState = iota // in the gate's queue
-	jobAccepted                 // counts as running, the body is still coming
-	jobRunning                  // handed to the target
+	jobAccepted                 // counts as running; the body is not complete yet
+	jobRunning                  // sent to the target
 	jobFinished                 // has an answer, or never ran
 )
 
-// job is one request at this agent, from its offer to its answer. Its fields
-// are guarded by the agent's lock; log has a lock of its own.
+// job is one request at this agent, from its offer to its answer. Its fields are guarded by the
+// agent's lock; log has its own lock.
 type job struct {
 	agent *Agent
 	key   string
-	// seq counts the offers that the agent took.
+	// seq is the number of the offer among those that became jobs.
 	seq   uint64
 	offer *wire.Offer
 	log   *answer.Log
@@ -36,29 +36,29 @@
 	bodyComplete bool
 	// bodyUpdatedAt is when the body last grew.
 	bodyUpdatedAt time.Time
-	// offered, begun and answered are when the offer came, the target was
-	// called, and its answer started.
+	// offeredAt is when the offer arrived, startedAt when the target was called, and answeredAt
+	// when the head of its answer arrived.
 	offeredAt    time.Time
 	startedAt    time.Time
 	answeredAt   time.Time
 	cachedTokens int64
-	// linkCount counts the entries that read the answer; lost is when the last
-	// one went.
+	// linkCount is the number of entries that follow the job; detachedAt is when the last of them
+	// disconnected.
 	linkCount  int
 	detachedAt time.Time
 
-	// dequeued is closed when the job leaves the queue, by start or refusal.
+	// dequeued is closed when the job leaves the queue, whether it is accepted or refused.
 	dequeued chan struct{}
-	// refusal is set before placed is closed if the job never ran.
+	// refusal is set before dequeued is closed if the job never ran.
 	refusal *wire.Refuse
-	// failure is how an idempotent run ended without a whole answer: a repeat
-	// runs anew instead of hearing of the failure again.
+	// failure is the result of an idempotent run that produced no complete answer. A retry runs
+	// again instead of receiving the failure.
 	failure *wire.Broken
-	// mayReplay says that the target may still have the answer of an earlier run.
+	// mayReplay is set if the target can still have the answer of an earlier run.
 	mayReplay bool
-	// crashesAtStart is the target's count when the job started.
+	// crashesAtStart is the value of health.crashCount when the job started.
 	crashesAtStart int
-	// cancelCall ends the call to the target.
+	// cancelCall cancels the call to the target.
 	cancelCall context.CancelFunc
 }
 
@@ -97,10 +97,10 @@
 	}
 }
 
-// atMostOnce says that the request must run at most once.
+// atMostOnce reports whether the request must run at most once.
 func (j *job) atMostOnce() bool { return !j.offer.Idempotent }
 
-// acceptJob lets the body come, and runs the job when the body is whole.
+// acceptJob moves a job out of the queue and starts it if its body is complete.
 func (a *Agent) acceptJob(now time.Time, j *job) {
 	if j.state != jobQueued {
 		return
@@ -113,14 +113,15 @@
 	}
 }
 
-// carriesBody says that the offer alone is enough to run the request.
+// carriesBody reports whether the offer contains the whole body, so that the request can run
+// without further messages.
 func carriesBody(o *wire.Offer) bool {
 	return !o.Confirms && int64(len(o.Small)) == o.Size
 }
 
-// appendBody adds a piece of the body. Each link that joined before the body was whole
-// sends it, and the first whole one counts: the link that made the offer may be
-// the one that is cut off.
+// appendBody adds a piece to this link's copy of the body. Each link that joined before the body
+// was complete sends it, and the first complete copy is used: the link that made the offer can be
+// the one that breaks.
 func (l *link) appendBody(b *wire.Body) {
 	a, j := l.agent, l.job
 	a.mu.Lock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// setBody gives a job its body and starts it, if its turn has come.
+// setBody sets a job's body and starts the job if it is already accepted.
 func (a *Agent) setBody(now time.Time, j *job, body []byte) {
 	j.body, j.bodyComplete = body, true
 	if j.state == jobAccepted {
@@ -154,8 +155,8 @@
 	return j.bodyComplete
 }
 
-// startJob hands the job to the target, unless what was true at the offer is no
-// longer: this process may have slept since, and the caller may have given up.
+// startJob starts the call to the target. It checks the deadline and the ticket again because the
+// process can have been suspended since the offer, and the caller can have given up.
 func (a *Agent) startJob(now time.Time, j *job) {
 	if !now.Before(j.deadline) {
 		a.refuseWithReason(now, j, chestnutstep.ReasonTimeout)
@@ -178,9 +179,9 @@
 	go j.run(ctx)
 }
 
-// callDeadline is when the call to the target is cut. A non-idempotent request gets
-// longer than its caller waits: cutting it leaves an outcome that nobody knows,
-// while a repeat of its ticket can still fetch the answer.
+// callDeadline returns the deadline of the call to the target. A non-idempotent request gets Linger
+// more than its caller waits: canceling it leaves its outcome unknown, while a retry with its
+// ticket can still fetch the answer.
 func (j *job) callDeadline() time.Time {
 	if j.atMostOnce() {
 		return j.deadline.Add(j.agent.Linger)
@@ -188,7 +189,8 @@
 	return j.deadline
 }
 
-// expireJob ends a job that nobody feeds or reads any more.
+// expireJob ends a job whose body stalled, whose deadline passed before it ran, or whose answer no
+// link has read for Linger.
 func (a *Agent) expireJob(now time.Time, j *job) {
 	switch {
 	case j.state == jobAccepted && now.Sub(j.bodyUpdatedAt) > bodyIdleTimeout:
@@ -200,13 +202,13 @@
 	}
 }
 
-// refuseWithReason ends a job that has not run, with a true "not run".
+// refuseWithReason refuses a job that has not run, with the run status "no".
 func (a *Agent) refuseWithReason(now time.Time, j *job, reason chestnutstep.Reason) {
 	a.refuseJob(now, j, chestnutstep.Decision{Reason: reason})
 }
 
-// refuseJob ends a job that has not run. A ticket gets a tombstone first: only
-// then is "not run" true for ever, also for repeats that are still on the way.
+// refuseJob refuses a job that has not run. A ticket gets a tombstone first: only then does "not
+// run" stay true for retries that are still in transit.
 func (a *Agent) refuseJob(now time.Time, j *job, d chestnutstep.Decision) {
 	if j.state >= jobRunning {
 		return
@@ -220,8 +222,8 @@
 	a.Notify(j.newNotice(NoticeWithdrawn, d.Reason))
 }
 
-// abandonJob ends a job that has not run and that no entry follows. No caller gets
-// a "not run" for it, so its ticket stays valid for a retry.
+// abandonJob ends a job that has not run and that no entry follows. No caller receives "not run"
+// for it, so its ticket stays valid for a retry.
 func (a *Agent) abandonJob(now time.Time, j *job) {
 	if j.state >= jobRunning {
 		return
@@ -235,7 +237,7 @@
 	a.Notify(j.newNotice(NoticeAbandoned, chestnutstep.ReasonLink))
 }
 
-// withdrawJob takes a job that has not run out of the gate; its refusal is set.
+// withdrawJob removes a job that has not run from the gate. The job's refusal must be set.
 func (a *Agent) withdrawJob(now time.Time, j *job, d chestnutstep.Decision) {
 	if j.state == jobQueued {
 		close(j.dequeued)
@@ -247,13 +249,13 @@
 	a.dispatchQueue(now)
 }
 
-// removeJob forgets a job that never ran, so that a repeat is decided afresh.
+// removeJob removes a job and its answer, so that a retry is decided anew.
 func (a *Agent) removeJob(j *job) {
 	delete(a.jobs, j.key)
 	a.Answers.Remove(j.offer.Workspace, j.offer.Id)
 }
 
-// finishJob ends a job that ran.
+// finishJob records the result of a job that ran.
 func (a *Agent) finishJob(j *job, res callResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -280,7 +282,7 @@
 	a.Notify(j.endedNotice(res))
 }
 
-// endedNotice is what is told of a run.
+// endedNotice returns the notice about the end of a run.
 func (j *job) endedNotice(res callResult) Notice {
 	n := j.newNotice(NoticeEnded, res.reason)
 	n.Wait = j.startedAt.Sub(j.offeredAt)
@@ -291,7 +293,7 @@
 	return n
 }
 
-// recordHead notes when the answer started and what was found in the target's cache.
+// recordHead records when the answer started and how many prompt tokens were cached.
 func (j *job) recordHead(h *wire.Head) {
 	j.agent.mu.Lock()
 	defer j.agent.mu.Unlock()
@@ -307,7 +309,7 @@
 	}
 }
 
-// removeExpired drops jobs whose answer the store no longer keeps.
+// removeExpired removes finished jobs whose answers the store has evicted.
 func (a *Agent) removeExpired() {
 	for key, j := range a.jobs {
 		if j.state == jobFinished && j.linkCount == 0 && a.Answers.Get(j.offer.Workspace, j.offer.Id) == nil {
--- a/agent/life.go
+++ b/agent/life.go
@@ -5,8 +5,8 @@
 	"chestnutstep.example/chestnutstep/chart"
 )
 
-// States of the target's chart (chart/target.chart), by which this agent takes
-// new work or not.
+// States of the target's chart (chart/target.chart). They decide whether this agent accepts new
+// work.
 const (
 	targetStarting = "starting"
 	targetCold     = "cold"
@@ -18,19 +18,19 @@
 
 // Events of the target's chart.
 const (
-	eventReady    = "ready" // it answers
-	eventDown     = "lost"  // it does not answer
-	eventAnswered = "earn"  // a whole answer
-	eventWarm     = "prove" // it carries its full share
-	eventCold     = "chill" // it restarted, or lost what it had cached
-	eventLeave    = "leave" // its host or this process leaves
-	eventStay     = "stay"  // its host stays after all
-	eventOut      = "out"   // operators took it out of service
-	eventBack     = "back"  // operators brought it back
+	eventReady    = "ready" // the target answers
+	eventDown     = "lost"  // the target doesn't answer
+	eventAnswered = "earn"  // a complete answer
+	eventWarm     = "prove" // the target carries its full share
+	eventCold     = "chill" // the target restarted or lost its cache
+	eventLeave    = "leave" // the host or this process leaves
+	eventStay     = "stay"  // the host no longer leaves
+	eventOut      = "out"   // operators took the target out of service
+	eventBack     = "back"  // operators put the target back into service
 )
 
-// applyEvent moves the target's life by an event. Where the chart has no such move the
-// state stays: an answer does not bring a target back that operators took out.
+// applyEvent applies an event to the target's chart. If the chart has no such transition the state
+// stays: for example, an answer doesn't return a target to service that operators took out.
 func (a *Agent) applyEvent(event string) {
 	next, err := chart.Target.Next(a.targetState, event)
 	if err != nil {
@@ -42,9 +42,8 @@
 	}
 }
 
-// restoreState finds the state of a target that came back into service from what is
-// known of it. Without it, one that died while it was out would be offered work
-// until the next probe.
+// restoreState sets the state of a target that returned to service. Without it, a target that
+// crashed while out of service would be offered work until the next probe.
 func (a *Agent) restoreState() {
 	switch {
 	case a.draining || a.hostLeaving:
@@ -56,7 +55,7 @@
 	}
 }
 
-// rejectReason is why the target takes no new work in its present state, or "".
+// rejectReason returns why the target accepts no new work in its present state, or "".
 func (a *Agent) rejectReason() chestnutstep.Reason {
 	switch a.targetState {
 	case targetOut:
@@ -69,7 +68,7 @@
 	return ""
 }
 
-// recordAnswer notes a whole answer.
+// recordAnswer applies a complete answer to the target's chart; cold is the gate's cold flag.
 func (a *Agent) recordAnswer(cold bool) {
 	if a.targetState == targetCold {
 		a.applyEvent(eventAnswered)
@@ -79,7 +78,7 @@
 	}
 }
 
-// TargetState is the state of the target's chart, for status pages.
+// TargetState returns the state of the target's chart, for status pages.
 func (a *Agent) TargetState() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/limits.go
+++ b/agent/limits.go
@@ -7,7 +7,7 @@
 	"chestnutstep.example/chestnutstep/order"
 )
 
-// applyPublication puts the limits of a new publication in force.
+// applyPublication applies the limits of a new publication.
 func (a *Agent) applyPublication(now time.Time) {
 	v := a.View()
 	if v == nil || v == a.appliedView {
@@ -17,7 +17,7 @@
 	a.orderSender.permits.Configure(now, targetNames(v), v.Publication.Budget.LoadRate, order.DefaultPermitServers)
 	t := v.Targets[a.Name]
 	if t == nil {
-		// Operators removed the target: it takes no new work.
+		// Operators removed the target, so it accepts no new work.
 		a.appliedVersion = v.Publication.Version
 		a.outOfService = true
 		a.applyEvent(eventOut)
@@ -54,7 +54,7 @@
 	return l
 }
 
-// hasSingleTarget says that at most one target in service serves the model.
+// hasSingleTarget reports whether at most one target in service serves the model.
 func hasSingleTarget(v *chestnutstep.View, model string) bool {
 	n := 0
 	for _, t := range v.TargetsByModel[model] {
@@ -65,7 +65,7 @@
 	return n <= 1
 }
 
-// exchangeLoad gives this target's load to the sampler and the mean to the gate.
+// exchangeLoad passes this target's load to the sampler and the sampler's mean to the gate.
 func (a *Agent) exchangeLoad(now time.Time) {
 	v := a.View()
 	if a.Sampler == nil || v == nil || v.Targets[a.Name] == nil {
@@ -78,7 +78,7 @@
 	a.Gate.SetMean(now, a.Sampler.Mean(now))
 }
 
-// sample is the target's load in requests for one unit of weight.
+// sample returns the target's load in requests per unit of weight.
 func (a *Agent) sample(now time.Time, t *chestnutstep.Target) chestnutstep.Sample {
 	load := a.Gate.Load(now)
 	return chestnutstep.Sample{
@@ -89,7 +89,7 @@
 	}
 }
 
-// model is the publication's entry for what the target serves, or nil.
+// model returns the publication's entry of the model that the target serves, or nil.
 func (a *Agent) model() *chestnutstep.Model {
 	v := a.View()
 	if v == nil || v.Targets[a.Name] == nil {
@@ -98,7 +98,7 @@
 	return v.Models[v.Targets[a.Name].Model]
 }
 
-// modelKind of the model that this target serves.
+// modelKind returns the kind of the model that this target serves, or "".
 func (a *Agent) modelKind() string {
 	m := a.model()
 	if m == nil {
--- a/agent/link.go
+++ b/agent/link.go
@@ -13,30 +13,30 @@
 
 type stream = grpc.BidiStreamingServer[wire.Up, wire.Down]
 
-// link is one entry's stream to a job.
+// link is the stream between one entry and a job.
 type link struct {
 	agent  *Agent
 	job    *job
 	stream stream
-	// body is what this link has sent of the job's body.
+	// body is the part of the job's body received on this link.
 	body []byte
 }
 
-// service is an agent as the gRPC service: the protocol calls its method Run, a
-// name that Agent needs for itself.
+// service implements the gRPC service of an agent. It is a type of its own because the protocol's
+// method Run would collide with Agent.Run.
 type service struct {
 	wire.UnimplementedAgentServer
 	*Agent
 }
 
-// Service returns the gRPC service of the agent.
+// Service returns the agent's gRPC service.
 func (a *Agent) Service() wire.AgentServer {
 	a.init()
 	return &service{Agent: a}
 }
 
-// Run carries one request: its offer, its answer, its body and its frames. Notes
-// of where requests run may come before the offer, or without one.
+// Run serves one request: its offer, answer, body and frames. Moved messages, which state where a
+// request runs, can precede the offer or come without one.
 func (s *service) Run(st stream) error {
 	for {
 		up, err := st.Recv()
@@ -88,7 +88,7 @@
 	return l.serve(at.Offset)
 }
 
-// serve follows the job to its end: queue, accept, answer.
+// serve follows the job to its end: queue, accept and answer from an offset in bytes.
 func (l *link) serve(offset int64) error {
 	if refused, err := l.awaitStart(); refused || err != nil {
 		return err
@@ -101,8 +101,9 @@
 	return l.sendAnswer(offset)
 }
 
-// sendRefusal refuses, then waits for a note of where the request went. The
-// entry ends the stream when its own walk ends, so the wait needs no limit.
+// sendRefusal sends a refusal and waits for a Moved message that names the target that runs the
+// request instead. The entry closes the stream when it stops trying targets, so the wait needs no
+// timeout.
 func (a *Agent) sendRefusal(st stream, r *wire.Refuse) error {
 	if err := st.Send(&wire.Down{Kind: &wire.Down_Refuse{Refuse: r}}); err != nil {
 		return err
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// recordMoved notes the target that runs a request; a note that names this one
-// ends the note before.
+// recordMoved records the target that runs a request. A message that names this target removes the
+// record.
 func (a *Agent) recordMoved(m *wire.Moved) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,7 +132,7 @@
 	a.Notify(Notice{Kind: NoticeMoved, Subject: m.Id, Before: a.Name, After: m.Target})
 }
 
-// awaitStart follows a job through the queue; refused says that it never ran.
+// awaitStart waits until the job leaves the queue; refused reports that it never ran.
 func (l *link) awaitStart() (refused bool, err error) {
 	select {
 	case <-l.job.dequeued:
@@ -154,7 +155,7 @@
 	return true, l.agent.sendRefusal(l.stream, r)
 }
 
-// sendAnswer sends the answer from an offset on, to its last frame.
+// sendAnswer sends the answer from an offset in bytes to its last frame.
 func (l *link) sendAnswer(offset int64) error {
 	reader, err := l.job.log.NewReader(offset)
 	if err != nil {
@@ -175,7 +176,7 @@
 	}
 }
 
-// pieceMessage turns a piece of an answer into its message.
+// pieceMessage converts a piece of an answer to its protocol message.
 func pieceMessage(p answer.Piece) *wire.Down {
 	switch {
 	case p.Head != nil:
@@ -188,8 +189,8 @@
 	return &wire.Down{Kind: &wire.Down_Frame{Frame: &wire.Frame{Offset: p.Offset, Data: p.Data}}}
 }
 
-// sendAnswerError tells the entry that bytes it asked for are gone: a short answer
-// must never look whole.
+// sendAnswerError reports to the entry that requested bytes are no longer kept: a partial answer
+// must never appear complete. Other errors are returned.
 func (l *link) sendAnswerError(err error) error {
 	if !answer.IsErrGone(err) {
 		return err
@@ -197,9 +198,8 @@
 	return l.stream.Send(&wire.Down{Kind: &wire.Down_Broken{Broken: l.goneMessage()}})
 }
 
-// goneMessage is the last word on a job whose answer is not kept. If it never ran, its
-// answer was dropped for that, and the caller must hear "not run": told that it
-// ran, it would not send it again.
+// goneMessage returns the final message for a job whose answer is not kept. A job that never ran
+// must be reported as "not run": if the caller were informed that it ran, it would not retry.
 func (l *link) goneMessage() *wire.Broken {
 	l.agent.mu.Lock()
 	defer l.agent.mu.Unlock()
@@ -212,8 +212,8 @@
 	return &wire.Broken{Reason: string(chestnutstep.ReasonGone), Run: string(chestnutstep.RunYes)}
 }
 
-// receiveLoop takes what the entry sends: pieces of the body, or that its caller gave
-// up. A stream that ends without a word is a lost link, not a cancel.
+// receiveLoop handles the messages of the entry: pieces of the body, cancels and Moved messages. A
+// stream that ends without a cancel is a lost link.
 func (l *link) receiveLoop() {
 	for {
 		up, err := l.stream.Recv()
@@ -231,8 +231,8 @@
 	}
 }
 
-// close detaches the link. A job that has not run and that nobody follows any
-// more is withdrawn: its entry died while it waited.
+// close detaches the link. A job that has not run and that no other link follows is withdrawn, as
+// its entry disconnected while it waited.
 func (l *link) close() {
 	a := l.agent
 	a.mu.Lock()
@@ -245,9 +245,9 @@
 	}
 }
 
-// cancelJob ends a job whose caller gave up, at once: most callers cancel, and
-// what they leave behind would otherwise fill the target. A non-idempotent
-// request that runs goes on, as cutting it leaves its outcome unknown.
+// cancelJob ends a job at once when its caller cancels: most callers cancel at some time, and their
+// abandoned jobs would otherwise fill the target. A non-idempotent request that is running
+// continues, because canceling it would leave its outcome unknown.
 func (a *Agent) cancelJob(j *job) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/mint.go
+++ b/agent/mint.go
@@ -10,10 +10,11 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// maxMintCount bounds one batch of tickets, as callers ask for batches.
+// maxMintCount is the maximum number of tickets in one batch.
 const maxMintCount = 1000
 
-// Mint hands out tickets that only this incarnation of this agent honours.
+// Mint returns tickets that are valid only for this incarnation of this agent. It fails with
+// InvalidArgument for a count out of range and with Unavailable if the target accepts no new work.
 func (s *service) Mint(_ context.Context, rq *wire.MintRequest) (*wire.MintReply, error) {
 	a := s.Agent
 	if rq.Count == 0 || rq.Count > maxMintCount {
@@ -31,8 +32,8 @@
 	}, nil
 }
 
-// mintRefusal keeps tickets from binding actions to a target that is about to
-// refuse them.
+// mintRefusal returns why no tickets are minted, or "". It prevents tickets from binding actions to
+// a target that is about to refuse them.
 func (a *Agent) mintRefusal() chestnutstep.Reason {
 	if a.View() == nil {
 		return chestnutstep.ReasonVersion
@@ -41,7 +42,7 @@
 	return a.rejectReason()
 }
 
-// Drop writes a tombstone for a ticket that has not run, and says the truth.
+// Drop writes a tombstone for a ticket that has not run and returns the ticket's run status.
 func (s *service) Drop(_ context.Context, rq *wire.DropRequest) (*wire.DropReply, error) {
 	a := s.Agent
 	a.mu.Lock()
--- a/agent/mover.go
+++ b/agent/mover.go
@@ -10,28 +10,27 @@
 )
 
 const (
-	// meanReturnDelay and chatShare describe returning chats, for the price of moving
-	// one: nine in ten come back, after two minutes on average. Where they come
-	// back less or later, too many chats are moved, which costs the link alone.
+	// meanReturnDelay and returnRatio describe returning chats, for the estimated benefit of moving
+	// one: nine in ten return, after two minutes on average. If chats return less often or later,
+	// too many are moved, which only costs bandwidth.
 	meanReturnDelay = 2 * time.Minute
 	returnRatio     = 0.9
-	// migrationTimeout is how long handing over may take: an operator who takes a
-	// failure domain out at short notice gives it seconds, not minutes.
+	// migrationTimeout is the maximum duration of a migration: an operator who takes a failure
+	// domain out of service at short notice can wait for seconds, not minutes.
 	migrationTimeout = 30 * time.Second
-	// takeTimeout bounds one chat.
+	// takeTimeout is the timeout for moving one chat.
 	takeTimeout = 2 * time.Second
 )
 
-// cacheMigrator hands the KV cache of the latest chats to the targets that rank next
-// for them, where their callers' next requests go. It answers a failure domain
-// that leaves: without it, all its chats rebuild their prefixes at once at
-// targets that just got more load. One chat at a time, the most valuable first.
+// cacheMigrator moves the KV caches of recent chats to the targets that rank next for them, which
+// receive the callers' next requests. It runs when a failure domain is taken out of service:
+// otherwise all its chats would rebuild their prefixes at once, at targets whose load has just
+// increased. It moves one chat at a time, the most valuable first.
 type cacheMigrator struct {
 	wake chan struct{}
 }
 
-// notify starts a hand-over when operators took the target out of service. It
-// never blocks.
+// notify starts a migration if operators took the target out of service. It never blocks.
 func (m *cacheMigrator) notify(out bool) {
 	if !out {
 		return
@@ -67,7 +66,7 @@
 	}
 }
 
-// chatsToMigrate lists the chats worth handing over, the most valuable first.
+// chatsToMigrate returns the chats for which a move pays off, the most valuable first.
 func (a *Agent) chatsToMigrate() []price.Chat {
 	m, v := a.model(), a.View()
 	if m == nil || v == nil || m.CacheBytesPerToken <= 0 {
@@ -90,8 +89,8 @@
 	return price.Plan(chats, float64(v.Publication.Budget.ExportRate), migrationTimeout)
 }
 
-// migrateChat asks the agent that ranks next for a chat to take its KV cache. A
-// failure costs the chat a rebuild, as if nothing had been tried.
+// migrateChat asks the agent that ranks next for a chat to import its KV cache. After a failure the
+// chat is rebuilt, as without a migration.
 func (a *Agent) migrateChat(ctx context.Context, c chatKey) {
 	v := a.View()
 	if v == nil || v.Targets[a.Name] == nil {
@@ -117,7 +116,7 @@
 	a.Notify(Notice{Kind: NoticeHandedOver, Subject: c.name, Before: a.Name, After: next.Name, Workspace: c.workspace, Bytes: reply.Bytes})
 }
 
-// nextTarget is the target that ranks first for a chat, this one left out.
+// nextTarget returns the target other than this one that ranks first for a chat, or nil.
 func (a *Agent) nextTarget(v *chestnutstep.View, self *chestnutstep.Target, c chatKey) *chestnutstep.Target {
 	place := chestnutstep.RankQuery{Workspace: c.workspace, Chat: c.name, Model: self.Model, Region: v.Region(self.Host)}
 	for _, t := range a.Ranker(v).Rank(nil, place, 2) {
--- a/agent/notes.go
+++ b/agent/notes.go
@@ -3,13 +3,14 @@
 import "time"
 
 const (
-	// maxRecentEntries bounds notes of requests, and noteLife is how long one helps: a
-	// caller whose entry died repeats within seconds.
+	// maxRecentEntries bounds the entries of a recentMap, and recentEntryTTL their age: a caller
+	// whose entry failed retries within seconds.
 	maxRecentEntries = 4096
 	recentEntryTTL   = time.Minute
 )
 
-// recentMap keep a name for each of the latest requests.
+// recentMap maps the keys of recent requests to a value, such as a target's name. It is bounded in
+// size and its entries expire.
 type recentMap struct {
 	entries map[string]recentEntry
 	order   []string
@@ -34,14 +35,14 @@
 	}
 }
 
-// remove forgets the name of a request. Its place in the order stays.
+// remove deletes the value of a key. The key keeps its position in the eviction order.
 func (m *recentMap) remove(key string) {
 	if _, known := m.entries[key]; known {
 		m.entries[key] = recentEntry{}
 	}
 }
 
-// get returns the name, or "" when there is no note or it is too old.
+// get returns the value of a key, or "" if it is missing or expired.
 func (m *recentMap) get(key string, now time.Time) string {
 	n, ok := m.entries[key]
 	if !ok || now.After(n.expiresAt) {
--- a/agent/notice.go
+++ b/agent/notice.go
@@ -6,58 +6,59 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Notice is something an operator should see; see docs/EVENTS.md.
+// Notice is an event for operators; see docs/EVENTS.md.
 type Notice struct {
 	Kind    NoticeKind
 	Subject string
 	Reason  chestnutstep.Reason
 	Before  string
 	After   string
-	// Of a request: whose it was, and its estimated work in tokens.
+	// Workspace, Profile and Cost describe a request; Cost is its estimated work in tokens.
 	Workspace string
 	Profile   string
-	// OfferNumber numbers the offers that this agent took, Age is how long ago this one
-	// came.
+	// OfferNumber is the number of the offer among those that became jobs, and Age the time since
+	// it arrived.
 	OfferNumber uint64
 	Age         time.Duration
-	// HasTicket says that it carried one.
+	// HasTicket reports whether the request has a ticket.
 	HasTicket bool
 	Cost      float64
-	// Of a run: how long it waited, the time from the call to the answer's
-	// start, and the prompt tokens found in the target's cache.
+	// Wait, FirstByte and CachedTokens describe a run: the time from the offer to the call, the
+	// time from the call to the start of the answer, and the prompt tokens found in the target's
+	// cache.
 	Wait         time.Duration
 	FirstByte    time.Duration
 	CachedTokens int64
-	// Bytes of KV cache that were moved.
+	// Bytes is the size of a moved KV cache.
 	Bytes int64
-	// Count of tickets.
+	// Count is the number of minted tickets.
 	Count int
 }
 
 // NoticeKind names a notice.
 type NoticeKind string
 
-// The notices.
+// Kinds of notices.
 const (
 	NoticeCold       NoticeKind = "cold"      // the target turned cold
-	NoticeDown       NoticeKind = "down"      // the target does not answer
+	NoticeDown       NoticeKind = "down"      // the target doesn't answer
 	NoticeUp         NoticeKind = "up"        // the target answers again
-	NoticeCrash      NoticeKind = "crash"     // the target died with requests running
+	NoticeCrash      NoticeKind = "crash"     // the target crashed
 	NoticeSuspect    NoticeKind = "suspect"   // a request's content became suspect
 	NoticeCondemned  NoticeKind = "condemned" // a request's content was condemned
 	NoticeRefused    NoticeKind = "refused"   // an offer was refused
 	NoticeAccepted   NoticeKind = "accepted"  // an offer was accepted
-	NoticeQueued     NoticeKind = "queued"    // an offer waits
-	NoticeSent       NoticeKind = "sent"      // the accept of an offer was written
+	NoticeQueued     NoticeKind = "queued"    // an offer was queued
+	NoticeSent       NoticeKind = "sent"      // the accept of an offer was sent
 	NoticeStarted    NoticeKind = "started"   // the target was called
-	NoticeWithdrawn  NoticeKind = "withdrawn" // an offer that was taken will not run
-	NoticeAbandoned  NoticeKind = "abandoned" // the same, as its entry left; its ticket stays good
+	NoticeWithdrawn  NoticeKind = "withdrawn" // a job was refused before it ran
+	NoticeAbandoned  NoticeKind = "abandoned" // a job lost its entry before it ran; its ticket stays valid
 	NoticeImported   NoticeKind = "imported"  // a chat's KV cache was imported
-	NoticeMinted     NoticeKind = "minted"    // tickets were handed out
+	NoticeMinted     NoticeKind = "minted"    // tickets were minted
 	NoticeMoved      NoticeKind = "moved"     // another target runs a request
-	NoticeLimits     NoticeKind = "limits"    // a publication changed the limits
-	NoticeLeaving    NoticeKind = "leaving"   // the target takes no new work
-	NoticeOrder      NoticeKind = "order"     // an order was passed on or refused
+	NoticeLimits     NoticeKind = "limits"    // a new publication was applied
+	NoticeLeaving    NoticeKind = "leaving"   // the target accepts no new work
+	NoticeOrder      NoticeKind = "order"     // an order was sent or refused
 	NoticeEnded      NoticeKind = "ended"     // a run ended
-	NoticeHandedOver NoticeKind = "handed"    // a chat's KV cache went to another target
+	NoticeHandedOver NoticeKind = "handed"    // a chat's KV cache was moved to another target
 )
--- a/agent/offer.go
+++ b/agent/offer.go
@@ -7,15 +7,15 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// admission is what became of an offer: a job to follow, or a refusal.
+// admission is the decision on an offer: a job to follow, or a refusal.
 type admission struct {
 	job    *job
 	joined bool
 	refuse *wire.Refuse
 }
 
-// admit decides on an offer. Each check that refuses does so before anything
-// ran, so that every refusal here truly means "not run".
+// admit decides on an offer. Every check precedes the run, so that each refusal correctly reports
+// "not run".
 func (a *Agent) admit(o *wire.Offer) admission {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -37,8 +37,8 @@
 	return a.offerToGate(now, o, mayReplay)
 }
 
-// join finds the request if it is known here already; again says that a run of
-// it has failed here.
+// join looks up the request among the jobs and moved requests. found reports whether adm is
+// decided; mayReplay reports whether an earlier run of the same content failed here.
 func (a *Agent) join(now time.Time, o *wire.Offer) (adm admission, found, mayReplay bool) {
 	j := a.jobs[jobKey(o.Workspace, o.Id)]
 	if j != nil && j.failure != nil {
@@ -51,7 +51,7 @@
 			return admission{refuse: a.contentMismatch(j)}, true, false
 		}
 		if !j.bodyComplete && j.needsBodyOf(o) {
-			// The first link never sent the body; this one brought it along.
+			// The first link never sent the body, but this offer contains it.
 			a.setBody(now, j, o.Small)
 		}
 		return a.followJob(j, true), true, false
@@ -68,8 +68,8 @@
 	return j.offer.Fingerprint == o.Fingerprint && j.offer.Chat == o.Chat
 }
 
-// contentMismatch refuses a request under a name that belongs to another one. It
-// has not run; but its ticket may have, for the other.
+// contentMismatch refuses a request whose id belongs to a request with other content. The refused
+// request has not run, but its ticket can have run for the other one.
 func (a *Agent) contentMismatch(j *job) *wire.Refuse {
 	if j.atMostOnce() {
 		return refusal(chestnutstep.ReasonSpent, chestnutstep.RunMaybe)
@@ -77,7 +77,7 @@
 	return refusal(chestnutstep.ReasonSpent, chestnutstep.RunNo)
 }
 
-// needsBodyOf says that the offer brings the body that the job lacks.
+// needsBodyOf reports whether the job still lacks its body and the offer contains it.
 func (j *job) needsBodyOf(o *wire.Offer) bool {
 	return j.state <= jobAccepted && carriesBody(o)
 }
@@ -87,7 +87,7 @@
 	return admission{job: j, joined: joined}
 }
 
-// checkOffer refuses what can't run here whatever the load is.
+// checkOffer refuses an offer that can't run here regardless of load.
 func (a *Agent) checkOffer(now time.Time, o *wire.Offer) *wire.Refuse {
 	v := a.View()
 	if v == nil {
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// refuseOffer refuses an offer; a ticket gets its tombstone, so that "not run" stays
-// true when a delayed repeat of the same ticket arrives later.
+// refuseOffer refuses an offer. Its ticket gets a tombstone, so that "not run" stays true if a
+// delayed retry with the same ticket arrives later.
 func (a *Agent) refuseOffer(now time.Time, o *wire.Offer, r *wire.Refuse) admission {
 	if o.Ticket != "" {
 		a.dropTicket(now, o, r)
@@ -120,8 +120,8 @@
 	return admission{refuse: r}
 }
 
-// dropTicket writes the tombstone of a refused ticket and gives a fresh one, where
-// that can be used here: the caller's next try needs it.
+// dropTicket writes the tombstone of a refused ticket. If tickets can be minted, it adds a new one
+// to the refusal, which the caller needs for its next attempt.
 func (a *Agent) dropTicket(now time.Time, o *wire.Offer, r *wire.Refuse) {
 	ticketStatus := a.Issuer.Drop(now, o.Ticket, o.Workspace)
 	r.Run = string(ticketStatus.Run)
@@ -130,7 +130,7 @@
 	}
 }
 
-// mintOne mints one ticket, or returns "" where the workspace's name fits none.
+// mintOne mints one ticket, or returns "" if the workspace's name is too long for a ticket.
 func (a *Agent) mintOne(now time.Time, workspace string) string {
 	tickets := a.Issuer.Mint(now, workspace, 1)
 	if len(tickets) == 0 {
@@ -139,8 +139,8 @@
 	return tickets[0]
 }
 
-// bindTicket binds the ticket of a non-idempotent request, or refuses with a fresh
-// one where it has none.
+// bindTicket binds the ticket of a request to its id. It returns a refusal if the ticket can't be
+// used, and one with a new ticket if a non-idempotent request has none.
 func (a *Agent) bindTicket(now time.Time, o *wire.Offer) *wire.Refuse {
 	if o.Idempotent && o.Ticket == "" {
 		return nil
@@ -156,13 +156,13 @@
 	}
 	reason := ticketStatus.Reason
 	if reason == "" {
-		// It ran and this agent no longer keeps the answer.
+		// The request ran, and this agent no longer keeps its answer.
 		reason = chestnutstep.ReasonGone
 	}
 	return refusal(reason, ticketStatus.Run)
 }
 
-// offerToGate asks the gate.
+// offerToGate submits the offer to the gate and carries out its decision.
 func (a *Agent) offerToGate(now time.Time, o *wire.Offer, mayReplay bool) admission {
 	log, _ := a.Answers.GetOrCreate(now, o.Workspace, o.Id)
 	j := newJob(a, now, o, log)
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -15,21 +15,20 @@
 )
 
 const (
-	// orderInterval is how often the agent compares what its engine was told with
-	// what the publication says.
+	// orderInterval is the interval at which the agent compares the orders applied by its engine
+	// with those of the publication.
 	orderInterval = time.Second
-	// orderTimeout bounds one order to the engine: it is an acknowledgement, the
-	// loading itself goes on behind it.
+	// orderTimeout is the timeout for sending one order. The engine only acknowledges it; loading
+	// continues in the background.
 	orderTimeout = 10 * time.Second
 )
 
-// orderSender brings the engine to what the publication says: it sends the orders
-// that are missing, one after the other, each with its fencing number. An
-// engine that restarts has forgotten what it was told, so all are sent again.
+// orderSender sends the engine the published orders that it has not applied, one at a time, each
+// with its fencing number. A restarted engine has lost all orders, so all are sent again.
 type orderSender struct {
 	scheduler order.Scheduler
 	permits   order.PermitServer
-	// applied lists the orders that the engine's present life has followed.
+	// applied holds the orders that the engine has applied since its last start.
 	applied map[chestnutstep.Order]bool
 	bootID  string
 }
@@ -47,8 +46,8 @@
 	}
 }
 
-// sendNext sends at most one order. Whether the desk is ready is asked first: a
-// permit that is taken and not used is lost to the targets that could use it.
+// sendNext sends at most one order. It checks that the scheduler is ready before it acquires a
+// permit, as an unused permit is lost to the targets that could use it.
 func (s *orderSender) sendNext(ctx context.Context, a *Agent) {
 	o, ok := s.nextOrder(a)
 	if !ok || !s.isReady(a) {
@@ -60,7 +59,7 @@
 	s.send(ctx, a, o)
 }
 
-// nextOrder is the first published order that the engine has not followed.
+// nextOrder returns the first published order that the engine has not applied.
 func (s *orderSender) nextOrder(a *Agent) (chestnutstep.Order, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,9 +88,9 @@
 	return s.scheduler.IsReady(a.Clock())
 }
 
-// acquirePermit asks the wardens of the weight store's rate, of which one is
-// enough. Without them a failure domain that starts cold at once asks the store
-// for everything at once, and gets refusals for as long as it keeps asking.
+// acquirePermit asks the permit servers that limit the rate of the weight store; one permit is
+// enough. Without them, a failure domain that starts cold requests all its weights from the store
+// at once, and the store rejects requests for as long as the targets retry.
 func (a *Agent) acquirePermit(ctx context.Context) bool {
 	v := a.View()
 	if v == nil || v.Publication.Budget.LoadRate <= 0 {
@@ -123,7 +122,7 @@
 	return err == nil && reply.Ok
 }
 
-// grantPermit hands out a permit if this agent is a permit server.
+// grantPermit grants a permit if this agent is a permit server.
 func (a *Agent) grantPermit() (bool, time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -138,13 +137,13 @@
 	return names
 }
 
-// Permit lets another agent load weights.
+// Permit grants or refuses another agent a permit to load weights.
 func (s *service) Permit(context.Context, *wire.PermitRequest) (*wire.PermitReply, error) {
 	ok, wait := s.grantPermit()
 	return &wire.PermitReply{Ok: ok, Wait: int64(wait)}, nil
 }
 
-// send passes one order on.
+// send sends one order to the engine and records the result.
 func (s *orderSender) send(ctx context.Context, a *Agent, o chestnutstep.Order) {
 	job, err := s.submit(a, o)
 	if err != nil {
@@ -169,7 +168,7 @@
 	})
 }
 
-// submit gets the fencing number and asks the desk right before the call.
+// submit gets the fencing number of an order and registers the send right before the call.
 func (s *orderSender) submit(a *Agent, o chestnutstep.Order) (order.Job, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,7 +185,8 @@
 	return job, s.scheduler.BeginSend(now, job.Fence, version)
 }
 
-// errOrderRefused is the engine's own "no", such as to an old fencing number.
+// errOrderRefused reports that the engine refused an order, for example because of an old fencing
+// number.
 var errOrderRefused = errors.New("the engine refused the order")
 
 func (a *Agent) sendOrder(ctx context.Context, o chestnutstep.Order, f order.Fence) error {
--- a/agent/script_test.go
+++ b/agent/script_test.go
@@ -28,22 +28,22 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// call is a request that the target holds.
+// call is a request that the target has received and not answered.
 type call struct {
 	ctx context.Context
 	end chan func() (*http.Response, error)
 }
 
-// target stands in for a target and its connection: it holds each request until
-// the script answers it or lets the target die.
+// target replaces a target and its connection: it blocks each request until the script answers it
+// or crashes the target.
 type target struct {
 	mu    sync.Mutex
 	boot  string
 	down  bool
 	calls map[string]*call
 	ran   []string
-	// orders lists what was obeyed, with its fencing number; high is the
-	// highest seen, which a target that checks refuses to go below.
+	// orders lists the applied orders; highestFence is the highest fencing number received, and
+	// orders with a lower one are refused.
 	orders       []string
 	highestFence uint64
 }
@@ -103,7 +103,7 @@
 	return rs
 }
 
-// harness is an agent whose clock, target and entries are played by a script.
+// harness runs an agent whose clock, target and entries are controlled by a script.
 type harness struct {
 	t       *testing.T
 	agent   *Agent
@@ -142,7 +142,8 @@
 	return s
 }
 
-// countingReader counts up, so that nonces differ and runs do not.
+// countingReader fills each read with the next byte value, so that nonces differ and test runs
+// don't.
 type countingReader struct{}
 
 var lastByte byte
@@ -204,8 +205,8 @@
 		defer s.target.mu.Unlock()
 		return strings.Join(append(s.target.orders, ""), "\n")
 	case "overtake":
-		// Somebody else, perhaps this agent's frozen predecessor, has given the
-		// target a higher number.
+		// Another sender, for example a frozen earlier process of this agent, has sent the target a
+		// higher number.
 		s.target.highestFence = 1 << 63
 	case "moved":
 		to := "other"
@@ -226,7 +227,7 @@
 	s.notices = append(s.notices, strings.TrimSpace(fmt.Sprintf("%s %s offer %d %s", n.Kind, n.Subject, n.OfferNumber, n.Reason)))
 }
 
-// takeNotices lists the notices since the last call.
+// takeNotices returns the notices since the last call.
 func (s *harness) takeNotices() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +236,7 @@
 	return strings.Join(list, "\n") + "\n"
 }
 
-// publish puts a version with these orders in force.
+// publish applies a new publication version with these orders.
 func (s *harness) publish(d *datadriven.TestData) string {
 	s.pub.Version++
 	s.pub.Targets = []chestnutstep.Target{{Name: "t", Host: "h", Model: "m", Agent: "127.0.0.1:1", Fenced: true}}
@@ -298,7 +299,7 @@
 	return fmt.Sprintf("%s as %s\n%s", how, name, s.state())
 }
 
-// answerCall lets a held request end with a whole answer.
+// answerCall completes a blocked request with a whole answer.
 func (s *harness) answerCall(id string) string {
 	s.target.mu.Lock()
 	c := s.target.calls[id]
@@ -317,7 +318,7 @@
 	return s.state()
 }
 
-// crashTarget kills the target with all that runs there.
+// crashTarget crashes the target with all requests that run there.
 func (s *harness) crashTarget() {
 	s.target.mu.Lock()
 	s.target.down = true
@@ -343,7 +344,7 @@
 	return ids
 }
 
-// waitSettled waits until no released request is still on its way.
+// waitSettled waits until the running jobs match the requests blocked at the target.
 func (s *harness) waitSettled() {
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		if n, open := len(s.running()), s.target.openCalls(); n != open {
@@ -353,7 +354,7 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(10*time.Second))
 }
 
-// openCalls counts the requests that nobody has canceled.
+// openCalls returns the number of requests that have not been canceled.
 func (t *target) openCalls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -366,7 +367,7 @@
 	return n
 }
 
-// outcome is what a reader of the request's answer gets.
+// outcome returns a text of what a reader of the request's answer receives.
 func (s *harness) outcome(id string) string {
 	reader, err := s.links[id].job.log.NewReader(0)
 	if err != nil {
@@ -404,8 +405,8 @@
 	return strings.Join(out, "") + fmt.Sprintf("load %d running, %d waiting\n", l.Running, l.Waiting)
 }
 
-// Each script tells in its first lines how the failure comes about and what a
-// caller or an operator would notice.
+// TestScripts runs the scripts in testdata. The first lines of each describe the failure and how it
+// comes about.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := newHarness(t)
@@ -416,10 +417,10 @@
 	})
 }
 
-// Two operators publish different content under one version: first the one in
-// which the failure domain is in service, then, as its hash is higher, the one
-// in which it is out. An agent that looks at the version alone goes on taking
-// work in a domain that is being switched off.
+// TestOtherPublicationOfSameVersion guards against an agent that compares versions alone and keeps
+// accepting work in a domain that is taken out of service. Two operators publish different content
+// under one version: first one with the failure domain in service, then one with it out, which wins
+// because its hash is higher.
 func TestOtherPublicationOfSameVersion(t *testing.T) {
 	s := newHarness(t)
 	assert.Equal(t, string(s.agent.mintRefusal()), "")
@@ -432,9 +433,9 @@
 	assert.Equal(t, s.agent.TargetState(), targetOut)
 }
 
-// A target dies and restarts while operators have it out, and its host is listed
-// as leaving when they bring it back. Each word alone would let work in; the
-// chart keeps them in order.
+// TestTargetStateFollowsChart guards against a target that accepts work too early when several
+// conditions overlap. The target crashes and restarts while operators have it out of service, and
+// its host is listed as leaving when they put it back.
 func TestTargetStateFollowsChart(t *testing.T) {
 	s := newHarness(t)
 	assert.Equal(t, s.agent.TargetState(), targetCold)
--- a/agent/size_test.go
+++ b/agent/size_test.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// BenchmarkChats fills the list of chats that are thought to be cached at the
-// target to its bound.
+// BenchmarkChats measures the memory per chat with the list of cached chats at its maximum.
 func BenchmarkChats(b *testing.B) {
 	var size float64
 	for b.Loop() {
--- a/agent/tail.go
+++ b/agent/tail.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// tailSize is how much of an answer's end is looked at for its last event.
+// tailSize is the number of bytes at the end of an answer that are checked for its last event.
 const tailSize = 512
 
-// tail watches the end of an event stream. A target that stops early and
-// closes its connection cleanly looks, to HTTP, like one that is done: the
-// caller would take half an answer for the whole. Only the last event tells.
+// tail keeps the end of an event stream. A target that stops early and closes its connection
+// cleanly is indistinguishable in HTTP from one that is done, and the caller would take a partial
+// answer for a whole one. Only the last event shows the difference.
 type tail struct {
-	// terminator is the text that a whole stream ends with; "" if any end will do.
+	// terminator is the text that ends a complete stream; "" if any end is valid.
 	terminator string
 	size       int64
 	buf        []byte
@@ -27,13 +27,14 @@
 	}
 }
 
-// isComplete says that an answer whose connection ended cleanly is whole.
+// isComplete reports whether an answer whose connection ended cleanly is complete.
 func (t *tail) isComplete() bool {
 	return t.terminator == "" || bytes.Contains(t.buf, []byte(t.terminator))
 }
 
-// isEnded says that the stream's last event came whole. Nothing follows it, so the answer is whole however the connection
-// ends. Unlike complete it looks for a line of its own: the same text inside a token's data ends nothing.
+// isEnded reports whether the stream's last event was received in full. No data follows it, so the
+// answer is complete however the connection ends. Unlike isComplete, it requires the terminator on
+// a line of its own: the same text inside a token's data ends nothing.
 func (t *tail) isEnded() bool {
 	terminator := strings.TrimSpace(t.terminator)
 	if terminator == "" || !bytes.Contains(t.buf, []byte(terminator)) {
@@ -52,7 +53,7 @@
 	return false
 }
 
-// streamTerminator is the text that the answer must end with, for a whole event stream.
+// streamTerminator returns the text that must end the answer if it is an event stream, else "".
 func (a *Agent) streamTerminator(rs *http.Response) string {
 	if rs.StatusCode != http.StatusOK || !strings.HasPrefix(rs.Header.Get("Content-Type"), "text/event-stream") {
 		return ""
