--- a/entry/attach.go
+++ b/entry/attach.go
@@ -9,19 +9,18 @@
 )
 
 const (
-	// maxAttachAttempts bounds the attempts that find nobody at the agent's address, and
-	// offers of a ticketed request after a broken link. The agent keeps a run for
-	// its linger time; the pauses add up to less.
+	// maxAttachAttempts is the maximum number of attempts to reattach that fail because the agent
+	// can't be reached, and of new offers of a ticketed request after a broken link. The sum of the
+	// pauses is less than the agent's linger time, for which it keeps a run.
 	maxAttachAttempts = 4
-	// attachBackoff is the first pause between attempts; each is twice the one
-	// before, up to attachPauseMost.
+	// attachBackoff is the first pause between attempts. Each pause is twice the previous one, up
+	// to maxAttachBackoff.
 	attachBackoff    = 100 * time.Millisecond
 	maxAttachBackoff = 800 * time.Millisecond
 )
 
-// reoffer offers a ticketed request once more to the one agent that may run it.
-// Whether the first offer arrived is not known here and need not be: the ticket
-// makes the second one join it.
+// reoffer offers a ticketed request again to the only agent that can run it. It is irrelevant
+// whether the first offer arrived: the ticket makes the second one join the first.
 func (k *dispatcher) reoffer(ctx context.Context, t *chestnutstep.Target) outcome {
 	k.reofferCount++
 	if k.reofferCount > maxAttachAttempts {
@@ -35,8 +34,8 @@
 	return k.try(ctx, attempt{target: t, patience: k.remaining(), isOwner: true})
 }
 
-// attach joins the request again at its agent after the link broke: the run
-// goes on there, and the answer continues at the byte where it stopped.
+// attach reconnects to the request at its agent after the link broke: the run continues there, and
+// the answer resumes at the byte where it stopped.
 func (k *dispatcher) attach(ctx context.Context, t *chestnutstep.Target) outcome {
 	giveUpAt := k.entry.Clock().Add(k.attachWindow())
 	pause := attachBackoff
@@ -65,9 +64,9 @@
 	return k.decide(&ErrRefused{Reason: chestnutstep.ReasonUnknown, Run: chestnutstep.RunMaybe})
 }
 
-// attachWindow is how long a silent agent is asked for a run: to the deadline
-// where nobody else can go on with it, as for an action, or an answer that its
-// caller has in part.
+// attachWindow returns how long to keep trying to reattach at an unresponsive agent. It ends at the
+// request's deadline if no other target can continue the request: for an action, or if the caller
+// already has part of the answer.
 func (k *dispatcher) attachWindow() time.Duration {
 	if k.request.profile.RequiresTicket || k.output.started {
 		return k.remaining()
@@ -75,7 +74,7 @@
 	return k.answerTimeout(true)
 }
 
-// attachOnce returns an error when the agent could not be reached.
+// attachOnce makes one attempt to reattach. It returns an error if the agent can't be reached.
 func (k *dispatcher) attachOnce(ctx context.Context, t *chestnutstep.Target) (outcome, error) {
 	l, err := k.entry.openLink(t, k.answerTimeout(true))
 	if err != nil {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -11,16 +11,16 @@
 // attempt is one offer of the request to a target.
 type attempt struct {
 	target *chestnutstep.Target
-	// patience is how long the request may wait in the target's queue.
+	// patience is the maximum time in the target's queue.
 	patience time.Duration
-	// isOwner says that only this target may run the request, or that it runs it
-	// already: its agent gets more time to answer.
+	// isOwner is set if only this target can run the request or it already runs it. Its agent then
+	// gets more time to answer.
 	isOwner bool
-	// clearMoved ends the agent's note that another target runs the request.
+	// clearMoved removes the agent's record that another target runs the request.
 	clearMoved bool
 }
 
-// try offers the request to one target and follows it to the end.
+// try offers the request to one target and follows it to its end.
 func (k *dispatcher) try(ctx context.Context, a attempt) outcome {
 	if ctx.Err() != nil {
 		return k.contextOutcome(ctx)
@@ -34,7 +34,7 @@
 		return k.decide(&ErrRefused{Reason: chestnutstep.ReasonDown, Run: k.request.runIfUnsent()})
 	}
 	if a.clearMoved {
-		// A send that fails shows in the next receive, with the reason.
+		// A failed send shows up in the next receive, together with its cause.
 		_ = l.send(k.request.movedMessage(t.Name))
 	}
 	o := k.request.newOffer(k.entry.Clock(), a.patience)
@@ -50,9 +50,9 @@
 	return k.follow(ctx, l, down)
 }
 
-// answerTimeout is how long an agent may take to answer. The only one that may have
-// the request gets half of the time that is left, up to ownerLimit: after a
-// shorter wait the caller could only retry at the same agent, or run it again.
+// answerTimeout returns the timeout for an agent's answer to an offer. The only agent that can have
+// the request gets half of the remaining time, up to ownerTimeout: after a shorter wait the caller
+// could only retry at the same agent or have the request run again.
 func (k *dispatcher) answerTimeout(isOwner bool) time.Duration {
 	if !isOwner {
 		return offerTimeout
@@ -60,10 +60,10 @@
 	return max(offerTimeout, min(k.remaining()/2, ownerTimeout))
 }
 
-// remaining is the time until the request's deadline.
+// remaining returns the time until the request's deadline.
 func (k *dispatcher) remaining() time.Duration { return k.request.deadline.Sub(k.entry.Clock()) }
 
-// recordFailure notes that a target's agent did not answer.
+// recordFailure records that a target's agent did not answer an offer.
 func (k *dispatcher) recordFailure(t *chestnutstep.Target, startedAt time.Time, err error) {
 	now := k.entry.Clock()
 	k.entry.Hosts.RecordFailure(now, t.Host)
@@ -74,7 +74,7 @@
 	k.reportOffer(t, answer, "", now.Sub(startedAt))
 }
 
-// reportOffer passes on what became of an offer.
+// reportOffer reports the result of an offer to OnOffer.
 func (k *dispatcher) reportOffer(t *chestnutstep.Target, answer OfferAnswer, reason chestnutstep.Reason, after time.Duration) {
 	k.entry.OnOffer(Offer{
 		Request: k.request.id, Profile: k.request.profile.Name, Target: t.Name, Number: k.offerCount,
@@ -82,7 +82,8 @@
 	})
 }
 
-// sendOffer sends the offer and waits for its answer.
+// sendOffer sends the offer and waits for its answer. It returns ErrUnresponsive if the limit
+// passes.
 func (k *dispatcher) sendOffer(l *link, o *wire.Offer, limit time.Duration) (*wire.Down, error) {
 	if err := l.send(&wire.Up{Kind: &wire.Up_Offer{Offer: o}}); err != nil {
 		return nil, err
@@ -90,9 +91,9 @@
 	return l.receiveFirst(limit)
 }
 
-// handleNoAnswer decides after an offer without an answer: the body was not sent, so that
-// nothing ran. A ticket has only the one agent to go to, and a link that broke
-// is opened again; one that is silent has had its time.
+// handleNoAnswer decides what follows an offer without an answer. The body was not sent, so nothing
+// ran. A request with a ticket can go to one agent only, and a broken link to it is opened again;
+// an agent that did not answer in time is not asked again.
 func (k *dispatcher) handleNoAnswer(ctx context.Context, t *chestnutstep.Target, err error) outcome {
 	if k.request.ticket != "" && !IsErrUnresponsive(err) {
 		return k.reoffer(ctx, t)
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -1,7 +1,7 @@
 package entry
 
-// depositBudgets lets a new request pay for later steps and repeats: both are a share of
-// the traffic, so that failures never multiply it.
+// depositBudgets adds a new request's share to the budgets for failovers and retries. Both are
+// limited to a share of the traffic so that failures can't multiply it.
 func (k *dispatcher) depositBudgets() {
 	k.entry.budgetMu.Lock()
 	defer k.entry.budgetMu.Unlock()
@@ -9,14 +9,16 @@
 	k.entry.RetryBudget.Deposit(k.entry.Clock())
 }
 
-// withdrawFailover takes one step down the ranking from the budget.
+// withdrawFailover takes one failover to the next target from the budget and reports whether it was
+// available.
 func (k *dispatcher) withdrawFailover() bool {
 	k.entry.budgetMu.Lock()
 	defer k.entry.budgetMu.Unlock()
 	return k.entry.FailoverBudget.TryWithdraw(k.entry.Clock())
 }
 
-// withdrawRetry takes one repeat of what may have run from the budget.
+// withdrawRetry takes one retry of a request that may have run from the budget and reports whether
+// it was available.
 func (k *dispatcher) withdrawRetry() bool {
 	k.entry.budgetMu.Lock()
 	defer k.entry.budgetMu.Unlock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the stateless process between callers and agents. It
-// authenticates the caller, picks the profile, ranks targets for the chat,
-// offers the request down that ranking and streams the answer back. It keeps
-// nothing that a caller could miss: any other entry can take over.
+// Package entry implements the stateless process between callers and agents. It authenticates the
+// caller, selects the profile, ranks targets for the chat, offers the request to them in that order
+// and streams the answer back. It keeps no state on which a caller depends: any other entry can
+// take over.
 package entry
 
 import (
@@ -16,17 +16,17 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Links opens connections to agents.
+// Links provides connections to agents.
 type Links interface {
-	// Conn returns a connection to an agent's address; it connects when first
-	// used and closes when idle.
+	// Conn returns a connection to an agent's address. The connection is established at its first
+	// use and closed when idle.
 	Conn(addr string) (grpc.ClientConnInterface, error)
 }
 
-// Hosts takes what an entry learns of hosts from its own offers.
+// Hosts records how hosts respond to this entry's offers.
 type Hosts interface {
-	// RecordFailure says that a host did not answer; Answer that it did; Refuse that
-	// its agent said it is leaving.
+	// RecordFailure records that a host did not answer, RecordSuccess that it did, and
+	// RecordRefusal that its agent reported that it is leaving.
 	RecordFailure(now time.Time, host string)
 	RecordSuccess(now time.Time, host string)
 	RecordRefusal(now time.Time, host string)
@@ -34,30 +34,31 @@
 
 // Entry serves callers. Set the exported fields before its first request.
 type Entry struct {
-	// Name of this process, Region it stands in.
+	// Name is the name of this process, and Region the region in which it runs.
 	Name   string
 	Region string
 	// View returns the publication in force, or nil before the first one.
 	View func() *chestnutstep.View
-	// Ranker returns the ranking of a publication.
+	// Ranker returns the ranking for a publication.
 	Ranker func(*chestnutstep.View) chestnutstep.Ranker
 	Links  Links
 	Hosts  Hosts
-	// RetryBudget is the budget for what may have run; Steps for offers down the
-	// ranking after a refusal.
+	// RetryBudget limits retries of requests that may have run; FailoverBudget limits offers to
+	// further targets after a refusal.
 	RetryBudget    chestnutstep.RetryBudget
 	FailoverBudget chestnutstep.RetryBudget
-	// Detector keeps the crash suspicions; nil switches them off. Lock guards it.
+	// Detector keeps the crash suspicions; nil disables crash detection. Locker returns the lock
+	// that guards it.
 	Detector chestnutstep.Detector
-	// EntryCount returns how many entries share the callers, for rate limits.
+	// EntryCount returns the number of entries that share the callers, for rate limits.
 	EntryCount func() int
-	// MaxOpen bounds the requests in progress; 0 is no bound. Beyond it a surge
-	// would take this process's memory, and with it all answers in progress.
+	// MaxOpen is the maximum number of requests in progress; 0 means no limit. Without a limit, a
+	// surge of requests can exhaust the memory of the process and end all answers in progress.
 	MaxOpen int64
-	// Clock is time.Now, but for tests.
+	// Clock returns the current time: time.Now, except in tests.
 	Clock func() time.Time
-	// Notify is called with how each request ended, OnOffer with what became of
-	// each of its offers. They must not block.
+	// Notify is called at the end of each request, and OnOffer with the result of each of its
+	// offers. They must not block.
 	Notify  func(Notice)
 	OnOffer func(Offer)
 
@@ -68,7 +69,7 @@
 	openCount  atomic.Int64
 }
 
-// Notice is how a caller's request ended; see docs/EVENTS.md.
+// Notice describes how a caller's request ended; see docs/EVENTS.md.
 type Notice struct {
 	Request   string
 	Workspace string
@@ -78,39 +79,40 @@
 	Reason    chestnutstep.Reason
 	Run       chestnutstep.RunStatus
 	Status    int
-	// Offers is how many agents were asked, Hint what the caller hoped for.
+	// Offers is the number of offers made, and Hint the target that the caller requested.
 	Offers int
 	Hint   string
-	// Retries counts repeats of what may have run, Denied says that the budget
-	// for them was spent. Attached counts links taken up again.
+	// Retries is the number of retries of the request after it may have run, RetryDenied reports
+	// that the retry budget was exhausted, and Reattached is the number of links that were
+	// reconnected.
 	Retries     int
 	RetryDenied bool
 	Reattached  int
-	// FirstByte is the time to the first byte; zero if none came.
+	// FirstByte is the time to the first byte, zero if none was received.
 	FirstByte time.Duration
 	Total     time.Duration
 	// CachedTokens is the prompt prefix found in the target's cache, in tokens.
 	CachedTokens int64
 }
 
-// Offer is what became of one offer to an agent; see docs/EVENTS.md.
+// Offer describes the result of one offer to an agent; see docs/EVENTS.md.
 type Offer struct {
 	Request string
 	Profile string
 	Target  string
-	// Number counts the offers of the request from 1.
+	// Number is the number of the offer within the request, from 1.
 	Number int
 	Answer OfferAnswer
-	// Reason of a refusal.
+	// Reason is the reason of a refusal.
 	Reason chestnutstep.Reason
-	// After is how long the answer took, or after how long the offer was given up.
+	// After is the time until the answer, or until the offer was given up.
 	After time.Duration
 }
 
-// OfferAnswer says what became of an offer.
+// OfferAnswer is the kind of answer to an offer.
 type OfferAnswer string
 
-// The answers.
+// Kinds of answers to an offer.
 const (
 	OfferAccepted     OfferAnswer = "accept"
 	OfferRefused      OfferAnswer = "refuse"
@@ -118,15 +120,15 @@
 	OfferBroken       OfferAnswer = "broken" // the link could not be opened, or broke
 )
 
-// OpenCount is how many requests are in progress.
+// OpenCount returns the number of requests in progress.
 func (e *Entry) OpenCount() int64 { return e.openCount.Load() }
 
-// Locker guards Detector, for the gossip that feeds it.
+// Locker returns the lock that guards Detector, for the gossip that updates it.
 func (e *Entry) Locker() sync.Locker { return &e.detectorMu }
 
-// isCondemned says that content has crashed targets. An entry that saw it must not
-// wait for gossip to tell it so: its caller sends the same again at once, under
-// another name, and a third target would go down.
+// isCondemned reports whether the content has crashed too many targets. The entry consults its own
+// records instead of waiting for gossip: the caller can retry the same content at once under
+// another id and crash a third target.
 func (e *Entry) isCondemned(fingerprint uint64) bool {
 	if e.Detector == nil {
 		return false
@@ -136,7 +138,7 @@
 	return e.Detector.Check(e.Clock(), fingerprint) == chestnutstep.ContentCondemned
 }
 
-// recordCrash notes the targets that died while they ran the content.
+// recordCrash records the targets that crashed while running the content.
 func (e *Entry) recordCrash(fingerprint uint64, crashed []string) {
 	if e.Detector == nil {
 		return
@@ -147,14 +149,14 @@
 	e.Detector.Merge(now, []chestnutstep.Suspicion{{Fingerprint: fingerprint, CrashedTargets: crashed, SeenAt: now}})
 }
 
-// IsReady says whether the balancer should send callers here.
+// IsReady reports whether the load balancer should send callers to this entry.
 func (e *Entry) IsReady() bool { return !e.draining.Load() && e.View() != nil }
 
-// StartDrain makes Ready false. New requests are still served: the balancer needs
-// a moment to see it, and a refused caller gains nothing.
+// StartDrain makes IsReady return false. New requests are still served: the load balancer takes a
+// moment to notice, and refusing callers meanwhile has no benefit.
 func (e *Entry) StartDrain() { e.draining.Store(true) }
 
-// WaitIdle returns when no request is in progress or ctx ends.
+// WaitIdle returns nil when no request is in progress, or the error of ctx when it ends first.
 func (e *Entry) WaitIdle(ctx context.Context) error {
 	tick := time.NewTicker(idlePollInterval)
 	defer tick.Stop()
@@ -170,10 +172,10 @@
 
 const idlePollInterval = 50 * time.Millisecond
 
-// ticketsPath is the one path that an entry answers itself.
+// ticketsPath is the only path that the entry serves itself.
 const ticketsPath = "/chestnut/tickets"
 
-// ServeHTTP serves one caller's request.
+// ServeHTTP serves one request of a caller.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	open := e.openCount.Add(1)
 	defer e.openCount.Add(-1)
@@ -188,9 +190,9 @@
 	e.serve(w, r)
 }
 
-// unreadRefusal is the refusal of a request that could not be read. One with a ticket
-// may be a repeat of an action that runs: only the ticket's agent may say that
-// it has not.
+// unreadRefusal returns the refusal of a request that could not be read. A request with a ticket
+// can be a retry of an action that is running, so only the ticket's agent can report that it has
+// not run.
 func unreadRefusal(r *http.Request, err error) *ErrRefused {
 	ref := *asRefused(err)
 	if r.Header.Get(chestnutstep.HeaderTicket) != "" && ref.Run == chestnutstep.RunNo {
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -9,7 +9,7 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// ErrHeader is a malformed header of a caller.
+// ErrHeader reports a malformed header of a caller.
 type ErrHeader struct {
 	Name  string
 	Cause string
@@ -17,13 +17,13 @@
 
 func (e *ErrHeader) Error() string { return fmt.Sprintf("header %s %s", e.Name, e.Cause) }
 
-// IsErrHeader says whether err is an ErrHeader.
+// IsErrHeader reports whether err is an ErrHeader.
 func IsErrHeader(err error) bool {
 	var e *ErrHeader
 	return errors.As(err, &e)
 }
 
-// ErrUnresponsive says that a target's agent did not answer in time.
+// ErrUnresponsive reports that a target's agent did not answer in time.
 type ErrUnresponsive struct {
 	Target  string
 	Timeout time.Duration
@@ -33,19 +33,19 @@
 	return fmt.Sprintf("the agent of target %s did not answer within %s", e.Target, e.Timeout)
 }
 
-// IsErrUnresponsive says whether err is an ErrSilent.
+// IsErrUnresponsive reports whether err is an ErrUnresponsive.
 func IsErrUnresponsive(err error) bool {
 	var e *ErrUnresponsive
 	return errors.As(err, &e)
 }
 
-// ErrRefused is the final word on a request that got no whole answer.
+// ErrRefused is the final result of a request that got no complete answer.
 type ErrRefused struct {
 	Reason chestnutstep.Reason
 	Run    chestnutstep.RunStatus
-	// RetryAfter is when the caller may come back; zero if it should not.
+	// RetryAfter is the time after which the caller can retry, zero if it should not.
 	RetryAfter time.Duration
-	// Ticket is a fresh one, where that is what the caller needs.
+	// Ticket is a new ticket if the caller needs one to retry.
 	Ticket string
 	Detail string
 }
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("%s (run: %s) %s", e.Reason, e.Run, e.Detail)
 }
 
-// IsErrRefused says whether err is an ErrRefused.
+// IsErrRefused reports whether err is an ErrRefused.
 func IsErrRefused(err error) bool {
 	var e *ErrRefused
 	return errors.As(err, &e)
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -14,9 +14,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// FuzzHeaders reads callers' headers. Whatever they hold, the entry must not
-// fall over, must keep the time limit within the profile's, and must name the
-// header that it refuses.
+// FuzzHeaders checks that for arbitrary headers of a caller the entry doesn't panic, keeps the time
+// limit within that of the profile, and names the header that it refuses.
 func FuzzHeaders(f *testing.F) {
 	f.Add("1.5s", "chat", "hint", "key", "ticket", "keep-alive, x-a")
 	f.Add("-1s", "", "\x00", "\xff", "t:0", "")
@@ -49,9 +48,9 @@
 	})
 }
 
-// FuzzFrames plays frames that come in any order, doubled, overlapping or with
-// gaps, as after several broken links. The caller must have a prefix of the
-// answer at all times, and nothing else may be taken for the whole of it.
+// FuzzFrames writes frames in any order, duplicated, overlapping or with gaps, as after several
+// broken links. The caller must always have a prefix of the answer, and only the whole answer can
+// count as complete.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte("the whole answer"), []byte{0, 4, 4, 12, 0, 16})
 	f.Add([]byte("the whole answer"), []byte{0, 4, 8, 8, 2, 9, 11, 5})
--- a/entry/header.go
+++ b/entry/header.go
@@ -8,8 +8,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// forwardedHeaders passes on what the caller sent, but for its key, what concerns the
-// entry alone, and what belongs to the connection.
+// forwardedHeaders returns the caller's headers except its key, those meant for the entry alone,
+// and those of the connection.
 func forwardedHeaders(h http.Header) []*wire.Header {
 	var out []*wire.Header
 	connection := strings.Split(h.Get("Connection"), ",")
@@ -24,9 +24,8 @@
 	return out
 }
 
-// isForwarded says whether a header goes on to the target. connection lists those
-// that the caller's Connection header names. The body's length is set anew by
-// whoever sends it.
+// isForwarded reports whether a header is forwarded to the target. connection lists the names in
+// the caller's Connection header. Content-Length is not forwarded because each sender sets it.
 func isForwarded(name string, connection []string) bool {
 	if name == "Authorization" || name == "Content-Length" {
 		return false
--- a/entry/link.go
+++ b/entry/link.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// offerTimeout is how long an agent may take to answer an offer. It decides
-	// in microseconds; a longer silence is a frozen host or a cut, and the
-	// caller's time is better spent at the next target.
+	// offerTimeout is the timeout for an agent's answer to an offer. Agents decide within
+	// microseconds, so a longer delay means a frozen host or a broken connection, and the next
+	// target is a better use of the caller's time.
 	offerTimeout = 500 * time.Millisecond
-	// ownerTimeout is the same for the only agent that may have the request: no
-	// other target can be asked meanwhile. It gives up an offer whose body has
-	// not come for as long.
+	// ownerTimeout is the same timeout for the only agent that can have the request, as no other
+	// target can be asked meanwhile. The agent drops an offer whose body does not arrive within the
+	// same time.
 	ownerTimeout = 2 * time.Second
-	// cancelTimeout is how long an agent may take to hear that a caller gave up.
+	// cancelTimeout is the time for a cancel to reach the agent before the stream is ended.
 	cancelTimeout = time.Second
 )
 
@@ -29,14 +29,15 @@
 	stream grpc.BidiStreamingClient[wire.Up, wire.Down]
 	target *chestnutstep.Target
 	cancel context.CancelFunc
-	// openedAt is when the link was asked for.
+	// openedAt is when opening the link started.
 	openedAt time.Time
-	// mu guards the sending side of the stream.
+	// mu guards sending on the stream.
 	mu sync.Mutex
 }
 
-// openLink starts a stream within a time limit. Its life is not tied to the caller's: a cancel must
-// still reach the agent after the caller has gone.
+// openLink opens a stream to a target's agent and returns ErrUnresponsive if that takes longer than
+// limit. The stream is independent of the caller's context: a cancel must still reach the agent
+// after the caller has disconnected.
 func (e *Entry) openLink(t *chestnutstep.Target, limit time.Duration) (*link, error) {
 	conn, err := e.Links.Conn(t.Agent)
 	if err != nil {
@@ -56,9 +57,9 @@
 	return l, nil
 }
 
-// receiveFirst waits for the agent's answer to an offer, for a limited time. The error
-// is ErrSilent where that has passed, also if an answer was read right after:
-// the stream has been ended by then, and its agent has given the offer up.
+// receiveFirst waits up to limit for the agent's answer to an offer. It returns ErrUnresponsive
+// once limit has passed, also if an answer is read afterwards: the stream has been canceled by
+// then, and the agent has dropped the offer.
 func (l *link) receiveFirst(limit time.Duration) (*wire.Down, error) {
 	timer := time.AfterFunc(limit, l.cancel)
 	down, err := l.stream.Recv()
@@ -68,21 +69,23 @@
 	return down, err
 }
 
-// receive waits for the next message, until ctx ends.
+// receive waits for the next message. It sends a cancel when ctx ends.
 func (l *link) receive(ctx context.Context) (*wire.Down, error) {
 	stop := context.AfterFunc(ctx, l.sendCancel)
 	defer stop()
 	return l.stream.Recv()
 }
 
-// send is safe beside giveUp, which comes from another goroutine.
+// send sends a message. It can be called concurrently with sendCancel, which runs in another
+// goroutine.
 func (l *link) send(up *wire.Up) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stream.Send(up)
 }
 
-// closeWith sends a last word and ends the stream when it has had time to arrive.
+// closeWith sends a last message and ends the stream after cancelTimeout, so that the message can
+// arrive.
 func (l *link) closeWith(up *wire.Up) {
 	_ = l.send(up)
 	l.mu.Lock()
@@ -91,13 +94,13 @@
 	time.AfterFunc(cancelTimeout, l.cancel)
 }
 
-// sendCancel tells the agent that the caller has gone, so that the target stops at
-// once, then ends the stream.
+// sendCancel notifies the agent that the caller has disconnected, so that the target stops at once,
+// and then ends the stream.
 func (l *link) sendCancel() {
 	l.closeWith(&wire.Up{Kind: &wire.Up_Cancel{Cancel: &wire.Cancel{}}})
 }
 
-// sendBody sends the body; an empty one is one empty last piece.
+// sendBody sends the body in pieces; an empty body is sent as one empty last piece.
 func (l *link) sendBody(body []byte) error {
 	for {
 		piece := body[:min(len(body), bodyChunkSize)]
--- a/entry/link_test.go
+++ b/entry/link_test.go
@@ -11,8 +11,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// lateStream has an accept to read once its context has ended, as a process finds that was held up itself: the answer
-// and the end of its time limit both wait for it.
+// lateStream delivers an accept only after its context has ended. This happens when the process
+// itself is suspended: the answer and the timeout are then both pending when it resumes.
 type lateStream struct {
 	grpc.BidiStreamingClient[wire.Up, wire.Down]
 	ctx context.Context
@@ -24,8 +24,9 @@
 	return &wire.Down{Kind: &wire.Down_Accept{Accept: &wire.Accept{}}}, nil
 }
 
-// TestAnswerAfterTimeoutIsUnresponsive guards against an offer that counts as accepted on a link which its time limit has
-// ended: the agent has dropped it, and the caller would get "unknown" for a request that never ran.
+// TestAnswerAfterTimeoutIsUnresponsive guards against an offer that counts as accepted on a link
+// that its timeout has already ended: the agent has dropped the offer, and the caller would get
+// "unknown" for a request that never ran.
 func TestAnswerAfterTimeoutIsUnresponsive(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	l := &link{target: &chestnutstep.Target{Name: "t"}, cancel: cancel, stream: &lateStream{ctx: ctx}}
--- a/entry/moved.go
+++ b/entry/moved.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// notifyTimeout is how long a note may take to reach an agent that is slow or busy.
+	// notifyTimeout is the timeout for sending a Moved message to an agent that is slow or busy.
 	notifyTimeout = 2 * time.Second
-	// notifyWait is how long the body waits until the note is taken, so that nothing
-	// runs that is not noted. The callers of an agent that is down pay it until
-	// its host is left out of the ranking.
+	// notifyWait is how long the body is held back until the Moved message is received, so that
+	// normally no request runs unrecorded. Requests wait this long for an agent that is down until
+	// its host is excluded from the ranking.
 	notifyWait = 50 * time.Millisecond
 )
 
-// movedMessage is the note that a target runs the request.
+// movedMessage returns the Moved message, which names the target that runs the request.
 func (a *clientRequest) movedMessage(target string) *wire.Up {
 	m := &wire.Moved{Id: a.id, Workspace: a.workspace.Name, Target: target}
 	return &wire.Up{Kind: &wire.Up_Moved{Moved: m}}
 }
 
-// notifyRefused sends the note to the first agent that refused the request, and
-// returns its target, if there is one.
+// notifyRefused sends the Moved message to the first agent that refused the request and returns
+// that agent's target, or nil if there is none.
 func (k *dispatcher) notifyRefused(t *chestnutstep.Target) *chestnutstep.Target {
 	if k.refusedLink == nil || k.refusedLink.target == t {
 		return nil
@@ -39,10 +39,9 @@
 	return l.target
 }
 
-// notifyNext sends the note to the agent that is asked before or after this
-// target. The caller's retry comes through another entry when this one
-// dies, and where the target's agent is late to answer then, the next one would
-// run the request again.
+// notifyNext sends the Moved message to the agent that a retry would reach before or after this
+// target. If this entry fails, the caller retries through another one; if the target's agent is
+// then late to answer, the next agent would otherwise run the request again.
 func (k *dispatcher) notifyNext(t, notified *chestnutstep.Target) {
 	if !k.request.idFromCaller || k.request.ticket != "" {
 		return
@@ -61,17 +60,17 @@
 	}
 }
 
-// movedNotice is on its way to one agent.
+// movedNotice is a Moved message being sent to one agent.
 type movedNotice struct {
 	entry   *Entry
 	target  *chestnutstep.Target
 	message *wire.Up
-	// done is closed when the agent has taken the note, or can't be reached.
+	// done is closed when the agent has received the message or can't be reached.
 	done chan struct{}
 }
 
-// run sends the note and waits until it is taken. One that does not arrive costs
-// a second run at worst.
+// run sends the message and waits until it is received. A lost message causes a second run at
+// worst.
 func (n *movedNotice) run() {
 	defer close(n.done)
 	if err := n.send(); err != nil {
@@ -79,7 +78,7 @@
 	}
 }
 
-// send returns nil once the agent has taken the note, which ends the stream.
+// send returns nil once the agent has received the message, which ends the stream.
 func (n *movedNotice) send() error {
 	l, err := n.entry.openLink(n.target, notifyTimeout)
 	if err != nil {
@@ -98,13 +97,12 @@
 	return nil
 }
 
-// joinMoved goes where an earlier try of this request went. It offers instead
-// of attaching: a run that goes on there is joined, but one that failed is run
-// anew. Attached, a caller would get the recorded failure again and again for
-// as long as the note is kept.
+// joinMoved offers the request to the target to which an earlier attempt moved. It offers instead
+// of attaching because an offer joins a run in progress but replaces a failed one; with an attach,
+// a caller would receive the recorded failure for as long as the Moved record is kept.
 //
-// Where that target is gone, has answered that it does not have the request, or
-// stays silent, the one that gave the note takes the request over.
+// If that target is gone, reports that it doesn't have the request, or is unresponsive, the target
+// that returned the Moved record takes over the request.
 func (k *dispatcher) joinMoved(ctx context.Context, from *chestnutstep.Target, name string) outcome {
 	t := k.request.view.Targets[name]
 	canAsk := t != nil && !slices.Contains(k.excluded, name)
@@ -125,10 +123,10 @@
 	return k.try(ctx, attempt{target: from, clearMoved: true})
 }
 
-// exclude adds a target to those that are not asked again who runs the request.
+// exclude adds a target to those that are not asked again for a run of the request.
 func (k *dispatcher) exclude(target string) { k.excluded = append(k.excluded, target) }
 
-// mayRunElsewhere decides on a request whose target is noted and can't be asked.
+// mayRunElsewhere decides on a request that is recorded at a target that can't be asked.
 func (k *dispatcher) mayRunElsewhere() outcome {
 	return k.decide(&ErrRefused{Reason: chestnutstep.ReasonMoved, Run: chestnutstep.RunMaybe})
 }
--- a/entry/moved_test.go
+++ b/entry/moved_test.go
@@ -13,8 +13,9 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// retryThroughOtherEntry serves a request at the target that is asked first, which changes then as the test wants, and sends it again
-// through another entry. It returns what became of the offers of the repeat.
+// retryThroughOtherEntry serves a request, applies change to the cluster and the target that served
+// it, and sends the request again through another entry. It returns the results of the retry's
+// offers.
 func retryThroughOtherEntry(t *testing.T, change func(p *cluster, first string)) string {
 	t.Helper()
 	p := newCluster(t)
@@ -33,7 +34,7 @@
 		if p.hasMovedNotice("id", first) {
 			return poll.Success()
 		}
-		return poll.Continue("no agent has the note")
+		return poll.Continue("no agent has recorded the moved request")
 	})
 	change(p, first)
 	rs, body = p.send(2, "/v1/chat", `{"prompt":1,"output":1}`, ask...)
@@ -51,7 +52,8 @@
 	return strings.Join(list, ", ")
 }
 
-// TestUnresponsiveOwnerTimesOut guards against callers who wait for a frozen host because an earlier try ran there.
+// TestUnresponsiveOwnerTimesOut guards against callers that wait for a frozen host because an
+// earlier attempt ran there.
 func TestUnresponsiveOwnerTimesOut(t *testing.T) {
 	got := retryThroughOtherEntry(t, func(p *cluster, first string) {
 		for i := range p.pub.Targets {
@@ -64,7 +66,8 @@
 	assert.Equal(t, got, "first silent, next refuse moved, first silent, next accept")
 }
 
-// TestRemovedTargetIsNotAsked guards against a note that outlives its target.
+// TestRemovedTargetIsNotAsked guards against offers to a removed target that a Moved record still
+// names.
 func TestRemovedTargetIsNotAsked(t *testing.T) {
 	got := retryThroughOtherEntry(t, func(p *cluster, first string) {
 		for i := range p.pub.Targets {
@@ -78,8 +81,9 @@
 	assert.Equal(t, got, "next refuse moved, next accept")
 }
 
-// TestRepeatIsJoinedAtItsOwner guards against a second run at the target that is asked first because another is out.
-func TestRepeatIsJoinedAtItsOwner(t *testing.T) {
+// TestRetryJoinsRunAtOwner guards against a second run of a request whose target was taken out
+// of service, so that the retry reaches another target first.
+func TestRetryJoinsRunAtOwner(t *testing.T) {
 	got := retryThroughOtherEntry(t, func(p *cluster, first string) {
 		for i := range p.pub.Targets {
 			p.pub.Targets[i].Out = p.pub.Targets[i].Name == first
--- a/entry/offer_test.go
+++ b/entry/offer_test.go
@@ -14,7 +14,7 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// offerRecorder collects what becomes of an entry's offers.
+// offerRecorder collects the results of an entry's offers.
 type offerRecorder struct {
 	mu   sync.Mutex
 	list []Offer
@@ -26,7 +26,7 @@
 	o.list = append(o.list, one)
 }
 
-// unresponsiveAgent takes offers and never answers.
+// unresponsiveAgent accepts streams and never answers an offer.
 type unresponsiveAgent struct{ wire.UnimplementedAgentServer }
 
 func (unresponsiveAgent) Run(st grpc.BidiStreamingServer[wire.Up, wire.Down]) error {
@@ -45,8 +45,8 @@
 	return l.Addr().String()
 }
 
-// TestOffersAreReported guards against a request whose path can't be told from the log: which agent was asked, what it
-// said, and after how long the next one was.
+// TestOffersAreReported guards against a request whose path can't be reconstructed from the log:
+// which agents were asked, their answers, and the time until the next one was asked.
 func TestOffersAreReported(t *testing.T) {
 	p := newCluster(t)
 	p.addAgent("label-2", "label", &fake.Engine{})
--- a/entry/step.go
+++ b/entry/outcome.go
@@ -9,15 +9,16 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// outcome is what one try led to.
+// outcome is the result of one attempt.
 type outcome struct {
-	// done says that the walk is over; otherwise it goes on down the ranking.
+	// done is set if no further target is tried.
 	done bool
-	// err is the final word; nil with done means a whole answer.
+	// err is the final result; nil with done set means a complete answer.
 	err *ErrRefused
 }
 
-// finalError turns a nil *ErrRefused into a nil error, which it is not by itself.
+// finalError converts a nil *ErrRefused to a nil error; without it, the error interface would be
+// non-nil.
 func (s outcome) finalError() error {
 	if s.err == nil {
 		return nil
@@ -25,7 +26,7 @@
 	return s.err
 }
 
-// handleRefusal acts on a refusal: the request has not run at this target.
+// handleRefusal handles a refusal: the request has not run at this target.
 func (k *dispatcher) handleRefusal(ctx context.Context, l *link, r *wire.Refuse) outcome {
 	k.keepRefusedLink(l)
 	if r.Moved != "" {
@@ -50,12 +51,12 @@
 	return k.decide(ref)
 }
 
-// mayQueue says that a refusal for this reason may turn by waiting in a queue.
+// mayQueue reports whether a request refused for this reason can succeed by waiting in a queue.
 func mayQueue(r chestnutstep.Reason) bool {
 	return r == chestnutstep.ReasonFull || r == chestnutstep.ReasonCold
 }
 
-// handleBroken acts on an answer that did not become whole.
+// handleBroken handles an answer that ended incomplete.
 func (k *dispatcher) handleBroken(ctx context.Context, b *wire.Broken) outcome {
 	if ctx.Err() != nil {
 		return k.contextOutcome(ctx)
@@ -75,8 +76,9 @@
 	return k.decide(ref)
 }
 
-// recordCrash takes note of a target that died while it ran the request. One whose
-// agent condemned the content has crashed on it before, unseen by this entry.
+// recordCrash records a target that crashed while it ran the request. If the target's agent
+// condemned the content, it has crashed on the content before, which this entry did not see, and
+// counts twice.
 func (k *dispatcher) recordCrash(reason chestnutstep.Reason) {
 	switch reason {
 	case chestnutstep.ReasonCondemned:
@@ -89,7 +91,8 @@
 	k.entry.recordCrash(k.request.fingerprint, k.crashedTargets)
 }
 
-// decide says how the walk goes on after a refusal or a break.
+// decide returns whether the request continues with another target after a refusal or a broken
+// answer.
 func (k *dispatcher) decide(ref *ErrRefused) outcome {
 	k.lastRefusal = ref
 	if ref.RetryAfter > 0 && (k.retryAfter == 0 || ref.RetryAfter < k.retryAfter) {
@@ -99,7 +102,7 @@
 		k.mayHaveRun = true
 	}
 	if k.output.started {
-		// The caller has bytes of this answer; another run would give others.
+		// The caller has part of this answer, and another run would produce a different one.
 		return outcome{done: true, err: ref}
 	}
 	v := retry.Decide(ref.Reason, ref.Run, !k.request.profile.RequiresTicket)
@@ -109,14 +112,14 @@
 	return outcome{done: true, err: k.finalRefusal().(*ErrRefused)}
 }
 
-// finalRefusal is the final word after all tries.
+// finalRefusal returns the final result after all attempts.
 func (k *dispatcher) finalRefusal() error {
 	err := k.lastRefusal
 	if err == nil {
 		err = &ErrRefused{Reason: chestnutstep.ReasonTarget, Run: k.request.runIfUnsent()}
 	}
-	// A ticketed request's "no" comes from the agent that holds its tombstone,
-	// and is final whatever was unclear before.
+	// For a request with a ticket, "not run" comes from the agent that holds its tombstone, and is
+	// final even if an earlier attempt had an unknown outcome.
 	if k.mayHaveRun && err.Run == chestnutstep.RunNo && k.request.ticket == "" {
 		err.Run = chestnutstep.RunMaybe
 	}
@@ -129,7 +132,7 @@
 	return err
 }
 
-// contextOutcome is the final word when the time limit passed or the caller left.
+// contextOutcome returns the final result after the time limit passed or the caller disconnected.
 func (k *dispatcher) contextOutcome(ctx context.Context) outcome {
 	reason := chestnutstep.ReasonTimeout
 	if ctx.Err() == context.Canceled {
--- a/entry/output.go
+++ b/entry/output.go
@@ -12,19 +12,18 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// output writes one answer to the caller and knows how far it got, so that a
-// new link goes on at the right byte and nothing short ever looks whole.
+// output writes one answer to the caller and tracks its progress, so that a new link resumes at the
+// right byte and a partial answer never appears complete.
 type output struct {
 	w       http.ResponseWriter
 	request *clientRequest
 	clock   func() time.Time
 
-	// started is set with the first byte to the caller; from then on the
-	// status can't be changed any more.
+	// started is set with the first byte to the caller; the status can't be changed afterwards.
 	started bool
 	status  int
-	// isEventStream says that the answer is an event stream, and inLine that its last
-	// byte did not end a line.
+	// isEventStream is set if the answer is an event stream, and midLine if its last byte did not
+	// end a line.
 	isEventStream bool
 	midLine       bool
 	offset        int64
@@ -33,8 +32,8 @@
 	cachedTokens  int64
 }
 
-// writeHead sends status and headers, once. A second head with another status
-// belongs to another answer and is refused.
+// writeHead sends status and headers to the caller once. For a further head it reports whether the
+// status is the same; another status belongs to another answer.
 func (o *output) writeHead(h *wire.Head, target string) bool {
 	if o.started {
 		return int(h.Status) == o.status
@@ -56,8 +55,8 @@
 	return true
 }
 
-// writeFrame passes on the part of a frame that the caller lacks; false means that
-// bytes in between are missing.
+// writeFrame writes the part of a frame that the caller doesn't have yet. It returns false if bytes
+// before the frame are missing, and the error of a failed write to the caller.
 func (o *output) writeFrame(f *wire.Frame) (bool, error) {
 	if !o.started || f.Offset > o.offset {
 		return false, nil
@@ -77,7 +76,7 @@
 	return true, nil
 }
 
-// isComplete says that all bytes of the answer, and no others, reached the caller.
+// isComplete reports whether exactly the bytes of the whole answer have been written.
 func (o *output) isComplete(l *wire.Last) bool {
 	return o.started && l.Total == o.offset && l.Sum == o.digest.Sum64()
 }
@@ -86,16 +85,15 @@
 	_ = http.NewResponseController(o.w).Flush()
 }
 
-// abort breaks the connection so that the caller sees that the answer is not
-// whole. An event stream says why first, as its reader may not look at errors
-// of the connection.
+// abort closes the connection so that the caller detects the incomplete answer. On an event stream
+// it first writes an error event, as readers of a stream may ignore connection errors.
 func (o *output) abort(err error) {
 	if o.isEventStream {
 		ref := asRefused(err)
 		data, _ := json.Marshal(problem{Code: string(ref.Reason), Run: string(ref.Run), Title: "answer broken off"})
 		if o.midLine {
-			// Only the line ends here, not its event: what stands there becomes
-			// part of the error, and half a token is never read as a whole one.
+			// End only the line, not the event: the partial event becomes part of the error event,
+			// so that half a token is never read as a whole one.
 			_, _ = o.w.Write([]byte("\n"))
 		}
 		_, _ = o.w.Write([]byte("event: error\ndata: " + string(data) + "\n\n"))
--- a/entry/output_test.go
+++ b/entry/output_test.go
@@ -12,8 +12,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// TestAbortWritesErrorEvent guards against an event stream that begins with an empty event: readers that
-// take the first event for the answer's own see another's answer.
+// TestAbortWritesErrorEvent guards against an event stream that begins with an empty event: readers
+// that take the first event for the first part of the answer would misread it.
 func TestAbortWritesErrorEvent(t *testing.T) {
 	for _, c := range []struct{ name, data, want string }{
 		{"nothing sent", "", "event: error\n"},
@@ -34,7 +34,7 @@
 	}
 }
 
-// abortCause breaks the answer off and returns what the handler panics with.
+// abortCause aborts the answer and returns the value with which the handler panics.
 func abortCause(o *output) (cause any) {
 	defer func() { cause = recover() }()
 	o.abort(&ErrRefused{Reason: "short", Run: "yes"})
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -32,8 +32,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// cluster is one engine and one service with their agents, and two entries, in
-// one process over real sockets.
+// cluster is one engine and one service with their agents, and two entries, in one process over
+// real sockets.
 type cluster struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -45,9 +45,9 @@
 	agents  []*agent.Agent
 	targets []string
 	entries []*httptest.Server
-	// movedNotices are the notes that agents took, each a request and its target.
+	// movedNotices lists the Moved records of the agents, each as a request and its target.
 	movedNotices []string
-	// onOffer is that of the entries that are added from now on.
+	// onOffer is the OnOffer callback of entries added afterwards.
 	onOffer func(Offer)
 }
 
@@ -148,7 +148,7 @@
 	p.movedNotices = append(p.movedNotices, n.Subject+" at "+n.After)
 }
 
-// hasMovedNotice says whether an agent has noted the target that runs a request.
+// hasMovedNotice reports whether an agent has recorded the target that runs a request.
 func (p *cluster) hasMovedNotice(id, target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,7 +183,7 @@
 	return rs, string(b)
 }
 
-func TestPath(t *testing.T) {
+func TestRequestIsServed(t *testing.T) {
 	p := newCluster(t)
 	rs, body := p.send(0, "/v1/chat", `{"prompt":10,"output":5}`, chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c1")
 	assert.Equal(t, rs.StatusCode, 200, body)
@@ -192,8 +192,8 @@
 	assert.Assert(t, strings.Contains(body, "event: done"), body)
 }
 
-// A caller books, the answer is lost, and the caller sends the booking again
-// through another entry. Without tickets the slot would be booked twice.
+// TestTicketRunsOnce guards against a double booking. A caller books, loses the answer and sends
+// the booking again through another entry; without tickets it would run twice.
 func TestTicketRunsOnce(t *testing.T) {
 	p := newCluster(t)
 	book := []string{chestnutstep.HeaderProfile, "book"}
@@ -209,9 +209,9 @@
 	assert.Equal(t, strings.Contains(body1, `"times":1`), true, body1)
 }
 
-// A request crashes each engine that runs it, and its caller sends it again at
-// once under another name, before the agents have told each other. Each try
-// would take down one more engine, and with it the answers of everyone there.
+// TestCondemnedContentIsRefusedAtOnce guards against a request that crashes engine after engine.
+// Its caller retries it at once under another id, before gossip has reached all agents, and each
+// attempt would crash one more engine with all answers in progress there.
 func TestCondemnedContentIsRefusedAtOnce(t *testing.T) {
 	p := newCluster(t)
 	e := p.entries[0].Config.Handler.(*Entry)
@@ -228,8 +228,8 @@
 	assert.Equal(t, rs.StatusCode, 200, text)
 }
 
-// The same name and text in another chat is another question: its caller would
-// read the answer of the first.
+// TestSameKeyInAnotherChatDoesNotJoin guards against a caller that receives the answer of another
+// chat. The same key and body in another chat are a different request.
 func TestSameKeyInAnotherChatDoesNotJoin(t *testing.T) {
 	p := newCluster(t)
 	ask := []string{chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderIdempotencyKey, "k1", chestnutstep.HeaderChat}
@@ -239,14 +239,14 @@
 	assert.Equal(t, rs.StatusCode, 409, text)
 }
 
-// Operators take a target out while a chat pauses. Its next request goes to
-// another target; without the hand-over that one reads the whole history again,
-// and the member waits for it.
-func TestLeavingTargetHandsItsChatsOver(t *testing.T) {
+// TestLeavingTargetMigratesChats guards against a chat whose whole history is prefilled again
+// after operators take its target out of service. Its next request goes to another target, which
+// must have received the KV cache.
+func TestLeavingTargetMigratesChats(t *testing.T) {
 	p := newCluster(t)
 	other := &fake.Engine{}
 	p.addAgent("label-2", "label", other)
-	// Reading 4,000 tokens again takes 4 s by publication, moving them far less.
+	// Prefilling 4,000 tokens takes 4 s at the published rate, moving them far less.
 	p.pub.Models[0].PrefillRate, p.pub.Models[0].CacheBytesPerToken = 1000, 64
 	p.pub.Budget.ExportRate = 100 << 20
 	p.publish()
@@ -262,8 +262,8 @@
 	assert.Equal(t, rs.Header.Get(chestnutstep.HeaderCachedTokens), "4005")
 }
 
-// toggleTarget publishes the target in and out of service until its engine's late
-// cache events have told its agent of the chat, and the other has taken it.
+// toggleTarget publishes the target alternately in and out of service until its engine's delayed
+// cache events have listed the chat at its agent and the other engine has received the chat.
 func (p *cluster) toggleTarget(name string, next *fake.Engine) poll.Result {
 	for i := range p.pub.Targets {
 		if t := &p.pub.Targets[i]; t.Name == name {
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -13,8 +13,8 @@
 	"chestnutstep.example/chestnutstep/retry"
 )
 
-// problem is the body of a refusal: application/problem+json with a stable
-// code, so that callers never parse prose.
+// problem is the body of a refusal: application/problem+json with a stable code, so that callers
+// need not parse text.
 type problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -25,9 +25,8 @@
 	Ticket string `json:"ticket,omitempty"`
 }
 
-// writeRefusal gives the final answer at once, with when to come back. Holding it
-// back until the caller's deadline would only keep the caller from asking
-// where there is room.
+// writeRefusal sends the final answer at once, with the time after which to retry. Delaying it
+// until the caller's deadline would only keep the caller from retrying where there is capacity.
 func (e *Entry) writeRefusal(w http.ResponseWriter, err error, n Notice) {
 	ref := asRefused(err)
 	ans := retry.ReplyFor(ref.Reason)
@@ -55,7 +54,7 @@
 	e.Notify(n)
 }
 
-// asRefused turns any error into the final word on a request.
+// asRefused converts any error to the final result of a request.
 func asRefused(err error) *ErrRefused {
 	var ref *ErrRefused
 	if errors.As(err, &ref) {
@@ -68,7 +67,8 @@
 	return &ErrRefused{Reason: chestnutstep.ReasonUnknown, Run: chestnutstep.RunMaybe, Detail: err.Error()}
 }
 
-// retryAfterSeconds rounds up: a caller that comes back early is refused again.
+// retryAfterSeconds rounds up to whole seconds, as a caller that retries too early is refused
+// again.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/entry/rate.go
+++ b/entry/rate.go
@@ -7,15 +7,15 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// rateTolerance is how much more than its even share of a workspace's rate one entry
-// allows: the balancer does not spread callers evenly, and a workspace must
-// not be refused below its rate. The fleet lets in at most this multiple.
+// rateTolerance is the ratio of the rate that one entry allows to its even share of a workspace's
+// rate. The load balancer doesn't distribute callers evenly, and a workspace must not be refused
+// below its rate. The fleet as a whole admits at most this multiple of the rate.
 const rateTolerance = 1.25
 
-// rateLimiter holds a token bucket for each workspace that was seen here. It answers
-// a workspace that surges: without it, its requests fill the queues at every
-// target before the queues' fairness can hold them back. Nobody writes shared
-// state, so each entry allows its share: rate over the number of entries.
+// rateLimiter holds a token bucket for each workspace with requests at this entry. It limits a
+// workspace whose requests surge: they would otherwise fill the queues at every target before the
+// queues' fairness takes effect. The entries share no state, so each allows its share: the rate
+// divided by the number of entries.
 type rateLimiter struct {
 	mu      sync.Mutex
 	buckets map[string]*tokenBucket
@@ -26,7 +26,8 @@
 	updatedAt time.Time
 }
 
-// take returns zero when the request may pass, or when to come back.
+// take takes one token. It returns zero if the request is admitted, or the time after which to
+// retry.
 func (s *rateLimiter) take(now time.Time, ws *chestnutstep.Workspace, entries int) time.Duration {
 	if ws.Rate <= 0 {
 		return 0
--- a/entry/ask.go
+++ b/entry/request.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// bodyChunkSize is one message of a body.
+	// bodyChunkSize is the size in bytes of one body message.
 	bodyChunkSize = 64 << 10
-	// maxNameLen bounds ids and names in headers: they are keys in memory.
+	// maxNameLen is the maximum length in bytes of ids and names in headers, which are used as keys
+	// in memory.
 	maxNameLen = 256
-	// bytesPerToken turns the size of a prompt into estimated work; the usual
-	// rule of thumb for text.
+	// bytesPerToken converts the size of a prompt to estimated work; the usual estimate for text.
 	bytesPerToken = 4
 )
 
-// clientRequest is a caller's request, read and checked.
+// clientRequest is a caller's request after parsing and validation.
 type clientRequest struct {
 	view      *chestnutstep.View
 	workspace *chestnutstep.Workspace
 	profile   *chestnutstep.Profile
 	id        string
-	// idFromCaller says that the caller gave the id: it may come again under it.
+	// idFromCaller is set if the caller chose the id, so that a retry can arrive with the same id.
 	idFromCaller bool
 	chat         string
 	hint         string
@@ -40,11 +40,12 @@
 	deadline     time.Time
 	body         []byte
 	httpRequest  *http.Request
-	// fingerprint names the content, for crash suspicion.
+	// fingerprint identifies the content for crash detection.
 	fingerprint uint64
 }
 
-// readRequest checks a request as far as this process can.
+// readRequest parses and validates a request. It returns an ErrRefused or ErrHeader if the request
+// can't be offered to any target.
 func (e *Entry) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	v := e.View()
 	if v == nil {
@@ -70,8 +71,8 @@
 	return a, a.readBody(w)
 }
 
-// runIfUnsent is what an entry may say of a request that it did not pass on. A
-// ticketed one may run by an earlier repeat; only its agent knows.
+// runIfUnsent returns the run status of a request that this entry did not forward. A request with a
+// ticket can be running because of an earlier attempt, which only the ticket's agent can determine.
 func (a *clientRequest) runIfUnsent() chestnutstep.RunStatus {
 	if a.ticket != "" {
 		return chestnutstep.RunMaybe
@@ -144,7 +145,8 @@
 }
 
 func (a *clientRequest) readBody(w http.ResponseWriter) error {
-	// A caller that stops sending in mid-body would hold memory here for ever.
+	// Without a deadline, a caller that stops sending within the body would occupy memory
+	// indefinitely.
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(a.deadline)
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
@@ -162,9 +164,9 @@
 	return nil
 }
 
-// newOffer builds the message for an agent. The body never goes along: it follows
-// the accept, so that an agent whose accept is lost, or that wakes late and finds
-// an old offer with its whole time limit left, has nothing to run.
+// newOffer builds the offer to an agent. The body is never included; it is sent after the accept.
+// An agent whose accept is lost, or that resumes late and finds an old offer with its whole time
+// limit left, therefore has nothing to run.
 func (a *clientRequest) newOffer(now time.Time, patience time.Duration) *wire.Offer {
 	class, _ := chestnutstep.ParseClass(a.profile.Class)
 	return &wire.Offer{
@@ -189,7 +191,7 @@
 	}
 }
 
-// place is what the ranking needs. A request without a chat spreads by its id.
+// place returns the ranking query. A request without a chat is distributed by its id.
 func (a *clientRequest) place(region string) chestnutstep.RankQuery {
 	chat := a.chat
 	if chat == "" {
--- a/entry/size_test.go
+++ b/entry/size_test.go
@@ -14,8 +14,8 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// BenchmarkOffer builds the offer of a short question with a browser's headers
-// and counts its bytes: what each step down the ranking costs, but for framing.
+// BenchmarkOffer measures the size in bytes of the offer of a short prompt with a browser's
+// headers, which is the cost of each attempt without framing.
 func BenchmarkOffer(b *testing.B) {
 	v := chestnutstep.NewView(fake.Planned.Publication(1))
 	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(""))
--- a/entry/status_test.go
+++ b/entry/status_test.go
@@ -12,8 +12,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// What callers are told when a request can't be served: a status, a stable
-// code, whether it ran, and when to come back where that makes sense.
+// TestRefusals guards against refusals without a status, a stable code, the run status and, where a
+// retry makes sense, the time to wait.
 func TestRefusals(t *testing.T) {
 	p := newCluster(t)
 	p.pub.Profiles = append(p.pub.Profiles,
@@ -62,9 +62,10 @@
 	}
 }
 
-// A caller repeats a booking that runs, and the repeat lacks a header or comes
-// with a key that was just withdrawn. Told "not run", it would book again.
-func TestEntryNeverSaysNotRunOfATicket(t *testing.T) {
+// TestUnreadTicketRequestIsNotReportedNotRun guards against "not run" for a booking that is running. It
+// comes about when a caller retries the booking and the retry lacks a header or has a revoked key;
+// with "not run", the caller would book again.
+func TestUnreadTicketRequestIsNotReportedNotRun(t *testing.T) {
 	p := newCluster(t)
 	for _, headers := range [][]string{
 		{"Authorization", "Bearer nobody", chestnutstep.HeaderProfile, "book"},
@@ -78,8 +79,8 @@
 	}
 }
 
-// An engine hangs. The caller's own time limit ends the wait, and the answer
-// says that the request may have run.
+// TestTimeLimit guards against a caller that waits beyond its own time limit for an engine that
+// hangs, and against "not run" in the answer although the engine may have run the request.
 func TestTimeLimit(t *testing.T) {
 	p := newCluster(t)
 	rs, err := http.Post(p.targets[0]+"/control/fault", "application/json", strings.NewReader(`{"hang": true}`))
@@ -92,9 +93,9 @@
 	assert.Assert(t, rs.Header.Get("Retry-After") != "")
 }
 
-// An engine closes its connection cleanly in mid-answer. To HTTP that looks like
-// the end; the caller must see that it is not the whole answer, and why.
-func TestShortStreamLooksBroken(t *testing.T) {
+// TestShortStreamIsAborted guards against a partial answer that appears complete. An engine
+// closes its connection cleanly within the answer, which in HTTP looks like its end.
+func TestShortStreamIsAborted(t *testing.T) {
 	p := newCluster(t)
 	rs, err := http.Post(p.targets[0]+"/control/fault", "application/json", strings.NewReader(`{"short": 3}`))
 	assert.NilError(t, err)
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxTicketCount bounds one batch.
+	// maxTicketCount is the maximum number of tickets in one batch.
 	maxTicketCount = 1000
-	// maxTicketBody bounds the request for tickets in bytes.
+	// maxTicketBody is the maximum size in bytes of the body of a request for tickets.
 	maxTicketBody = 4 << 10
 )
 
@@ -23,12 +23,12 @@
 	Count   int    `json:"count"`
 }
 
-// ticketsReply is its answer.
+// ticketsReply is the body of the answer to a ticketsRequest.
 type ticketsReply struct {
 	Tickets []string `json:"tickets"`
 }
 
-// serveTickets hands out tickets for non-idempotent requests.
+// serveTickets serves a request for tickets, which non-idempotent requests need.
 func (e *Entry) serveTickets(w http.ResponseWriter, r *http.Request) {
 	tickets, err := e.issueTickets(w, r)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return in, p, nil
 }
 
-// mintAtTargets asks the targets in the order of their ranking. A batch is spread by
-// its random id, so that one target does not get all actions.
+// mintAtTargets requests the tickets from the targets in the order of their ranking. The batch's
+// random id spreads batches over targets, so that no target gets all actions.
 func (e *Entry) mintAtTargets(ctx context.Context, a *clientRequest, count int) ([]string, error) {
 	targets := e.Ranker(a.view).Rank(nil, a.place(e.Region), max(a.profile.MaxAttempts, 1))
 	for _, t := range targets {
--- a/entry/walk.go
+++ b/entry/walk.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxTries bounds the targets of one request whatever the profile says.
+	// maxTries is the maximum number of offers of one request, regardless of the profile.
 	maxTries = 8
-	// maxCrashes is how many targets one request may take down. One crash may
-	// be chance; a second one right after is the request's doing, and a third
+	// maxCrashes is the number of targets that one request can crash before it is condemned. One
+	// crash can be a coincidence; a second one right after it is caused by the request, and a third
 	// target would follow.
 	maxCrashes = 2
 )
 
-// dispatcher takes one request down the ranking until it is served or given up.
+// dispatcher offers one request to the ranked targets until it is served or given up.
 type dispatcher struct {
 	entry   *Entry
 	request *clientRequest
@@ -27,34 +27,34 @@
 
 	targets    []*chestnutstep.Target
 	offerCount int
-	// retries counts repeats out of the budget, denied says that it was spent;
-	// attached counts links taken up again.
+	// retries is the number of retries taken from the budget, retryDenied is set if the budget was
+	// exhausted, and reattached is the number of links that were reconnected.
 	retries     int
 	retryDenied bool
 	reattached  int
-	// reofferCount counts the offers of a ticketed request that got no answer.
+	// reofferCount is the number of repeated offers of a request with a ticket.
 	reofferCount int
-	// refusedLink is the open link of the first target that refused, to be told
-	// where the request went.
+	// refusedLink is the open link to the first target that refused. It is used to send the Moved
+	// message.
 	refusedLink *link
-	// retryAfter is the earliest that any agent said to come back.
+	// retryAfter is the shortest time after which an agent allows a retry.
 	retryAfter  time.Duration
 	lastRefusal *ErrRefused
 	// mayHaveRun is set once a target may have run the request without an answer.
 	mayHaveRun bool
 	servedBy   string
-	// queueTarget is the first target whose refusal waiting may mend.
+	// queueTarget is the first target whose refusal can be resolved by waiting in its queue.
 	queueTarget *chestnutstep.Target
-	// crashedTargets lists the targets that died while they ran the request.
+	// crashedTargets lists the targets that crashed while they ran the request.
 	crashedTargets []string
-	// cacheSource is the agent that holds the chat's KV cache and refused.
+	// cacheSource is the agent that holds the chat's KV cache and refused the request.
 	cacheSource string
-	// excluded lists the targets that are not asked again who runs the request:
-	// they don't have it, or their agent was silent for as long as it may be.
+	// excluded lists the targets that are not asked again for a run of the request: they don't have
+	// it, or their agents were unresponsive until the timeout.
 	excluded []string
 }
 
-// run serves the request, or returns the final word on it.
+// run serves the request. A non-nil error is its final result.
 func (k *dispatcher) run(ctx context.Context) error {
 	defer k.closeRefusedLink()
 	err := k.serve(ctx)
@@ -64,7 +64,7 @@
 	return err
 }
 
-// serve takes the request down the ranking.
+// serve offers the request to the targets in the order of their ranking.
 func (k *dispatcher) serve(ctx context.Context) error {
 	if k.entry.isCondemned(k.request.fingerprint) {
 		return &ErrRefused{Reason: chestnutstep.ReasonCondemned, Run: k.request.runIfUnsent()}
@@ -89,8 +89,8 @@
 	return k.queueAtTarget(ctx)
 }
 
-// rank orders the targets for the chat: the hinted one first, but for the part
-// of a displaced chat's requests that take it home.
+// rank orders the targets for the chat. The hinted target comes first, except for the share of a
+// displaced chat's requests that return to its home target.
 func (k *dispatcher) rank() {
 	ranker := k.entry.Ranker(k.request.view)
 	n := min(max(k.request.profile.MaxAttempts, 1), maxTries)
@@ -103,14 +103,14 @@
 	place.Hint = ""
 	home := ranker.Rank(make([]*chestnutstep.Target, 0, n), place, n)
 	if hinted.Name == k.request.hint && route.ReturnsHome(home[0], k.request.hint, k.request.id) {
-		// The home imports the chat's KV cache from where it was.
+		// The home target imports the chat's KV cache from the hinted target.
 		k.targets = home
 		k.cacheSource = hinted.Agent
 	}
 }
 
-// patience lets a request wait at its first target, where its prompt prefix
-// is; down the ranking there is nothing to wait for.
+// patience returns the time for which the request can wait in a target's queue. Only the first
+// target has the prompt prefix in its cache, so waiting at the others has no benefit.
 func (k *dispatcher) patience(i int) time.Duration {
 	if i > 0 {
 		return 0
@@ -118,9 +118,9 @@
 	return k.request.profile.Patience.Std()
 }
 
-// queueAtTarget is the last resort when all targets that were asked are full: the
-// request queues at the first of them for as long as it has. Its queue decides
-// by class and workspace who goes first, which is the point of saturation.
+// queueAtTarget is the last resort if all targets that were asked are full: the request waits in
+// the queue of the first of them until its deadline. The queue orders requests by class and
+// workspace, which is required under saturation.
 func (k *dispatcher) queueAtTarget(ctx context.Context) error {
 	if k.queueTarget == nil || k.mayHaveRun {
 		return k.finalRefusal()
@@ -164,8 +164,8 @@
 	}
 }
 
-// handleAccept sends the body, which lets the agent start, and notes at another
-// target where the request is.
+// handleAccept sends the body, which lets the agent start, and first records at another target
+// where the request runs.
 func (k *dispatcher) handleAccept(l *link, acc *wire.Accept) outcome {
 	k.servedBy = l.target.Name
 	notified := k.notifyRefused(l.target)
@@ -173,12 +173,12 @@
 		return outcome{}
 	}
 	k.notifyNext(l.target, notified)
-	// A send that fails shows in the next receive, with the reason.
+	// A failed send shows up in the next receive, together with its cause.
 	_ = l.sendBody(k.request.body)
 	return outcome{}
 }
 
-// forward hands a piece of the answer to the caller.
+// forward passes a piece of the answer to the caller.
 func (k *dispatcher) forward(l *link, down *wire.Down) outcome {
 	switch d := down.Kind.(type) {
 	case *wire.Down_Head:
@@ -197,13 +197,13 @@
 	return outcome{}
 }
 
-// abort ends the request in mid-answer.
+// abort ends the request within its answer.
 func (k *dispatcher) abort(l *link, reason chestnutstep.Reason) outcome {
 	l.sendCancel()
 	return outcome{done: true, err: &ErrRefused{Reason: reason, Run: chestnutstep.RunYes}}
 }
 
-// finish ends the walk, if what the caller got is the whole answer.
+// finish ends the request; it is served only if the caller received the whole answer.
 func (k *dispatcher) finish(last *wire.Last) outcome {
 	if !k.output.isComplete(last) {
 		return outcome{done: true, err: &ErrRefused{Reason: chestnutstep.ReasonShort, Run: chestnutstep.RunYes}}
@@ -211,7 +211,7 @@
 	return outcome{done: true}
 }
 
-// runTicket takes a ticketed request to the one agent that may run it.
+// runTicket offers a request with a ticket to the only agent that can run it.
 func (k *dispatcher) runTicket(ctx context.Context) error {
 	name, ok := ticket.Target(k.request.ticket)
 	t := k.request.view.Targets[name]
--- a/entry/warn.go
+++ b/entry/warn.go
@@ -6,10 +6,10 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// warnAgents reports the targets that this content has crashed to the agents that rank
-// for it, before its caller gets the final answer. The caller's retry goes to the same
-// agents through whatever entry, often at once, and gossip takes a second. The
-// warning is an offer without time or body, which never runs.
+// warnAgents reports the targets that this content has crashed to the agents that rank for it,
+// before its caller gets the final answer. The caller's retry reaches the same agents through any
+// entry, often at once, while gossip takes a second. The warning is an offer without remaining time
+// or body, which never runs.
 func (k *dispatcher) warnAgents() {
 	var wg sync.WaitGroup
 	for _, t := range k.targets {
@@ -19,8 +19,8 @@
 	wg.Wait()
 }
 
-// crashWarning is one agent's. They go out side by side: one after the other, silent
-// agents would hold the caller's final answer back by half a second each.
+// crashWarning is the warning to one agent. Warnings are sent concurrently: sent sequentially, each
+// unresponsive agent would delay the caller's final answer by half a second.
 type crashWarning struct {
 	dispatcher *dispatcher
 	target     *chestnutstep.Target
