--- a/ticket/issuer.go
+++ b/ticket/issuer.go
@@ -1,9 +1,7 @@
-// Package ticket mints and spends the tickets that let a non-idempotent request
-// run at most once.
+// Package ticket mints and checks the tickets that make a non-idempotent request run at most once.
 //
-// A ticket names the one agent incarnation that can run it. That incarnation
-// alone remembers which tickets are spent, so that no two processes ever have
-// to agree, and no two clocks are ever compared.
+// A ticket names the only agent incarnation that can run it. Only that incarnation records which
+// tickets are spent, so no two processes ever have to agree and no two clocks are compared.
 package ticket
 
 import (
@@ -22,10 +20,10 @@
 //go:embed ticket.chart
 var chartText string
 
-// Chart is the life of a ticket. Every change of state goes through it.
+// Chart is the state chart of a ticket. Every change of state goes through it.
 var Chart = chart.Must(chartText)
 
-// The events of the chart.
+// Events of the chart.
 const (
 	eventHold     = "hold"
 	eventRun      = "run"
@@ -38,49 +36,49 @@
 )
 
 const (
-	// DefaultSlotLength is the length of a time slot. A shorter one forgets more
-	// evenly; a longer one costs fewer maps.
+	// DefaultSlotLength is the default length of a time slot. Shorter slots spread the eviction of
+	// records more evenly; longer ones need fewer maps.
 	DefaultSlotLength = time.Minute
-	// DefaultOpenSlots is how many slots stay open: a ticket can be used for nine
-	// to ten minutes, longer than any request's time limit and a caller's
-	// repeats after a restart of its own.
+	// DefaultOpenSlots is the default number of open slots. A ticket can be used for nine to ten
+	// minutes, which exceeds the time limit of any request plus a caller's retries after its own
+	// restart.
 	DefaultOpenSlots = 10
-	// DefaultMaxSpent bounds the spent tickets that are remembered: 54 actions a
-	// second over ten minutes. At 209 bytes for each they take 7 MB, and 9.4 MB
-	// with the longest request ids, a seventh of what a process may use.
+	// DefaultMaxSpent is the default maximum number of recorded spent tickets: 54 actions per
+	// second over ten minutes. At 209 bytes each they take 7 MB, and 9.4 MB with the longest
+	// request ids, a seventh of the memory limit of a process.
 	DefaultMaxSpent = 1 << 15
-	// MaxRequestID bounds a request's id in bytes, as it is part of what each
-	// spent ticket costs.
+	// MaxRequestID is the maximum length of a request's id in bytes. The id is stored with each
+	// spent ticket.
 	MaxRequestID = 128
-	// keySize is the size of the HMAC key in bytes, that of the hash's output.
+	// keySize is the size of the HMAC key in bytes, equal to the output size of the hash.
 	keySize = 32
-	// incarnationSize is the size of a drawn incarnation in bytes: two
-	// processes drawing the same one is less likely than one in 10^18 pairs.
+	// incarnationSize is the size of a random incarnation in bytes: the probability that two
+	// processes draw the same one is below 1 in 10^18.
 	incarnationSize = 8
-	// maxClosedSlots bounds what is remembered of closed slots: one bit for each
-	// slot, so that a ticket which expired unused within the last 17 hours of
-	// one-minute slots can still be told "not run".
+	// maxClosedSlots is the maximum number of closed slots for which is recorded whether any ticket
+	// ran, one bit for each. A ticket that expired unused within the last 17 hours of one-minute
+	// slots can therefore still be reported as "not run".
 	maxClosedSlots = 1024
 )
 
-// Issuer implements chestnutstep.Issuer for one agent incarnation. Set the fields
-// before the first call. It is not safe for concurrent use.
+// Issuer implements chestnutstep.Issuer for one agent incarnation. Set the fields before the first
+// call. It is not safe for concurrent use.
 type Issuer struct {
-	// Target is the target beside the agent.
+	// Target is the name of the agent's target.
 	Target string
-	// Incarnation names this process; a new process must have another one. It
-	// is drawn at the first call when empty.
+	// Incarnation identifies this process; a new process must have a different one. If empty, it is
+	// drawn at random at the first call.
 	Incarnation string
-	// Key signs tickets. It is drawn at the first call when nil and never
-	// leaves the process: with it die all tickets that it signed.
+	// Key signs tickets. If nil, it is drawn at random at the first call. It never leaves the
+	// process, so the tickets signed with it become invalid when the process ends.
 	Key []byte
-	// Rand is the source of keys and nonces; crypto/rand when nil.
+	// Rand is the source of keys and nonces; crypto/rand if nil.
 	Rand io.Reader
-	// SlotLength is the length of a time slot; DefaultSlot when 0.
+	// SlotLength is the length of a time slot; DefaultSlotLength if 0.
 	SlotLength time.Duration
-	// OpenSlots is how many slots stay open; DefaultSlots when 0.
+	// OpenSlots is the number of open slots; DefaultOpenSlots if 0.
 	OpenSlots int
-	// MaxSpent bounds the spent tickets that are remembered; DefaultMost when 0.
+	// MaxSpent is the maximum number of recorded spent tickets; DefaultMaxSpent if 0.
 	MaxSpent int
 
 	startedAt        time.Time
@@ -94,12 +92,12 @@
 
 var _ chestnutstep.Issuer = (*Issuer)(nil)
 
-// slot is what is remembered of the tickets that were minted in one time slot.
+// slot holds the records of the spent tickets that were minted in one time slot.
 type slot struct {
 	spent map[nonce]record
 }
 
-// record is one spent ticket.
+// record is the record of one spent ticket.
 type record struct {
 	state     chestnutstep.TicketState
 	request   string
@@ -139,19 +137,18 @@
 	}
 }
 
-// randomBytes reads random bytes. An issuer without randomness can't sign anything that
-// a caller could not forge, so that the process has to stop.
+// randomBytes returns n random bytes. It panics if the source fails, because without randomness a
+// caller could forge any ticket.
 func (b *Issuer) randomBytes(n int) []byte {
 	p := make([]byte, n)
 	if _, err := io.ReadFull(b.Rand, p); err != nil {
-		panic("ticket: no randomness: " + err.Error())
+		panic("ticket: random source failed: " + err.Error())
 	}
 	return p
 }
 
-// Mint returns n fresh tickets for a workspace. It stores nothing: a flood of
-// mints costs the time of its HMACs and no memory. It returns none for names
-// that don't fit a token.
+// Mint returns n new tickets for a workspace. It stores nothing, so many calls cost only the time
+// of the HMACs and no memory. It returns none if a name is too long for a token.
 func (b *Issuer) Mint(now time.Time, workspace string, n int) []string {
 	b.prepare(now)
 	if len(workspace) > maxName || len(b.Target) > maxName || len(b.Incarnation) > maxName {
@@ -168,11 +165,11 @@
 	return tokens
 }
 
-// Hold binds a ticket to a request. A repeat of the same request finds the
-// state that it is in; another request finds ReasonSpent.
+// Hold binds a ticket to a request. A retry of the same request gets the ticket's present state;
+// another request gets ReasonSpent.
 //
-// RunNo is only said where it is final. A held ticket answers RunMaybe, as it
-// may run the moment after.
+// RunNo is returned only where it is final. A held ticket yields RunMaybe, as it can run at any
+// moment.
 func (b *Issuer) Hold(now time.Time, token, workspace, request string) chestnutstep.TicketStatus {
 	b.prepare(now)
 	c, reason := b.verify(token, workspace)
@@ -197,8 +194,8 @@
 	return newStatus(r)
 }
 
-// Start marks a held ticket as handed to the target. It is the one step that lets
-// an action run, and its chart has no way back to held.
+// Start marks a held ticket as sent to the target and reports whether the action can run. It is the
+// only step that lets an action run, and the chart has no transition back to held.
 func (b *Issuer) Start(now time.Time, token string) bool {
 	b.prepare(now)
 	c, r, ok := b.lookup(token)
@@ -209,9 +206,9 @@
 	return true
 }
 
-// Release gives a held ticket back unused: any request of its workspace may
-// hold it again. The agent may not say "not run" after it, as an offer that is
-// still on its way would make that false: Drop is for that.
+// Release returns a held ticket unused: any request of its workspace can hold it again. The agent
+// must not report "not run" afterwards, because an offer still in transit could make that false;
+// use Drop for that.
 func (b *Issuer) Release(now time.Time, token string) {
 	b.prepare(now)
 	if c, r, ok := b.lookup(token); ok {
@@ -219,7 +216,7 @@
 	}
 }
 
-// Finish ends a running ticket; known says whether the outcome is known.
+// Finish ends a running ticket; known reports whether the outcome is known.
 func (b *Issuer) Finish(now time.Time, token string, known bool) {
 	b.prepare(now)
 	event := eventLost
@@ -231,10 +228,10 @@
 	}
 }
 
-// MarkUnsent turns a running ticket into a tombstone. Its owner calls it only when
-// no connection to the target came about, so that no byte of the action left
-// this process: without it a target that is down would leave every action's
-// outcome unknown, and callers would have to ask people.
+// MarkUnsent writes a tombstone for a running ticket. It must be called only if no connection to
+// the target was established, so that no byte of the action left this process. Without it, every
+// action on a target that is down would have an unknown outcome, and callers would have to resolve
+// it manually.
 func (b *Issuer) MarkUnsent(now time.Time, token string) chestnutstep.TicketStatus {
 	b.prepare(now)
 	c, r, ok := b.lookup(token)
@@ -245,7 +242,7 @@
 	return newStatus(r)
 }
 
-// Drop writes a tombstone when the ticket has not run, and says the truth.
+// Drop writes a tombstone if the ticket has not run, and returns the ticket's status.
 func (b *Issuer) Drop(now time.Time, token, workspace string) chestnutstep.TicketStatus {
 	b.prepare(now)
 	c, reason := b.verify(token, workspace)
@@ -266,7 +263,8 @@
 	return newStatus(r)
 }
 
-// verify verifies that this incarnation minted a token for the workspace.
+// verify checks that this incarnation minted the token for the workspace. It returns the reason if
+// not.
 func (b *Issuer) verify(token, workspace string) (claim, chestnutstep.Reason) {
 	c, body, mac, ok := parse(token)
 	if !ok || c.target != b.Target {
@@ -281,7 +279,7 @@
 	return c, ""
 }
 
-// lookup finds the record of a token that was held before.
+// lookup returns the record of a token that was held before.
 func (b *Issuer) lookup(token string) (claim, record, bool) {
 	c, body, mac, ok := parse(token)
 	if !ok || c.incarnation != b.Incarnation || !hmac.Equal(mac, sign(b.Key, body)) {
--- a/ticket/issuer_test.go
+++ b/ticket/issuer_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { script.Main(m, 5000) }
 
-// The scripts in testdata/issuer play one agent's issuer step by step; each opens
-// with what goes wrong without the rule that it checks.
+// TestScripts runs the scripts in testdata/issuer against one agent's issuer. Each begins with the
+// failure that occurs without the rule that it checks.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/issuer", func(t *testing.T, path string) {
 		p := &scriptRunner{tokens: map[string]string{}, now: script.Epoch}
@@ -79,9 +79,9 @@
 	return strings.TrimSpace(fmt.Sprintf("%s, run %s %s", s.State, s.Run, s.Reason))
 }
 
-// A caller asks for tickets without end, or holds all that it gets. An operator
-// would see the agent grow until it is killed, and with it lose the outcome of
-// every booking that it remembers.
+// TestFloodStaysBounded guards against unbounded memory when a caller requests tickets without end
+// or holds all that it gets: the agent would grow until it is killed and lose the outcome of every
+// recorded booking.
 func TestFloodStaysBounded(t *testing.T) {
 	b := &Issuer{Target: "bay-1", MaxSpent: 1000, Rand: rand.New(rand.NewSource(1))}
 	b.Mint(script.Epoch, "brand", 5000)
@@ -98,11 +98,11 @@
 		assert.Equal(t, status.State, chestnutstep.TicketHeld, "a small workspace was crowded out")
 	}
 	b.Mint(script.Epoch.Add(DefaultSlotLength*DefaultOpenSlots), "brand", 1)
-	assert.Equal(t, b.spentCount, 100, "held tickets stay, all others are forgotten")
+	assert.Equal(t, b.spentCount, 100, "held tickets stay, all others are evicted")
 }
 
-// BenchmarkHoldRunDone prints the cost of one action, and what it costs to
-// remember it, with common and with the longest request ids.
+// BenchmarkHoldRunDone measures the time of one action and the memory of its record, with common
+// and with the longest request ids.
 func BenchmarkHoldRunDone(b *testing.B) {
 	for _, size := range []int{36, MaxRequestID} {
 		b.Run(fmt.Sprint("id=", size), func(b *testing.B) {
--- a/ticket/memory.go
+++ b/ticket/memory.go
@@ -6,9 +6,9 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// advance moves to the slot of now and closes the slots that fall out. A clock
-// that went back changes nothing, so that a closed slot never opens again: if
-// it did, a ticket whose record is gone could run a second time.
+// advance moves to the slot of now and closes the slots that are no longer open. A clock that went
+// back changes nothing, so a closed slot never reopens: otherwise a ticket whose record has been
+// evicted could run a second time.
 func (b *Issuer) advance(now time.Time) {
 	current := uint64(max(now.Sub(b.startedAt), 0) / b.SlotLength)
 	if current <= b.currentSlot {
@@ -23,14 +23,14 @@
 	b.trimHistory()
 }
 
-// isClosed says that no ticket of the slot may be held any more.
+// isClosed reports whether tickets of the slot can no longer be held.
 func (b *Issuer) isClosed(n uint64) bool {
 	return n+uint64(b.OpenSlots) <= b.currentSlot
 }
 
-// evictSlot drops the records of a closed slot, but for those that still wait or
-// run: these are bounded by the agent's queue and slots, and their callers'
-// repeats can still join them.
+// evictSlot removes the records of a closed slot, except those that are held or running. Their
+// number is bounded by the agent's queue and slots, and retries of their callers can still join
+// them.
 func (b *Issuer) evictSlot(n uint64) {
 	s := b.slots[n]
 	for k, r := range s.spent {
@@ -40,8 +40,8 @@
 	}
 }
 
-// trimHistory bounds what is remembered of closed slots. Without it a process that
-// lives for years would collect one bit for each slot in which it ran.
+// trimHistory bounds the history of closed slots. Without it, a process that runs for years would
+// keep one bit for each slot in which a ticket ran.
 func (b *Issuer) trimHistory() {
 	if b.currentSlot < maxClosedSlots+uint64(b.OpenSlots) {
 		return
@@ -67,8 +67,8 @@
 	return r, ok
 }
 
-// transition changes a record by an event of the chart and stores the outcome. False
-// means that the chart has no such move, and nothing has changed.
+// transition applies an event of the chart to a record and stores the result. It returns false if
+// the chart has no such transition; the record is then unchanged.
 func (b *Issuer) transition(c claim, r *record, event string) bool {
 	to, err := Chart.Next(string(r.state), event)
 	if err != nil {
@@ -109,11 +109,11 @@
 	}
 }
 
-// checkCapacity says whether one more spent ticket may be remembered for a workspace. A
-// workspace may take as much as it leaves free: one alone gets half of the
-// memory, so that a surge of one can't make the others' actions wait. Where
-// there is no room, turning new tickets away is right: forgetting old ones
-// would turn the known outcomes of other callers into unknown ones.
+// checkCapacity returns "" if one more spent ticket can be recorded for a workspace, or else the
+// reason to reject it. A workspace can use as much as it leaves free, so a single one gets at most
+// half of the capacity and its surge can't block the actions of others. At capacity new tickets are
+// rejected, because evicting old records would turn the known outcomes of other callers into
+// unknown ones.
 func (b *Issuer) checkCapacity(workspace string) chestnutstep.Reason {
 	if b.spentCount >= b.MaxSpent {
 		return chestnutstep.ReasonQueue
--- a/ticket/model_test.go
+++ b/ticket/model_test.go
@@ -19,7 +19,7 @@
 	actions = 4
 )
 
-// modelTicket is the naive model of one ticket: it remembers everything for ever.
+// modelTicket is the reference model of one ticket. It is never evicted.
 type modelTicket struct {
 	token          string
 	action         int
@@ -32,26 +32,27 @@
 	reportedNotRun bool
 }
 
-// agent is one issuer with what the model knows of it.
+// agent is one issuer with the model's view of its incarnation and slot.
 type agent struct {
 	issuer      *Issuer
 	incarnation int
 	slot        int
 }
 
-// offer is an action on its way, in each scheme. It stays in flight when it is
-// delivered, so that it may come late, twice and in any order.
+// offer is an action in transit, in each scheme. It stays in flight after delivery, so that it can
+// be delivered late, repeatedly and in any order.
 type offer struct {
 	*modelTicket
 	homes [2]int
 }
 
-// simulation plays callers, entries and agents, and the naive schemes beside them.
+// simulation simulates callers, entries and agents, and runs the naive schemes on the same
+// schedule.
 type simulation struct {
 	now         time.Time
 	agents      [targets]*agent
 	tickets     []*modelTicket
-	heldTickets [actions]*modelTicket // what each action's caller holds
+	heldTickets [actions]*modelTicket // the ticket held by each action's caller
 	inFlight    []offer
 	runs        [actions]int
 	naive       [2]naiveScheme
@@ -92,26 +93,26 @@
 	return a, w.agents[a.target].issuer
 }
 
-// isKnown says whether the issuer must still know the ticket's state.
+// isKnown reports whether the issuer must still have the ticket's state.
 func (w *simulation) isKnown(a *modelTicket) bool {
 	at := w.agents[a.target]
 	live := a.state == chestnutstep.TicketHeld || a.state == chestnutstep.TicketRunning
 	return a.incarnation == at.incarnation && (live || at.slot-a.slot < at.issuer.OpenSlots)
 }
 
-// checkStatus checks an answer against the truth. Its caller, if the answer reaches it,
-// takes a "not run" for leave to ask for a fresh ticket.
+// checkStatus compares a status with the model. If the status reaches the caller, a "not run" lets
+// it request a new ticket.
 func (w *simulation) checkStatus(t *rapid.T, a *modelTicket, known bool, s chestnutstep.TicketStatus) {
 	want := chestnutstep.TicketInvalid
 	if known {
 		want = a.state
 	}
 	assert.Equal(t, s.State, want)
-	assert.Assert(t, s.Run != chestnutstep.RunYes || a.runs == 1, "said run of what did not")
+	assert.Assert(t, s.Run != chestnutstep.RunYes || a.runs == 1, "reported run for a ticket that did not run")
 	if s.Run != chestnutstep.RunNo {
 		return
 	}
-	assert.Equal(t, a.runs, 0, "said not run of what ran")
+	assert.Equal(t, a.runs, 0, "reported not run for a ticket that ran")
 	a.reportedNotRun = true
 	if a == w.heldTickets[a.action] && rapid.Bool().Draw(t, "heard") {
 		w.mint(t, a.action)
@@ -164,11 +165,11 @@
 	a.runs++
 	w.runs[a.action]++
 	a.state = chestnutstep.TicketRunning
-	assert.Assert(t, w.runs[a.action] == 1 && !a.reportedNotRun, "ran twice, or after a not run")
+	assert.Assert(t, w.runs[a.action] == 1 && !a.reportedNotRun, "ran twice, or after it was reported as not run")
 }
 
-// finish ends a run or a hold: with an outcome or without, as its connection was
-// refused, or by giving it back.
+// finish ends a run or a hold: with a known or lost outcome, with a refused connection, or by
+// releasing it.
 func (w *simulation) finish(t *rapid.T) {
 	a, b := w.drawTicket(t)
 	known, from := w.isKnown(a), a.state
@@ -181,7 +182,7 @@
 	case "unsent":
 		if known && from == chestnutstep.TicketRunning {
 			a.state = chestnutstep.TicketDropped
-			a.runs-- // nothing had left the agent
+			a.runs-- // nothing was sent to the target
 			w.runs[a.action]--
 		}
 		if s := b.MarkUnsent(w.now, a.token); known && from != chestnutstep.TicketFresh {
@@ -206,8 +207,8 @@
 	w.checkStatus(t, a, known, b.Drop(w.now, a.token, "brand"))
 }
 
-// advanceClock moves the clock, as time or a freeze does. It may go back, as it would
-// where the time is taken from a wall clock by mistake.
+// advanceClock changes the clock, as passing time or a suspended process does. It can go back, as
+// when the time is taken from a wall clock by mistake.
 func (w *simulation) advanceClock(t *rapid.T) {
 	d := rapid.SampledFrom([]time.Duration{0, time.Second, time.Second, DefaultSlotLength / 2, time.Hour, -DefaultSlotLength}).Draw(t, "pass")
 	w.now = w.now.Add(d)
@@ -232,11 +233,11 @@
 	w.naive[1].skew[target] = time.Duration(rapid.IntRange(-5, 5).Draw(t, "skew")) * time.Second
 }
 
-// Agents restart and freeze, host lists differ, clocks are wrong, offers come
-// late and twice through both entries, and callers change request ids, give up
-// and act on each "not run". With each naive scheme some member's slot is booked
-// twice on the same schedules. With tickets none is, each state is as a model
-// that forgets nothing has it, and what was said not to have run never runs.
+// TestAtMostOnce guards against actions that run twice. Agents restart and are suspended, host
+// lists differ, clocks are wrong, offers are delivered late and repeatedly through both entries,
+// and callers change request ids, give up and act on each "not run". On the same schedules each
+// naive scheme runs some action twice. With tickets no action runs twice, each state equals that of
+// a model that evicts nothing, and no ticket runs after it was reported as "not run".
 func TestAtMostOnce(t *testing.T) {
 	var schedules, ran, hash, stamp int
 	rapid.Check(t, func(t *rapid.T) {
@@ -258,6 +259,6 @@
 	})
 	t.Logf("%d schedules of %d actions: %d ran by ticket, none twice; by key hash %d ran twice, by time stamp %d",
 		schedules, actions, ran, hash, stamp)
-	assert.Assert(t, ran > schedules/2, "the schedules hardly ran anything")
-	assert.Assert(t, hash > 0 && stamp > 0, "the naive schemes were not put to the test")
+	assert.Assert(t, ran > schedules/2, "the schedules ran too few actions")
+	assert.Assert(t, hash > 0 && stamp > 0, "the schedules did not make the naive schemes fail")
 }
--- a/ticket/naive_test.go
+++ b/ticket/naive_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// naiveScheme is a naive scheme: an action's home remembers the keys that it ran. The
-// home is that which each entry's own host list gives, or, with stamps, a fixed
-// one that refuses keys older than the horizon or than its own start, by a clock
-// that differs from the stamper's.
+// naiveScheme runs an action at a home target that records the keys that it ran. The home is chosen
+// from each entry's own host list or, if stamped, is fixed and refuses keys older than memoryTTL or
+// than its own start, by a clock that differs from that of the sender.
 type naiveScheme struct {
 	stamped     bool
 	unreachable [entries][targets]bool
@@ -24,7 +23,7 @@
 // memoryTTL is how long the time-stamped scheme accepts a key.
 const memoryTTL = DefaultSlotLength * DefaultOpenSlots
 
-// send notes when the key was made, and returns where the entry sends it.
+// send records when the key was created and returns the target to which the entry sends the action.
 func (s *naiveScheme) send(action, entry int) (target int) {
 	if s.stamps[action] == 0 {
 		s.stamps[action] = s.now
@@ -57,7 +56,7 @@
 	s.bootedAt[target] = s.now + s.skew[target]
 }
 
-// countRepeated counts the actions that ran more than once.
+// countRepeated returns the number of actions that ran more than once.
 func countRepeated(runs [actions]int) int {
 	n := 0
 	for _, times := range runs {
--- a/ticket/stub.go
+++ b/ticket/status.go
@@ -2,7 +2,7 @@
 
 import "chestnutstep.example/chestnutstep"
 
-// newStatus tells what a record says.
+// newStatus returns the status of a record.
 func newStatus(r record) chestnutstep.TicketStatus {
 	s := chestnutstep.TicketStatus{State: r.state, RequestID: r.request}
 	switch r.state {
@@ -17,10 +17,9 @@
 	return s
 }
 
-// repeatStatus answers a Hold that finds a record. A request with another id hears
-// what became of the ticket's action rather than a "not run" of its own: a
-// caller that repeats an action under a new id would take that for leave to
-// run it again.
+// repeatStatus returns the status for a Hold of a ticket with a record. A request with another id
+// gets the state of the ticket's action and not a "not run" of its own: a caller that retries an
+// action under a new id would take that as permission to run it again.
 func repeatStatus(r record, request string) chestnutstep.TicketStatus {
 	s := newStatus(r)
 	if r.state != chestnutstep.TicketDropped && r.request != request {
@@ -29,12 +28,12 @@
 	return s
 }
 
-// reject answers for a ticket that can't be used here; nothing is stored.
+// reject returns the status of a ticket that can't be used here; nothing is stored.
 //
-// A dead incarnation took its memory with it, so that the answer is "maybe" for
-// ever. A forged or torn token also answers "maybe": its caller may have sent
-// the right one before. An expired ticket is "not run" only when no ticket of
-// its slot ever ran: its own record is gone, and a closed slot never reopens.
+// The records of an ended incarnation are lost, so its tickets are "maybe" for good. A forged or
+// damaged token is also "maybe", as its caller may have sent the valid one before. An expired
+// ticket is "not run" only if no ticket of its slot ever ran: its own record has been evicted, and
+// a closed slot never reopens.
 func (b *Issuer) reject(c claim, reason chestnutstep.Reason) chestnutstep.TicketStatus {
 	state, _ := Chart.Next(string(chestnutstep.TicketFresh), eventReject)
 	s := chestnutstep.TicketStatus{
@@ -46,9 +45,9 @@
 	return s
 }
 
-// rejectFull turns a fresh ticket away for want of memory. It says "maybe", as there
-// is no room for the tombstone that would make "not run" true for ever: an
-// offer that was delayed on its way may still come. The ticket stays good.
+// rejectFull returns the status of a new ticket that is rejected for lack of capacity. It is
+// "maybe" because there is no room for the tombstone that would make "not run" final: an offer
+// delayed in transit can still arrive. The ticket stays valid.
 func (b *Issuer) rejectFull(reason chestnutstep.Reason) chestnutstep.TicketStatus {
 	return chestnutstep.TicketStatus{
 		State: chestnutstep.TicketFresh, Reason: reason, Run: chestnutstep.RunMaybe,
--- a/ticket/token.go
+++ b/ticket/token.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// tokenVersion is the first byte of a token, so that a later form can be told
-	// from this one while processes of both versions run.
+	// tokenVersion is the first byte of a token. It distinguishes later formats from this one while
+	// processes of both versions run.
 	tokenVersion = 1
-	// nonceSize makes a collision of two nonces in one slot negligible: with a
-	// million tickets in a slot it is less likely than one in 10^16.
+	// nonceSize is the size of a nonce in bytes. With a million tickets in a slot, the probability
+	// that two nonces collide is below 1 in 10^16.
 	nonceSize = 12
-	// macSize is HMAC-SHA256 cut to 128 bits: a guess succeeds once in 2^128.
+	// macSize is the size of the MAC in bytes: HMAC-SHA256 truncated to 128 bits.
 	macSize = 16
-	// maxName bounds target, incarnation and workspace in bytes: each has one
-	// byte for its length.
+	// maxName is the maximum length in bytes of target, incarnation and workspace, whose lengths
+	// are encoded in one byte each.
 	maxName = 255
-	// maxToken bounds the text before it is decoded, so that a hostile header
-	// costs no memory: three names and their lengths, slot, nonce and MAC, in
-	// base64.
+	// maxToken is the maximum length of a token's text, which is checked before decoding so that a
+	// hostile header uses no memory. It covers three names and their lengths, slot, nonce and MAC,
+	// in base64.
 	maxToken = (1 + 3*(maxName+1) + binary.MaxVarintLen64 + nonceSize + macSize + 2) / 3 * 4
 )
 
 type nonce [nonceSize]byte
 
-// claim is what a token says. Nothing of it is true before the MAC was checked,
-// but for the target, which only picks the agent that checks it.
+// claim holds the fields of a token. They can't be trusted before the MAC has been checked, except
+// for the target, which only selects the agent that checks it.
 type claim struct {
 	target      string
 	incarnation string
@@ -66,8 +66,8 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// parse splits a token into its claim, the signed bytes and the MAC. Line ends,
-// which the decoder skips, are refused, so that one text stands for one ticket.
+// parse splits a token into its claim, the signed bytes and the MAC. Line ends, which the decoder
+// skips, are rejected, so that each ticket has exactly one text.
 func parse(token string) (c claim, body, mac []byte, ok bool) {
 	if len(token) > maxToken {
 		return claim{}, nil, nil, false
@@ -89,8 +89,8 @@
 	return c, body, mac, r.ok && len(r.b) == 0
 }
 
-// reader takes fields off a token. After the first short field it yields zero
-// values, and ok stays false.
+// reader decodes the fields of a token. After the first short field it returns zero values, and ok
+// stays false.
 type reader struct {
 	b  []byte
 	ok bool
@@ -128,8 +128,8 @@
 	return v
 }
 
-// Target reads which target a token is bound to, so that an entry can route it
-// without the key. It is advice: the agent of that target checks the token.
+// Target returns the target to which a token is bound, so that an entry can route it without the
+// key. The value is not authenticated: the agent of that target checks the token.
 func Target(token string) (string, bool) {
 	c, _, _, ok := parse(token)
 	return c.target, ok
--- a/ticket/token_test.go
+++ b/ticket/token_test.go
@@ -11,9 +11,8 @@
 	"chestnutstep.example/chestnutstep/script"
 )
 
-// FuzzToken feeds callers' bytes to the parser. A token that parses is written
-// back the same, so that no two texts stand for one ticket, and none but the
-// minted one passes the check.
+// FuzzToken checks that a token that parses is encoded to the same bytes, so that each ticket has
+// exactly one text, and that no token but the minted one is accepted.
 func FuzzToken(f *testing.F) {
 	b := &Issuer{Target: "bay-1", Rand: rand.New(rand.NewSource(1))}
 	minted := b.Mint(script.Epoch, "brand", 1)[0]
@@ -27,13 +26,15 @@
 		}
 		assert.Equal(t, string(c.encode()), string(body))
 		if token != minted {
-			stub := b.Hold(script.Epoch, token, "brand", "r")
-			assert.Equal(t, stub.State, chestnutstep.TicketInvalid)
-			assert.Equal(t, stub.Run, chestnutstep.RunMaybe)
+			status := b.Hold(script.Epoch, token, "brand", "r")
+			assert.Equal(t, status.State, chestnutstep.TicketInvalid)
+			assert.Equal(t, status.Run, chestnutstep.RunMaybe)
 		}
 	})
 }
 
+// TestNamesThatDoNotFit guards against tokens with truncated names: a name longer than maxName gets no
+// ticket, and the longest names that fit do.
 func TestNamesThatDoNotFit(t *testing.T) {
 	longest := strings.Repeat("w", maxName)
 	b := &Issuer{Target: longest, Incarnation: longest}
