--- a/order/error.go
+++ b/order/error.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrStale says that an order comes from a publication below one whose order
-// was taken before, or below the one in force.
+// ErrStale reports that an order's publication is older than that of an order accepted before, or
+// than the one in force.
 type ErrStale struct {
 	Version uint64
 	Newest  uint64
@@ -18,30 +18,30 @@
 	return fmt.Sprintf("order: version %d is older than %d", e.Version, e.Newest)
 }
 
-// IsErrStale checks whether an error is an ErrStale.
+// IsErrStale reports whether err is an ErrStale.
 func IsErrStale(err error) bool {
 	var e ErrStale
 	return errors.As(err, &e)
 }
 
-// ErrBusy says that another order is being carried out; come back after Wait.
+// ErrBusy reports that another order is in progress; retry after RetryAfter.
 type ErrBusy struct {
 	Order      Order
 	RetryAfter time.Duration
 }
 
 func (e ErrBusy) Error() string {
-	return fmt.Sprintf("order: busy with %s %s, come back after %s", e.Order.Kind, e.Order.Name, e.RetryAfter)
+	return fmt.Sprintf("order: busy with %s %s, retry after %s", e.Order.Kind, e.Order.Name, e.RetryAfter)
 }
 
-// IsErrBusy checks whether an error is an ErrBusy.
+// IsErrBusy reports whether err is an ErrBusy.
 func IsErrBusy(err error) bool {
 	var e ErrBusy
 	return errors.As(err, &e)
 }
 
-// ErrLate says that too much time passed between taking an order and sending
-// it: the process was frozen, and what it decided may no longer hold.
+// ErrLate reports that too much time passed between accepting and sending an order: the process was
+// suspended, and the decision to send it can be outdated.
 type ErrLate struct {
 	Waited time.Duration
 }
@@ -50,14 +50,14 @@
 	return fmt.Sprintf("order: %s passed before it was sent", e.Waited)
 }
 
-// IsErrLate checks whether an error is an ErrLate.
+// IsErrLate reports whether err is an ErrLate.
 func IsErrLate(err error) bool {
 	var e ErrLate
 	return errors.As(err, &e)
 }
 
-// ErrState says that an order is not in the state that a step needs, for
-// instance as it was sent before.
+// ErrState reports that an order is not in the required state, for example because it was sent
+// before.
 type ErrState struct {
 	Fence Fence
 	State State
@@ -67,13 +67,13 @@
 	return fmt.Sprintf("order: %s is %q", e.Fence, e.State)
 }
 
-// IsErrState checks whether an error is an ErrState.
+// IsErrState reports whether err is an ErrState.
 func IsErrState(err error) bool {
 	var e ErrState
 	return errors.As(err, &e)
 }
 
-// ErrRange says that a version or an uptime does not fit a fencing number.
+// ErrRange reports that a version or an uptime doesn't fit into a fencing number.
 type ErrRange struct {
 	Version uint64
 	Ticks   uint64
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("order: version %d or uptime of %d ticks is too large", e.Version, e.Ticks)
 }
 
-// IsErrRange checks whether an error is an ErrRange.
+// IsErrRange reports whether err is an ErrRange.
 func IsErrRange(err error) bool {
 	var e ErrRange
 	return errors.As(err, &e)
--- a/order/permit.go
+++ b/order/permit.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// DefaultPermitServers is how many agents hand out the loads of the weight store.
-	// Four survive the loss of any three, each loss costing a quarter of the
-	// rate; more would leave each too small a share to serve one target soon.
+	// DefaultPermitServers is the number of agents that grant permits for loads from the weight
+	// store. Four tolerate the loss of any three, each loss reducing the rate by a quarter; with
+	// more, each share would be too small to serve a single target soon.
 	DefaultPermitServers = 4
-	// SettleTime is how long an agent that becomes a permit server waits before it hands
-	// anything out. An accepted publication is in force everywhere within
-	// seconds, so that its predecessor has stopped by then.
+	// SettleTime is how long an agent that becomes a permit server waits before it grants permits.
+	// An accepted publication is in force everywhere within seconds, so the previous permit server
+	// has stopped by then.
 	SettleTime = 10 * time.Second
-	// maxPermitInterval bounds the time for one permit, as a rate close to nothing would
-	// overflow it and let everything go.
+	// maxPermitInterval is the maximum time per permit. A rate close to zero would otherwise
+	// overflow the interval and lift the limit.
 	maxPermitInterval = 24 * time.Hour
 )
 
-// PermitServers picks k of the published targets, whose agents hand out the permits to
-// load weights. It depends on the publication alone and not on who is thought
-// alive, as host lists differ: two processes with the same publication always
-// name the same wardens. A target added or removed moves few of them.
+// PermitServers returns the k published targets whose agents grant permits to load weights. The
+// result depends on the publication alone and not on which targets are considered alive, because
+// host lists differ: two processes with the same publication always return the same targets. Adding
+// or removing a target changes few of them.
 func PermitServers(targets []string, k int) []string {
 	type scored struct {
 		name  string
@@ -45,31 +45,29 @@
 	return names
 }
 
-// PermitServer hands out permits to load weights at its share of the fleet's rate. The
-// load it answers is a whole domain that starts cold at once: all its targets
-// load weights, the store refuses most, and their repeats keep it refusing, so
-// that none starts in time.
+// PermitServer grants permits to load weights at its share of the fleet's rate. Without the limit,
+// a domain that starts cold at once loads weights on all its targets, the store refuses most
+// requests, and the retries keep it refusing, so that no target starts in time.
 //
-// A share for each agent would need no messages, but with 2,700 targets and two
-// loads a second it makes a lone cold target wait for 22 minutes.
+// A fixed share for each agent would need no messages, but with 2,700 targets and two loads per
+// second a single cold target would wait for 22 minutes.
 //
-// With one publication in force the wardens together never exceed the rate by
-// more than a permit each, over any time. A new, restarted or changed permit server
-// starts with nothing and waits for Settle. Where two publications stay in force
-// for longer, as across a partition, the rate may be exceeded by the share of
-// those wardens that differ.
+// With one publication in force the permit servers together never exceed the rate by more than one
+// permit each, over any period. A new, restarted or changed permit server starts without permits
+// and waits for SettleTime. If two publications stay in force for longer, as during a partition,
+// the rate can be exceeded by the share of the permit servers that differ.
 //
 // Set Target before the first call. It is not safe for concurrent use.
 type PermitServer struct {
-	// Target is the target beside this agent.
+	// Target is the name of this agent's target.
 	Target string
 
 	rate       float64
-	spentUntil time.Time // up to when what accrued has been spent
+	spentUntil time.Time // end of the period whose permits are spent
 }
 
-// Configure puts a publication in force: its targets, the loads a second of the whole
-// fleet, and how many wardens share them.
+// Configure applies a publication: its targets, the fleet's total rate in loads per second, and the
+// number k of permit servers that share it.
 func (p *PermitServer) Configure(now time.Time, targets []string, loadsPerSecond float64, k int) {
 	rate := 0.0
 	if names := PermitServers(targets, k); slices.Contains(names, p.Target) {
@@ -82,16 +80,16 @@
 	p.spentUntil = now.Add(SettleTime)
 }
 
-// Grant lets one load go, whoever asks: what bounds the fleet is what each permit server
-// believes of itself. Otherwise it says when to ask again; 0 means not here, as
+// Grant takes one permit, for any requester: the fleet's rate is bounded by the shares of the
+// permit servers. If no permit is available, wait is the time after which to retry; 0 means that
 // this agent is no permit server.
 func (p *PermitServer) Grant(now time.Time) (ok bool, wait time.Duration) {
 	if p.rate <= 0 {
 		return false, 0
 	}
 	interval := p.permitInterval()
-	// One permit may be saved up, no more: a longer quiet must not end in a
-	// burst that the store refuses.
+	// At most one permit is saved, so that a long idle period doesn't end in a burst that the store
+	// refuses.
 	if oldest := now.Add(-interval); p.spentUntil.Before(oldest) {
 		p.spentUntil = oldest
 	}
@@ -102,7 +100,7 @@
 	return true, 0
 }
 
-// permitInterval is the time that one permit takes to accrue.
+// permitInterval returns the time in which one permit accrues.
 func (p *PermitServer) permitInterval() time.Duration {
 	s := min(1/p.rate, maxPermitInterval.Seconds())
 	return time.Duration(s * float64(time.Second))
--- a/order/permit_test.go
+++ b/order/permit_test.go
@@ -19,7 +19,8 @@
 	stepTime    = 100 * time.Millisecond
 )
 
-// publishedTargets are the targets of two publications that differ by two at each end.
+// publishedTargets returns the targets of a publication. Two consecutive versions differ by two
+// targets at each end.
 func publishedTargets(version uint64) []string {
 	var all []string
 	for n := 2 * version; n < 2*version+8; n++ {
@@ -28,8 +29,8 @@
 	return all
 }
 
-// store counts what the wardens of a fleet let through to the weight store while
-// cold targets ask all of them all the time.
+// store counts the loads that the permit servers of a fleet grant while cold targets request
+// permits from all of them continuously.
 type store struct {
 	now    time.Time
 	agents [14]*PermitServer
@@ -44,7 +45,7 @@
 	return s
 }
 
-// startAgent makes an agent new and lets it learn a publication.
+// startAgent starts a new agent with a publication.
 func (s *store) startAgent(n int, version uint64) {
 	s.agents[n] = &PermitServer{Target: fmt.Sprint("t", n)}
 	s.configure(n, version)
@@ -64,7 +65,7 @@
 	}
 }
 
-// excess is the most permits, over any stretch of time, above the fleet's rate.
+// excess returns the maximum number of permits above the fleet's rate, over any period.
 func (s *store) excess() float64 {
 	highest, lowest := 0.0, 0.0
 	for i, at := range s.times {
@@ -75,9 +76,9 @@
 	return highest
 }
 
-// A publication spreads, and agents learn it at different moments and restart. If
-// each new permit server began with its full share, the store would refuse loads just
-// while a domain starts cold.
+// TestLoadsStayWithinTheBudget guards against loads above the rate while a publication spreads,
+// which agents receive at different times and between restarts. If each new permit server began
+// with its full share, the store would refuse loads just when a domain starts cold.
 func TestLoadsStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -96,9 +97,9 @@
 	})
 }
 
-// Two halves of a fleet hold different publications for long. The excess is the
-// share of the wardens that differ. Wardens picked from who is thought alive, as
-// each agent sees it, have no such bound.
+// TestPartitionBoundsTheExcess guards against unbounded loads while two halves of a fleet hold
+// different publications for long. The excess is the share of the permit servers that differ.
+// Permit servers chosen from each agent's own list of live targets have no such bound.
 func TestPartitionBoundsTheExcess(t *testing.T) {
 	s := newStore()
 	for n := range s.agents {
@@ -112,7 +113,7 @@
 		}
 	}
 	maxLoads := loadRate * 100 * (1 + float64(moved)/serverCount)
-	t.Logf("100 s at %.0f loads a second, %d of %d wardens differ: %d loads, at most %.0f", loadRate, moved, serverCount, len(s.times), maxLoads)
+	t.Logf("100 s at %.0f loads a second, %d of %d permit servers differ: %d loads, at most %.0f", loadRate, moved, serverCount, len(s.times), maxLoads)
 	assert.Assert(t, float64(len(s.times)) <= maxLoads+serverCount)
 
 	naive := newStore()
@@ -123,13 +124,13 @@
 		a.Configure(naive.now, append(view[:6], a.Target), loadRate, serverCount)
 	}
 	naive.advance(110 * time.Second)
-	t.Logf("by each agent's own view of who is alive: %d loads", len(naive.times))
+	t.Logf("by each agent's own list of live targets: %d loads", len(naive.times))
 	assert.Assert(t, len(naive.times) > 300)
 }
 
-// A quiet hour passes and then many targets start cold at once. What the wardens
-// saved up in that hour would flood the store; and so would a rate so close to
-// nothing that its overflow meant no limit.
+// TestIdleSavesOnePermit guards against a burst of loads when many targets start cold after an idle
+// hour, from permits saved in that hour, and against a rate so close to zero that its overflow
+// lifts the limit.
 func TestIdleSavesOnePermit(t *testing.T) {
 	w := &PermitServer{Target: "t"}
 	w.Configure(script.Epoch, []string{"t"}, loadRate, serverCount)
@@ -138,11 +139,11 @@
 	ok, wait := w.Grant(now)
 	assert.Assert(t, !ok && wait == time.Second/2)
 	w.Configure(now, []string{"t", "u"}, 2*loadRate, serverCount)
-	assert.Equal(t, grantBurst(w, now.Add(time.Second/2)), 1, "the same share in a new publication goes on")
+	assert.Equal(t, grantBurst(w, now.Add(time.Second/2)), 1, "an unchanged share keeps its permits in a new publication")
 	w.Configure(now, []string{"t"}, 1e-30, serverCount)
 	assert.Equal(t, grantBurst(w, now.Add(2*maxPermitInterval)), 1)
 	w.Configure(now, []string{"t"}, 0, serverCount)
-	assert.Equal(t, grantBurst(w, now.Add(9*maxPermitInterval)), 0, "a rate of 0 lets nothing go")
+	assert.Equal(t, grantBurst(w, now.Add(9*maxPermitInterval)), 0, "a rate of 0 grants no permit")
 }
 
 func grantBurst(w *PermitServer, now time.Time) int {
--- a/order/scheduler.go
+++ b/order/scheduler.go
@@ -1,8 +1,8 @@
-// Package order decides on orders to an engine, such as loading a model, an
-// adapter or a version, or changing its role; and on the fleet's use of the
-// weight store, which all loads share.
+// Package order schedules the orders to an engine, such as loading a model, an adapter or a
+// version, or changing its role, and limits the fleet's use of the weight store, which all loads
+// share.
 //
-// Orders go only through the agent beside the target, one at a time.
+// Orders are sent only by the agent of the target, one at a time, each with a fencing number.
 package order
 
 import (
@@ -16,13 +16,13 @@
 //go:embed order.chart
 var chartText string
 
-// Chart is the life of an order. Every change of state goes through it.
+// Chart is the state chart of an order. Every change of state goes through it.
 var Chart = chart.Must(chartText)
 
 // State is a state of the chart.
 type State string
 
-// The states of an order.
+// States of an order.
 const (
 	Pending State = "taken"
 	Sent    State = "sent"
@@ -32,38 +32,37 @@
 	Stale   State = "stale"
 )
 
-// Event is an event of the chart by which an owner ends a sent order.
+// Event is an event of the chart with which a caller ends a sent order.
 type Event string
 
-// The events. The first two are the desk's own.
+// Events of the chart. The first two are used by the scheduler only.
 const (
 	eventSend   Event = "send"
 	eventExpire Event = "lapse"
 
-	Finished Event = "finish" // the engine did it
-	Refused  Event = "refuse" // the engine refused or failed
-	Lost     Event = "lose"   // no answer came
+	Finished Event = "finish" // the engine applied the order
+	Refused  Event = "refuse" // the engine refused the order or failed
+	Lost     Event = "lose"   // no answer was received
 )
 
 const (
-	// DefaultMaxDelay is how long an order may lie between taking and sending. In
-	// a process that runs it takes microseconds; a second means that the
-	// process was frozen.
+	// DefaultMaxDelay is the maximum time between accepting and sending an order. Normally it takes
+	// microseconds; a second means that the process was suspended.
 	DefaultMaxDelay = time.Second
-	// DefaultQuietPeriod is how long a target that ignores fencing numbers is left
-	// alone after the agent's start and after a lost answer. It is the time
-	// limit of a call to an engine: what was on its way has then arrived,
-	// unless the engine itself was frozen, which nothing here can rule out.
+	// DefaultQuietPeriod is how long a target that ignores fencing numbers gets no orders after the
+	// agent's start and after a lost answer. It equals the time limit of a call to an engine:
+	// orders in transit have then arrived, unless the engine itself was suspended, which the agent
+	// can't rule out.
 	DefaultQuietPeriod = 30 * time.Second
-	// uptimeTolerance is how far two lives of an agent may differ in what they take the
-	// host's uptime to be: systems tell it in whole seconds, rounded either way.
-	// A new life keeps this distance before its first order.
+	// uptimeTolerance is the maximum difference between the host's uptime as seen by two
+	// incarnations of an agent: systems report it in whole seconds, rounded up or down. A new
+	// incarnation waits this long before its first order.
 	uptimeTolerance = 2 * time.Second
-	// maxJobs bounds the orders that are remembered for repeats and status.
+	// maxJobs is the maximum number of orders kept for retries and status.
 	maxJobs = 64
 )
 
-// Order is what the engine should do, and on whose word.
+// Order is an instruction to the engine and the version of the publication that contains it.
 type Order struct {
 	Kind    string
 	Name    string
@@ -75,29 +74,29 @@
 	Order Order
 	Fence Fence
 	State State
-	// ChangedAt is when the state changed last.
+	// ChangedAt is the time of the last change of state.
 	ChangedAt time.Time
 }
 
-// Scheduler decides when an order may be sent. Set the fields before the first call.
-// It is not safe for concurrent use.
+// Scheduler decides when an order can be sent. Set the fields before the first call. It is not safe
+// for concurrent use.
 //
-// Proved for targets that check fencing numbers: no order is done after one
-// with a higher number, whatever pauses, restarts and repeats there are. For
-// targets that ignore them it is proved that this agent sends orders in their
-// order, one at a time, none after a pause. It is not proved that an order of a
-// killed predecessor, or one whose answer was lost, arrives before the next.
+// For targets that check fencing numbers it guarantees that no order is applied after one with a
+// higher number, regardless of pauses, restarts and retries. For targets that ignore them it
+// guarantees that this agent sends orders in sequence, one at a time, and none after a pause. It
+// doesn't guarantee that an order of a killed earlier incarnation, or one whose answer was lost,
+// arrives before the next.
 type Scheduler struct {
 	// StartedAt is when the agent started, by its own monotonic clock.
 	StartedAt time.Time
-	// HostUptime is the host's uptime at Began, to the second.
+	// HostUptime is the host's uptime at StartedAt, to the second.
 	HostUptime time.Duration
-	// Fenced says that the target checks fencing numbers.
+	// Fenced is set if the target checks fencing numbers.
 	Fenced bool
-	// MaxDelay is how long an order may lie before it is sent; DefaultPause when 0.
+	// MaxDelay is the maximum time before an order is sent; DefaultMaxDelay if 0.
 	MaxDelay time.Duration
-	// QuietPeriod is how long a target that ignores fencing numbers is left alone;
-	// DefaultQuiet when 0.
+	// QuietPeriod is how long a target that ignores fencing numbers gets no orders after a start or
+	// a lost answer; DefaultQuietPeriod if 0.
 	QuietPeriod time.Duration
 
 	jobs          []Job
@@ -105,9 +104,9 @@
 	lastTicks     uint64
 }
 
-// Submit accepts an order and gives it a fencing number. A repeat of an order
-// that is under way or done finds that one. An order of a higher version takes
-// the place of one that was not sent yet.
+// Submit accepts an order and assigns it a fencing number. A retry of an order that is pending,
+// sent or done returns the existing job. An order of a higher version replaces one that is not sent
+// yet. It returns ErrStale, ErrBusy or ErrRange if the order can't be accepted.
 func (s *Scheduler) Submit(now time.Time, o Order) (Job, error) {
 	if o.Version < s.newestVersion {
 		return Job{}, ErrStale{Version: o.Version, Newest: s.newestVersion}
@@ -129,8 +128,8 @@
 	return j, nil
 }
 
-// IsReady says whether the desk takes a new order now: none is under way, and the
-// target need not be left alone. Ask it before a permit to load is spent.
+// IsReady reports whether a new order can be submitted now: none is in flight, and no quiet period
+// is running. Check it before acquiring a permit to load.
 func (s *Scheduler) IsReady(now time.Time) bool {
 	if s.quietRemaining(now) > 0 {
 		return false
@@ -143,9 +142,8 @@
 	return true
 }
 
-// EngineRestarted notes that the engine restarted and has forgotten what it was told: an
-// order that was done is then sent again, under a number of its own. The old
-// number would be sent after newer ones.
+// EngineRestarted records that the engine restarted and lost its orders. An order that was done is
+// then sent again under a new number, as its old number would be sent after newer ones.
 func (s *Scheduler) EngineRestarted(now time.Time) {
 	for i := range s.jobs {
 		if s.jobs[i].State == Sent {
@@ -155,9 +153,9 @@
 	s.jobs = slices.DeleteFunc(s.jobs, func(j Job) bool { return j.State == Done })
 }
 
-// findActive finds the last order of the kind if it is equal and was not given up. One
-// whose outcome is unknown is tried again, under a higher number. Older ones do
-// not count: a role that was changed there and back is changed again.
+// findActive returns the last job of the order's kind if its order is equal and it is pending, sent
+// or done. An order with an unknown outcome is retried under a higher number. Older jobs don't
+// count: a role that was changed and changed back must be changed again.
 func (s *Scheduler) findActive(o Order) *Job {
 	for i := len(s.jobs) - 1; i >= 0; i-- {
 		j := &s.jobs[i]
@@ -173,7 +171,8 @@
 	return nil
 }
 
-// ensureIdle makes sure that no other order is under way.
+// ensureIdle returns ErrBusy if another order is in progress. It expires pending orders that are
+// replaced or too old.
 func (s *Scheduler) ensureIdle(now time.Time, o Order) error {
 	if wait := s.quietRemaining(now); wait > 0 {
 		return ErrBusy{Order: o, RetryAfter: wait}
@@ -192,8 +191,9 @@
 	return nil
 }
 
-// quietRemaining is how long the target is still left alone: after the agent's start until
-// its numbers lie above a predecessor's, and longer if it ignores numbers.
+// quietRemaining returns how long the target must still get no orders: after the agent's start
+// until its numbers exceed those of an earlier incarnation, and longer if the target ignores the
+// numbers.
 func (s *Scheduler) quietRemaining(now time.Time) time.Duration {
 	start := uptimeTolerance + tickDuration - now.Sub(s.StartedAt)
 	if s.Fenced {
@@ -219,8 +219,8 @@
 	return s.MaxDelay
 }
 
-// nextFence returns a number above all that this agent and, as free has waited for
-// long enough, its predecessors sent.
+// nextFence returns a number above all numbers sent by this agent and, since quietRemaining has
+// passed, by its earlier incarnations.
 func (s *Scheduler) nextFence(now time.Time, version uint64) (Fence, error) {
 	ticks := max(s.uptimeTicks(now), s.lastTicks+1)
 	f, err := newFence(version, ticks)
@@ -230,15 +230,15 @@
 	return f, err
 }
 
-// uptimeTicks is the host's uptime.
+// uptimeTicks returns the host's uptime in ticks.
 func (s *Scheduler) uptimeTicks(now time.Time) uint64 {
 	return uint64(max(0, s.HostUptime+now.Sub(s.StartedAt)) / tickDuration)
 }
 
-// BeginSend is asked right before the call to the engine, with the version of the
-// publication in force at that moment; nil lets the order go, once. Whatever
-// made the process pause in between, an order that others have overtaken is not
-// sent. On ErrBusy ask again after its Wait, some hundredths of a second.
+// BeginSend must be called right before the call to the engine, with the version of the publication
+// in force at that moment. It returns nil once per order, and the order must then be sent. An order
+// that a newer publication has replaced, or that waited too long, for example while the process was
+// suspended, is not sent. On ErrBusy call it again after RetryAfter, some hundredths of a second.
 func (s *Scheduler) BeginSend(now time.Time, f Fence, version uint64) error {
 	j := s.findJob(f)
 	if j == nil || j.State != Pending {
@@ -253,15 +253,15 @@
 		return ErrLate{Waited: waited}
 	}
 	if ahead := f.ticks(); ahead > s.uptimeTicks(now) {
-		// A burst of orders runs ahead of the clock by a tick each, and a
-		// number that the uptime has not reached could lie above a successor's.
+		// In a burst of orders each number is one tick ahead of the previous one. A number that the
+		// uptime has not reached could exceed those of a later incarnation.
 		return ErrBusy{Order: j.Order, RetryAfter: time.Duration(ahead-s.uptimeTicks(now)) * tickDuration}
 	}
 	s.transition(now, j, eventSend)
 	return nil
 }
 
-// Complete notes what became of a sent order.
+// Complete records the result of a sent order. It returns ErrState if the order is not in flight.
 func (s *Scheduler) Complete(now time.Time, f Fence, e Event) error {
 	j := s.findJob(f)
 	if j == nil || j.State != Sent {
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// Jobs returns the orders that are remembered, the oldest first.
+// Jobs returns the kept orders, the oldest first.
 func (s *Scheduler) Jobs() []Job { return slices.Clone(s.jobs) }
 
 func (s *Scheduler) findJob(f Fence) *Job {
--- a/order/scheduler_test.go
+++ b/order/scheduler_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { script.Main(m, 3000) }
 
-// The scripts in testdata/desk play one agent's orders step by step.
+// TestScripts runs the scripts in testdata/desk against one agent's scheduler.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/desk", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
@@ -64,8 +64,8 @@
 	return "ok"
 }
 
-// engine plays an engine behind agents that are killed, frozen and started
-// again, and a network that delivers what they sent late and in any order.
+// engine simulates an engine whose agents are killed, suspended and restarted, and a network that
+// delivers their orders late and in any order.
 type engine struct {
 	now       time.Time
 	booted    time.Time
@@ -75,8 +75,7 @@
 	lastDone  Job
 }
 
-// restart starts an agent anew. Systems tell the uptime in seconds, rounded
-// either way.
+// restart starts a new agent. Systems report the uptime in seconds, rounded up or down.
 func (e *engine) restart(t *rapid.T) {
 	round := time.Duration(rapid.IntRange(0, 1).Draw(t, "round")) * (time.Second - 1)
 	up := (e.now.Sub(e.booted) + round).Truncate(time.Second)
@@ -120,7 +119,7 @@
 	j := rapid.SampledFrom(e.inFlight).Draw(t, "order")
 	event := Refused
 	if j.Fence > e.lastDone.Fence {
-		assert.Assert(t, j.Order.Version >= e.lastDone.Order.Version, "an old publication's order was done last")
+		assert.Assert(t, j.Order.Version >= e.lastDone.Order.Version, "an old publication's order was applied last")
 		e.lastDone, event = j, Finished
 	}
 	if rapid.Bool().Draw(t, "lost") {
@@ -129,9 +128,9 @@
 	_ = e.scheduler.Complete(e.now, j.Fence, event)
 }
 
-// An agent is killed with an order on its way, and its successor sends another.
-// If the old one arrived last, the engine would serve a model that operators had
-// replaced, with nothing in the agent's view to show it.
+// TestOrdersNeverGoBack guards against an old order that is applied last. An agent is killed with
+// an order in transit, and its next incarnation sends another. If the old one arrived last, the
+// engine would serve a model that operators had replaced, and the agent's state would not show it.
 func TestOrdersNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := &engine{now: script.Epoch, booted: script.Epoch.Add(-time.Minute)}
@@ -145,6 +144,8 @@
 	})
 }
 
+// TestFenceRange guards against a version that doesn't fit and is truncated, which would make a new order
+// appear old.
 func TestFenceRange(t *testing.T) {
 	_, err := newFence(1<<halfBits, 1)
 	assert.Assert(t, IsErrRange(err))
