--- a/answer/answer_test.go
+++ b/answer/answer_test.go
@@ -17,7 +17,7 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// read collects an answer from an offset on, until its last piece.
+// read collects an answer from an offset to its last piece.
 func read(t *testing.T, l *Log, offset int64) (head *wire.Head, body []byte, end Piece) {
 	t.Helper()
 	r, err := l.NewReader(offset)
@@ -34,9 +34,8 @@
 	return head, body, end
 }
 
-// A link breaks in mid-answer, and its entry or another one attaches again while
-// the target is still writing. The caller notices nothing: all links get the
-// same bytes and the same checksum.
+// TestReadersGetSameAnswer guards against readers with different bytes or checksums. A link breaks
+// within the answer, and its entry or another one attaches again while the target is still writing.
 func TestReadersGetSameAnswer(t *testing.T) {
 	want := make([]byte, 300<<10)
 	rand.New(rand.NewSource(1)).Read(want)
@@ -62,8 +61,8 @@
 	}
 }
 
-// A caller reads slowly while its target writes fast. The operator would notice
-// a process that grows until it is killed; instead the writer waits.
+// TestSlowReaderBlocksWriter guards against a process that grows until it is killed, because a
+// caller reads slowly while its target writes fast. The writer must wait instead.
 func TestSlowReaderBlocksWriter(t *testing.T) {
 	l := &Log{Window: 100}
 	r, err := l.NewReader(0)
@@ -79,22 +78,21 @@
 		ended <- err
 	}()
 	for n := range written {
-		if n == 6 { // 100 bytes are the window: the sixth write waits
+		if n == 6 { // the window is 100 bytes: the sixth write waits
 			break
 		}
 	}
-	assert.Equal(t, len(written), 0, "wrote past the window of a link that reads nothing")
+	assert.Equal(t, len(written), 0, "wrote past the window of a reader that reads nothing")
 	_, err = r.Next(t.Context())
 	assert.NilError(t, err)
-	<-written // the read made room
+	<-written // the read has made room in the window
 	l.Break(chestnutstep.ReasonCanceled, chestnutstep.RunMaybe, 0)
 	assert.Assert(t, IsErrEnded(<-ended))
 	r.Close()
 }
 
-// An answer is too long to be kept whole, and a caller's repeat asks for its
-// start. A router that sent what is left would hand out an answer without its
-// first part; the caller gets an error instead.
+// TestReadOfDroppedBytesFails guards against an answer without its first part. The answer is too
+// long to be kept whole, and a caller's retry requests its start; the caller must get an error.
 func TestReadOfDroppedBytesFails(t *testing.T) {
 	l := &Log{Window: 100, MaxBytes: 200}
 	for range 10 {
@@ -111,8 +109,8 @@
 	assert.Assert(t, IsErrGone(err), "an offset beyond the end is of another answer")
 }
 
-// The target dies in mid-answer. The caller gets the bytes that came and then
-// the reason, never an end that looks like a whole answer.
+// TestBrokenAnswerIsNeverWhole guards against a broken answer that appears complete. The target
+// crashes within the answer; the caller must get the bytes received so far and then the reason.
 func TestBrokenAnswerIsNeverWhole(t *testing.T) {
 	var l Log
 	assert.NilError(t, l.Append([]byte("half")))
@@ -125,8 +123,8 @@
 	assert.Assert(t, IsErrEnded(l.Append([]byte("more"))))
 }
 
-// Thousands of answers end within a minute. What the agent keeps stays bounded;
-// booked slots' answers outlive the others, and a dropped one is unknown.
+// TestStoreIsBounded guards against unbounded memory when thousands of answers end within a minute.
+// Preferred answers must be kept longer than others, and a dropped answer must be unknown.
 func TestStoreIsBounded(t *testing.T) {
 	s := Store{MaxBytes: 100 << 10}
 	for i := range 1000 {
@@ -149,8 +147,9 @@
 	assert.Equal(t, s.Bytes(), int64(0))
 }
 
-// Long answers run at once and nobody reads them: their entries died. Each
-// keeps two windows at most while the store is over its bound.
+// TestRunningAnswersAreBounded guards against unbounded memory when many long answers run and have
+// no readers because their entries failed. Each must keep at most two windows while the store is
+// over its limit.
 func TestRunningAnswersAreBounded(t *testing.T) {
 	s := Store{MaxBytes: 10 << 10, Window: 1 << 10}
 	for n := range 200 {
@@ -162,8 +161,8 @@
 	}
 }
 
-// A request is refused after its answer was opened, and its repeat arrives: it
-// starts anew. Links of the old one hear that it is gone rather than wait.
+// TestRemoveEndsWaitingReaders guards against readers that wait forever. A request is refused after
+// its answer was created, and its retry starts a new one; readers of the old one must get ErrGone.
 func TestRemoveEndsWaitingReaders(t *testing.T) {
 	var s Store
 	l, _ := s.GetOrCreate(script.Epoch, "brand", "r")
@@ -200,7 +199,7 @@
 	}
 }
 
-// BenchmarkStore prints what an empty answer takes in memory.
+// BenchmarkStore measures the memory of an empty answer.
 func BenchmarkStore(b *testing.B) {
 	s := Store{MaxBytes: 1 << 40}
 	before := script.Heap()
--- a/answer/error.go
+++ b/answer/error.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrGone says that bytes asked for are not kept, so that the answer can't be
-// given whole from that offset. Kept is the first offset that is, End the last.
+// ErrGone reports that requested bytes are no longer kept, so that the answer can't be read from
+// that offset. FirstKept is the first kept offset and End the offset after the last byte.
 type ErrGone struct {
 	Offset    int64
 	FirstKept int64
@@ -15,17 +15,17 @@
 }
 
 func (e ErrGone) Error() string {
-	return fmt.Sprintf("answer: offset %d is not kept: %d to %d are", e.Offset, e.FirstKept, e.End)
+	return fmt.Sprintf("answer: offset %d is not kept, only %d to %d", e.Offset, e.FirstKept, e.End)
 }
 
-// IsErrGone checks whether an error is an ErrGone.
+// IsErrGone reports whether err is an ErrGone.
 func IsErrGone(err error) bool {
 	var e ErrGone
 	return errors.As(err, &e)
 }
 
-// ErrEnded says that the answer was over before the bytes came: it was broken
-// off, for instance as its caller gave up.
+// ErrEnded reports that bytes were appended after the end of the answer, for example after its
+// caller canceled it.
 type ErrEnded struct {
 	Offset int64
 }
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("answer: ended at offset %d", e.Offset)
 }
 
-// IsErrEnded checks whether an error is an ErrEnded.
+// IsErrEnded reports whether err is an ErrEnded.
 func IsErrEnded(err error) bool {
 	var e ErrEnded
 	return errors.As(err, &e)
--- a/answer/log.go
+++ b/answer/log.go
@@ -1,8 +1,8 @@
-// Package answer keeps the answers of running and finished requests at an
-// agent, so that a link which breaks, or a caller's repeat through another
-// entry, reads on in the answer of the same run.
+// Package answer keeps the answers of running and finished requests at an agent, so that a link
+// that breaks, or a caller's retry through another entry, continues to read the answer of the same
+// run.
 //
-// A reader gets the whole answer or an error, never a silently short one.
+// A reader gets the complete answer or an error, never a truncated answer without an error.
 package answer
 
 import (
@@ -18,21 +18,20 @@
 )
 
 const (
-	// DefaultWindow is how many bytes a slow reader may lag behind, and how many
-	// are always kept behind the slowest reader for a link that breaks with
-	// frames on their way. 64 KiB are some 20 seconds of a fast stream, and
-	// what HTTP/2 has in flight by default.
+	// DefaultWindow is the default number of bytes that a slow reader can lag behind, and that are
+	// kept behind the slowest reader in case a link breaks with frames in transit. 64 KiB are about
+	// 20 seconds of a fast stream, and the default amount of data in flight in HTTP/2.
 	DefaultWindow = 64 << 10
-	// DefaultMaxBytes is how many bytes of one answer are kept. A long plan is
-	// some tens of KiB; what exceeds 1 MiB is read once and not joined later.
+	// DefaultMaxBytes is the default number of bytes kept of one answer. A long answer takes some
+	// tens of KiB; one above 1 MiB can be read once but not joined later from its start.
 	DefaultMaxBytes = 1 << 20
-	// maxPiece bounds what one read returns, so that one frame stays well under
-	// the 4 MiB that gRPC takes, and long answers do not hold up short ones.
+	// maxPiece is the maximum size in bytes of one read. It keeps a frame well below gRPC's limit
+	// of 4 MiB and prevents long answers from delaying short ones.
 	maxPiece = 32 << 10
 )
 
-// Piece is the next part of an answer; exactly one of Head, Data, Last and
-// Broken is set. Data is shared with the log and must not be changed.
+// Piece is the next part of an answer; exactly one of Head, Data, Last and Broken is set. Data is
+// shared with the log and must not be modified.
 type Piece struct {
 	Head   *wire.Head
 	Data   []byte
@@ -41,15 +40,13 @@
 	Broken *wire.Broken
 }
 
-// Log is the answer of one run. One writer fills it and any number of links
-// read it. Set Window and Most before the first call. It is safe for concurrent
-// use.
+// Log is the answer of one run. One writer appends to it and any number of readers read it. Set
+// Window and MaxBytes before the first call. It is safe for concurrent use.
 type Log struct {
-	// Window is how far a reader may lag behind before Append waits for it;
-	// DefaultWindow when 0.
+	// Window is the number of bytes that a reader can lag behind before Append waits for it;
+	// DefaultWindow if 0.
 	Window int
-	// MaxBytes is how many bytes are kept; DefaultMost when 0. It is at least twice
-	// Window.
+	// MaxBytes is the number of bytes kept; DefaultMaxBytes if 0. It is at least twice Window.
 	MaxBytes int
 
 	store *Store
@@ -64,9 +61,9 @@
 	evicted   bool
 	preferred bool
 	readers   []*Reader
-	changed   chan struct{} // closed at the next change; nil when nobody waits
+	changed   chan struct{} // closed at the next change; nil if no goroutine waits
 
-	// Guarded by the store's lock.
+	// The fields below are guarded by the store's lock.
 	key     key
 	seq     uint64
 	endedAt time.Time
@@ -86,16 +83,16 @@
 	return max(l.MaxBytes, 2*l.window())
 }
 
-// SetPreferred keeps the answer longer than others, and longest when bytes are short.
-// It is for ticketed requests, as their callers have no other way to learn what
-// became of the action.
+// SetPreferred keeps the answer longer than others, and evicts it last when the store is full. It
+// is used for requests with a ticket, as the answer is their callers' only source for the result of
+// the action.
 func (l *Log) SetPreferred() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.preferred = true
 }
 
-// SetHead notes the start of the answer. Only the first head counts.
+// SetHead sets the head of the answer. Only the first call has an effect.
 func (l *Log) SetHead(h *wire.Head) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,10 +102,9 @@
 	}
 }
 
-// Append adds bytes of the body. It waits while the slowest link lags behind by
-// a window, which holds the target's connection back, as nothing else would
-// bound what a slow caller makes this process keep. Break and the end of the
-// slow link let it go on. It returns ErrEnded once the answer is over.
+// Append adds bytes of the body. It blocks while the slowest reader lags behind by a window; this
+// slows down the target's connection and bounds the memory that a slow caller can use. Break and
+// closing the slow reader unblock it. It returns ErrEnded once the answer has ended.
 func (l *Log) Append(p []byte) error {
 	l.mu.Lock()
 	for !l.isClosed() && l.lag() >= int64(l.window()) {
@@ -141,8 +137,8 @@
 	l.notifyChange()
 }
 
-// trim drops bytes at the front until no more than keep are left, but never
-// those that a link may still read or ask for again.
+// trim drops bytes at the front until at most keep are left, except those that a reader can still
+// read or request again.
 func (l *Log) trim(keep int) {
 	drop := len(l.buf) - keep
 	if len(l.readers) > 0 {
@@ -152,8 +148,8 @@
 	if drop <= 0 {
 		return
 	}
-	// The bytes are left where they are for readers that hold a piece; the next
-	// growth of the buffer leaves them behind.
+	// The bytes are not moved, because readers may hold a piece; the next growth of the buffer
+	// releases them.
 	l.buf = l.buf[drop:]
 	l.base += int64(drop)
 	l.addStoreBytes(-drop)
@@ -165,7 +161,7 @@
 	}
 }
 
-// Finish ends a whole answer with its total length and checksum.
+// Finish ends a complete answer with its total length and checksum.
 func (l *Log) Finish(trailers ...*wire.Header) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,7 +172,7 @@
 	l.markEnded()
 }
 
-// checksum of all bytes of the body, also of those no longer kept.
+// checksum returns the checksum of all bytes of the body, including those no longer kept.
 func (l *Log) checksum() uint64 {
 	if l.sum == nil {
 		return xxhash.Sum64(nil)
@@ -184,8 +180,8 @@
 	return l.sum.Sum64()
 }
 
-// Break ends an answer that is not whole. Readers get the bytes up to here and
-// then the reason. Only the first end of an answer counts.
+// Break ends an incomplete answer. Readers get the bytes up to this point and then the reason. Only
+// the first call of Finish or Break has an effect.
 func (l *Log) Break(reason chestnutstep.Reason, run chestnutstep.RunStatus, retry time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,7 +200,7 @@
 	l.notifyChange()
 }
 
-// Ended says whether the answer is over, whole or broken.
+// Ended reports whether the answer has ended, complete or broken.
 func (l *Log) Ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -213,12 +209,12 @@
 
 func (l *Log) isEnded() bool { return l.last != nil || l.broken != nil }
 
-// isClosed says that nothing more is written: the answer is over or dropped.
+// isClosed reports whether no more bytes can be appended: the answer has ended or was evicted.
 func (l *Log) isClosed() bool { return l.isEnded() || l.evicted }
 
 func (l *Log) end() int64 { return l.base + int64(len(l.buf)) }
 
-// lag is how far the slowest link is behind the end; 0 without links.
+// lag returns how many bytes the slowest reader is behind the end; 0 without readers.
 func (l *Log) lag() int64 {
 	var lag int64
 	for _, r := range l.readers {
@@ -227,7 +223,7 @@
 	return lag
 }
 
-// notifyChange lets all that wait look again.
+// notifyChange wakes all waiting goroutines.
 func (l *Log) notifyChange() {
 	if l.changed != nil {
 		close(l.changed)
@@ -235,7 +231,7 @@
 	}
 }
 
-// changeSignal returns a channel that closes at the next change.
+// changeSignal returns a channel that is closed at the next change.
 func (l *Log) changeSignal() chan struct{} {
 	if l.changed == nil {
 		l.changed = make(chan struct{})
@@ -243,7 +239,7 @@
 	return l.changed
 }
 
-// wait gives the lock up until the next change.
+// wait releases the lock until the next change.
 func (l *Log) wait() {
 	ch := l.changeSignal()
 	l.mu.Unlock()
@@ -251,7 +247,7 @@
 	l.mu.Lock()
 }
 
-// evict drops all bytes. Links that are still reading get ErrGone.
+// evict drops all bytes. Readers that are not done get ErrGone.
 func (l *Log) evict() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/answer/reader.go
+++ b/answer/reader.go
@@ -4,17 +4,17 @@
 	"context"
 )
 
-// Reader reads a log from an offset on. It is used by one goroutine, and closed by
-// it, as the writer waits for links that lag behind.
+// Reader reads a log from an offset. It must be used and closed by a single goroutine. Closing it
+// is required because the writer waits for readers that lag behind.
 type Reader struct {
 	log      *Log
 	offset   int64
 	headSent bool
 }
 
-// NewReader opens a link at an offset: the head comes first, then the bytes from
-// there on. It returns ErrGone when those bytes are no longer kept, or when a
-// finished answer is shorter: the asker holds bytes of another answer.
+// NewReader returns a reader at an offset in bytes. It yields the head first and then the bytes
+// from the offset. It returns ErrGone if those bytes are no longer kept, or if a finished answer is
+// shorter, in which case the requester has bytes of another answer.
 func (l *Log) NewReader(offset int64) (*Reader, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -26,8 +26,8 @@
 	return r, nil
 }
 
-// Next waits for the next piece. Its error is ErrGone or that of ctx. Last or
-// Broken is the final piece.
+// Next waits for the next piece. It returns ErrGone or the error of ctx. The final piece is Last or
+// Broken.
 func (r *Reader) Next(ctx context.Context) (Piece, error) {
 	p, err := r.log.waitNext(ctx, r.offset, r.headSent)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return p, nil
 }
 
-// advance lets the writer go on when this link was the slowest.
+// advance moves the reader's offset and lets the writer continue if this reader was the slowest.
 func (r *Reader) advance(n int) {
 	r.log.mu.Lock()
 	defer r.log.mu.Unlock()
@@ -48,7 +48,7 @@
 	r.log.notifyChange()
 }
 
-// Close ends the link. It may be called more than once.
+// Close removes the reader from the log. It can be called more than once.
 func (r *Reader) Close() { r.log.removeReader(r) }
 
 func (l *Log) waitNext(ctx context.Context, offset int64, headSent bool) (Piece, error) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// waitContext gives the lock up until the next change or the end of ctx.
+// waitContext releases the lock until the next change or the end of ctx.
 func (l *Log) waitContext(ctx context.Context) error {
 	ch := l.changeSignal()
 	l.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkOffset returns ErrGone when the bytes at an offset can't come any more.
+// checkOffset returns ErrGone if the bytes at an offset can no longer be read.
 func (l *Log) checkOffset(offset int64) error {
 	late := offset < l.base || l.evicted
 	beyond := l.isEnded() && offset > l.end()
--- a/answer/store.go
+++ b/answer/store.go
@@ -9,49 +9,48 @@
 )
 
 const (
-	// DefaultTTL is how long a finished answer is kept: a caller whose entry
-	// died notices and repeats within seconds.
+	// DefaultTTL is the default time to keep a finished answer: a caller whose entry fails notices
+	// and retries within seconds.
 	DefaultTTL = time.Minute
-	// DefaultPreferredTTL is how long a preferred answer is kept: as long as its
-	// ticket can be used.
+	// DefaultPreferredTTL is the default time to keep a preferred answer: as long as its ticket can
+	// be used.
 	DefaultPreferredTTL = 10 * time.Minute
-	// DefaultStoreBytes bounds what all answers of an agent keep: a quarter of the
-	// 64 MB that a process may use.
+	// DefaultStoreBytes is the default limit in bytes of all answers of an agent: a quarter of the
+	// 64 MB to which a process is limited.
 	DefaultStoreBytes = 16 << 20
-	// logOverhead is what a log costs besides its bytes, so that empty answers
-	// count against the bound too: 517 were measured with a request id of 36
-	// bytes, and the longest id is some 100 bytes longer.
+	// logOverhead is the memory of a log in bytes besides its body, so that empty answers also
+	// count against the limit. A log with a request id of 36 bytes takes 517 bytes, and the longest
+	// id is about 100 bytes longer.
 	logOverhead = 640
 )
 
-// key names a request. The workspace is part of it, so that no caller can join
-// the answer of another customer by guessing an id.
+// key identifies a request. It includes the workspace so that no caller can join the answer of
+// another customer by guessing an id.
 type key struct {
 	workspace string
 	id        string
 }
 
-// Store keeps the logs of one agent. Set the fields before the first call. It
-// is safe for concurrent use.
+// Store keeps the logs of one agent. Set the fields before the first call. It is safe for
+// concurrent use.
 //
-// Its bytes are bounded by Bytes plus two windows for each running answer:
-// finished answers are dropped first, the oldest first, then the fronts of
-// running ones that every link has read.
+// Its size is bounded by MaxBytes plus two windows for each running answer: finished answers are
+// evicted first, the oldest first, and then the parts of running ones that all readers have read.
 type Store struct {
-	// TTL is how long a finished answer is kept; DefaultKeep when 0.
+	// TTL is how long a finished answer is kept; DefaultTTL if 0.
 	TTL time.Duration
-	// PreferredTTL is the same for preferred answers; DefaultLong when 0.
+	// PreferredTTL is how long a preferred answer is kept; DefaultPreferredTTL if 0.
 	PreferredTTL time.Duration
-	// MaxBytes bounds the bytes that are kept; DefaultBytes when 0.
+	// MaxBytes is the limit of the kept bytes; DefaultStoreBytes if 0.
 	MaxBytes int64
-	// Window of each new log; see Log.
+	// Window is the window of each new log; see Log.Window.
 	Window int
-	// MaxAnswerBytes is how many bytes of one answer are kept; see Log.Most.
+	// MaxAnswerBytes is the number of bytes kept of one answer; see Log.MaxBytes.
 	MaxAnswerBytes int
 
 	bytes atomic.Int64
-	// endedCount counts answers that ended and are not yet in the queue of finished
-	// ones: relieve looks through the logs only when there are some.
+	// endedCount is the number of ended answers that are not yet in finished. shrink and Sweep scan
+	// the logs only if it is not zero.
 	endedCount atomic.Int64
 
 	mu       sync.Mutex
@@ -64,26 +63,25 @@
 
 func (s *Store) isOverLimit() bool { return s.bytes.Load() > s.maxBytes() }
 
-// Bytes returns what is kept, with a flat cost for each answer.
+// Bytes returns the number of kept bytes, including logOverhead for each answer.
 func (s *Store) Bytes() int64 { return s.bytes.Load() }
 
-// Len returns how many answers are kept.
+// Len returns the number of kept answers.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.logs)
 }
 
-// Get returns a request's answer, or nil when it is not known here, or no
-// longer.
+// Get returns a request's answer, or nil if it is unknown or no longer kept.
 func (s *Store) Get(workspace, id string) *Log {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.logs[key{workspace, id}]
 }
 
-// GetOrCreate returns a request's answer, a new one unless it existed. Only the caller
-// that hears false may run the request: of two that race, one gets it.
+// GetOrCreate returns a request's answer and creates it if it doesn't exist. Only the caller that
+// gets existed as false can run the request; of concurrent calls, exactly one does.
 func (s *Store) GetOrCreate(_ time.Time, workspace, id string) (l *Log, existed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,19 +100,19 @@
 	return l, false
 }
 
-// Remove forgets a request that never ran, so that a repeat starts anew.
+// Remove removes the answer of a request that never ran, so that a retry starts a new one.
 func (s *Store) Remove(workspace, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := s.logs[key{workspace, id}]
-	if gone == nil {
+	removed := s.logs[key{workspace, id}]
+	if removed == nil {
 		return
 	}
-	s.drop(gone)
-	s.finished = slices.DeleteFunc(s.finished, func(l *Log) bool { return l == gone })
+	s.drop(removed)
+	s.finished = slices.DeleteFunc(s.finished, func(l *Log) bool { return l == removed })
 }
 
-// Sweep drops answers that were kept long enough. Call it every second or so.
+// Sweep removes expired answers. Call it about once per second.
 func (s *Store) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +123,8 @@
 	s.shrink()
 }
 
-// isExpired counts from the first sweep that sees the answer ended, so that an end
-// needs no clock.
+// isExpired reports whether the answer's TTL has passed. The TTL starts at the first sweep after
+// the end of the answer, so that ending an answer needs no clock.
 func (s *Store) isExpired(now time.Time, l *Log) bool {
 	if l.endedAt.IsZero() {
 		l.endedAt = now
@@ -138,7 +136,7 @@
 	return now.Sub(l.endedAt) >= ttl
 }
 
-// collectEnded moves answers that have ended into the queue, the oldest first.
+// collectEnded appends the answers that have ended to finished, the oldest first.
 func (s *Store) collectEnded() {
 	if s.endedCount.Swap(0) == 0 {
 		return
@@ -157,7 +155,7 @@
 	s.finished = append(s.finished, fresh...)
 }
 
-// reclaim makes room after bytes were added.
+// reclaim evicts answers if appended bytes have exceeded the limit.
 func (s *Store) reclaim() {
 	if !s.isOverLimit() {
 		return
@@ -167,8 +165,8 @@
 	s.shrink()
 }
 
-// shrink drops finished answers above the bound: those that are not preferred
-// first, and of each kind the oldest first.
+// shrink evicts finished answers while the store is over its limit: first those that are not
+// preferred, and of each kind the oldest first.
 func (s *Store) shrink() {
 	if !s.isOverLimit() {
 		return
@@ -181,7 +179,7 @@
 	}
 }
 
-// drop always returns true: the answer is no longer kept.
+// drop removes an answer. It always returns true, for use in slices.DeleteFunc.
 func (s *Store) drop(l *Log) bool {
 	delete(s.logs, l.key)
 	l.evict()
