--- a/agent/migrator.go
+++ b/agent/migrator.go
@@ -118,8 +118,8 @@
 
 // nextTarget returns the target other than this one that ranks first for a chat, or nil.
 func (a *Agent) nextTarget(v *chestnutstep.View, self *chestnutstep.Target, c chatKey) *chestnutstep.Target {
-	place := chestnutstep.RankQuery{Workspace: c.workspace, Chat: c.name, Model: self.Model, Region: v.Region(self.Host)}
-	for _, t := range a.Ranker(v).Rank(nil, place, 2) {
+	query := chestnutstep.RankQuery{Workspace: c.workspace, Chat: c.name, Model: self.Model, Region: v.Region(self.Host)}
+	for _, t := range a.Ranker(v).Rank(nil, query, 2) {
 		if t.Name != self.Name {
 			return t
 		}
--- a/entry/offer_test.go
+++ b/entry/offer_test.go
@@ -53,8 +53,8 @@
 	var got offerRecorder
 	p.onOffer = got.add
 	p.addEntry()
-	place := chestnutstep.RankQuery{Workspace: "desk", Chat: "c", Model: "label", Region: "r"}
-	first := ranker(p.currentView()).Rank(nil, place, 1)[0].Name
+	query := chestnutstep.RankQuery{Workspace: "desk", Chat: "c", Model: "label", Region: "r"}
+	first := ranker(p.currentView()).Rank(nil, query, 1)[0].Name
 	for i := range p.pub.Targets {
 		if p.pub.Targets[i].Name == first {
 			p.pub.Targets[i].Agent = startUnresponsiveAgent(t)
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -114,11 +114,11 @@
 	back := httptest.NewServer(target)
 	p.t.Cleanup(back.Close)
 	p.targets = append(p.targets, back.URL)
-	reuse, single := agent.Clients()
+	pooled, unpooled := agent.Clients()
 	a := &agent.Agent{
 		Name: name, URL: back.URL, Incarnation: "1", View: p.currentView,
 		Gate: &gate.Gate{}, Detector: &crash.Detector{Target: name}, Issuer: &ticket.Issuer{Target: name},
-		Answers: &answer.Store{}, PooledClient: reuse, UnpooledClient: single, Ranker: ranker, Notify: p.recordNotice,
+		Answers: &answer.Store{}, PooledClient: pooled, UnpooledClient: unpooled, Ranker: ranker, Notify: p.recordNotice,
 		Dial: func(addr string) (wire.AgentClient, error) {
 			conn, err := p.pool.Conn(addr)
 			return wire.NewAgentClient(conn), err
@@ -183,6 +183,8 @@
 	return rs, string(b)
 }
 
+// TestRequestIsServed guards against a request that does not reach its target and return through agent and
+// entry with run status, hint and complete answer.
 func TestRequestIsServed(t *testing.T) {
 	p := newCluster(t)
 	rs, body := p.send(0, "/v1/chat", `{"prompt":10,"output":5}`, chestnutstep.HeaderProfile, "quick", chestnutstep.HeaderChat, "c1")
--- a/entry/request.go
+++ b/entry/request.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// place returns the ranking query. A request without a chat is distributed by its id.
-func (a *clientRequest) place(region string) chestnutstep.RankQuery {
+// rankQuery returns the ranking query. A request without a chat is distributed by its id.
+func (a *clientRequest) rankQuery(region string) chestnutstep.RankQuery {
 	chat := a.chat
 	if chat == "" {
 		chat = a.id
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -87,7 +87,7 @@
 // mintAtTargets requests the tickets from the targets in the order of their ranking. The batch's
 // random id spreads batches over targets, so that no target gets all actions.
 func (e *Entry) mintAtTargets(ctx context.Context, a *clientRequest, count int) ([]string, error) {
-	targets := e.Ranker(a.view).Rank(nil, a.place(e.Region), max(a.profile.MaxAttempts, 1))
+	targets := e.Ranker(a.view).Rank(nil, a.rankQuery(e.Region), max(a.profile.MaxAttempts, 1))
 	for _, t := range targets {
 		reply, err := e.mintAt(ctx, t, a.workspace.Name, count)
 		if err == nil {
--- a/entry/walk.go
+++ b/entry/walk.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxTries is the maximum number of offers of one request, regardless of the profile.
+	// maxTries is the maximum number of targets tried for one request, regardless of the profile.
 	maxTries = 8
 	// maxCrashes is the number of targets that one request can crash before it is condemned. One
 	// crash can be a coincidence; a second one right after it is caused by the request, and a third
@@ -94,14 +94,14 @@
 func (k *dispatcher) rank() {
 	ranker := k.entry.Ranker(k.request.view)
 	n := min(max(k.request.profile.MaxAttempts, 1), maxTries)
-	place := k.request.place(k.entry.Region)
-	k.targets = ranker.Rank(make([]*chestnutstep.Target, 0, n), place, n)
-	if place.Hint == "" || len(k.targets) == 0 {
+	query := k.request.rankQuery(k.entry.Region)
+	k.targets = ranker.Rank(make([]*chestnutstep.Target, 0, n), query, n)
+	if query.Hint == "" || len(k.targets) == 0 {
 		return
 	}
 	hinted := k.targets[0]
-	place.Hint = ""
-	home := ranker.Rank(make([]*chestnutstep.Target, 0, n), place, n)
+	query.Hint = ""
+	home := ranker.Rank(make([]*chestnutstep.Target, 0, n), query, n)
 	if hinted.Name == k.request.hint && route.ReturnsHome(home[0], k.request.hint, k.request.id) {
 		// The home target imports the chat's KV cache from the hinted target.
 		k.targets = home
