--- a/agent/job.go
+++ b/agent/job.go
@@ -249,7 +249,7 @@
 	a.dispatchQueue(now)
 }
 
-// removeJob removes a job and its answer, so that a retry is decided again.
+// removeJob removes a job and its answer, so that a retry is handled as a new request.
 func (a *Agent) removeJob(j *job) {
 	delete(a.jobs, j.key)
 	a.Answers.Remove(j.offer.Workspace, j.offer.Id)
--- a/agent/link.go
+++ b/agent/link.go
@@ -245,9 +245,9 @@
 	}
 }
 
-// cancelJob ends a job at once when its caller cancels: most callers cancel at some time, and their
-// abandoned jobs would otherwise fill the target. A non-idempotent request that is running
-// continues, because canceling it would leave its outcome unknown.
+// cancelJob ends a job at once when its caller cancels, unless other links still follow it. Callers
+// cancel most requests, and the abandoned jobs would otherwise fill the target. A non-idempotent
+// request that is running continues, because canceling it would leave its outcome unknown.
 func (a *Agent) cancelJob(j *job) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/answer/log.go
+++ b/answer/log.go
@@ -1,8 +1,6 @@
 // Package answer keeps the answers of running and finished requests at an agent, so that a link
 // that breaks, or a caller's retry through another entry, continues to read the answer of the same
-// run.
-//
-// A reader gets the complete answer or an error, never a truncated answer without an error.
+// run. A reader gets the complete answer or an error, never a truncated answer without an error.
 package answer
 
 import (
--- a/entry/moved.go
+++ b/entry/moved.go
@@ -97,9 +97,10 @@
 	return nil
 }
 
-// joinMoved offers the request to the target to which an earlier attempt moved. It offers instead
-// of attaching because an offer joins a run in progress but replaces a failed one; with an attach,
-// a caller would receive the recorded failure for as long as the Moved record is kept.
+// joinMoved offers the request to the target that runs it according to the Moved record of another
+// target. It offers instead of attaching because an offer joins a run in progress but replaces a
+// failed one; with an attach, a caller would receive the recorded failure for as long as the record
+// is kept.
 //
 // If that target is gone, reports that it doesn't have the request, or is unresponsive, the target
 // that returned the Moved record takes over the request.
--- a/order/scheduler.go
+++ b/order/scheduler.go
@@ -1,8 +1,6 @@
 // Package order schedules the orders to an engine, such as loading a model, an adapter or a
 // version, or changing its role, and limits the fleet's use of the weight store, which all loads
-// share.
-//
-// Orders are sent only by the agent of the target, one at a time, each with a fencing number.
+// share. Orders are sent only by the agent of the target, one at a time, each with a fencing number.
 package order
 
 import (
--- a/ticket/issuer.go
+++ b/ticket/issuer.go
@@ -1,5 +1,4 @@
 // Package ticket mints and checks the tickets that make a non-idempotent request run at most once.
-//
 // A ticket names the only agent incarnation that can run it. Only that incarnation records which
 // tickets are spent, so no two processes ever have to agree and no two clocks are compared.
 package ticket
@@ -55,9 +54,9 @@
 	// incarnationSize is the size of a random incarnation in bytes: the probability that two
 	// processes draw the same one is below 1 in 10^18.
 	incarnationSize = 8
-	// maxClosedSlots is the maximum number of closed slots for which is recorded whether any ticket
-	// ran, one bit for each. A ticket that expired unused within the last 17 hours of one-minute
-	// slots can therefore still be reported as "not run".
+	// maxClosedSlots bounds the history of closed slots, which has one bit per slot: whether any
+	// ticket of the slot ran. With one-minute slots, a ticket that expired unused within the last
+	// 17 hours can therefore still be reported as "not run".
 	maxClosedSlots = 1024
 )
 
