--- a/caches.go
+++ b/caches.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// CacheLister asks targets what prompt parts they hold.
+// CacheLister lists the prompt parts that targets have cached.
 type CacheLister interface {
-	// ListParts lists the parts in a target's cache. It costs the target some work:
-	// ask rarely.
+	// ListParts lists the parts in a target's cache. Each call costs the target work,
+	// so calls must be infrequent.
 	ListParts(ctx context.Context, address string) ([]PromptPart, error)
 }
--- a/class.go
+++ b/class.go
@@ -1,9 +1,9 @@
 package chestnutstep
 
-// classNames are the names of the classes in a profile, by class.
+// classNames holds the names of the classes as written in a profile, indexed by class.
 var classNames = [ClassCount]string{"urgent", "normal", "batch"}
 
-// String returns the class's name in a profile.
+// String returns the name of the class as written in a profile.
 func (c Class) String() string {
 	if int(c) < len(classNames) {
 		return classNames[c]
@@ -11,7 +11,7 @@
 	return "unknown"
 }
 
-// ParseClass finds a class by its name in a profile.
+// ParseClass returns the class with the given name, and false if no class has it.
 func ParseClass(name string) (Class, bool) {
 	for i, n := range classNames {
 		if n == name {
--- a/duration.go
+++ b/duration.go
@@ -7,19 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Duration is a time.Duration that reads and writes as Go writes it ("1.5s"),
-// so that no setting needs its unit guessed.
+// Duration is a time.Duration that is read and written as a Go duration string ("1.5s"),
+// so that settings state their unit.
 type Duration time.Duration
 
-// Std returns the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON writes the duration as a JSON string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a duration from text.
+// UnmarshalJSON reads the duration from a JSON string.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/header.go
+++ b/header.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// headerPrefix begins the names of our own headers.
+// headerPrefix is the prefix of the fleet's own headers.
 const headerPrefix = "Chestnut-"
 
-// hopHeaders belong to one connection, not to the message.
+// hopHeaders apply to a single connection and are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// IsHopHeader says whether a header, by its canonical name, belongs to one
-// connection. Passed on, it would tell the next connection of a framing or an
-// upgrade that it does not have, and the message would be read wrongly.
+// IsHopHeader reports whether a header, given by its canonical name, applies to a single
+// connection. If it were forwarded, the next connection would be parsed with framing or
+// an upgrade that it does not have.
 func IsHopHeader(name string) bool { return slices.Contains(hopHeaders, name) }
 
-// IsChestnutHeader says whether a header, by its canonical name, is between callers,
-// entries and agents alone. One that a caller sends must not reach the target,
-// nor one of the target's the caller: either could pass for what we say.
+// IsChestnutHeader reports whether a header, given by its canonical name, is reserved for
+// callers, entries and agents. Such a header from a caller must not reach the target, nor
+// one from a target the caller: either could be mistaken for a header of the fleet.
 func IsChestnutHeader(name string) bool { return strings.HasPrefix(name, headerPrefix) }
--- /dev/null
+++ b/header_codec.go
@@ -0,0 +1,65 @@
+package chestnutstep
+
+import (
+	"net/http"
+	"time"
+)
+
+// PromptPart identifies one part of a prompt that targets can cache, and its length in tokens.
+type PromptPart struct {
+	ID     uint64
+	Tokens int
+}
+
+// CallerHeaders holds the values parsed from the headers of a caller's request, for
+// requests that go to targets without an agent.
+type CallerHeaders struct {
+	ID  string
+	Key string
+	// Timeout is how long the caller waits; 0 if the caller sets none.
+	Timeout time.Duration
+	// Parts of the prompt, in order; the last one is specific to the request or session.
+	Parts []PromptPart
+	// IsResume reports whether the caller has already received the events up to LastEventID.
+	IsResume    bool
+	LastEventID int64
+}
+
+// UrgencyUnset leaves the order of requests to the target.
+const UrgencyUnset = -1
+
+// ForwardHeaders holds the values set in the headers of a request sent to a target.
+type ForwardHeaders struct {
+	// Instance is the ID of the only instance that may run the request.
+	Instance  string
+	Workspace string
+	Timeout   time.Duration
+	// FetchFrom is the address of a target from which the prompt's cache can be fetched.
+	FetchFrom string
+	// Urgency is 0 for the most urgent requests and UrgencyUnset if unset.
+	Urgency     int
+	IsResume    bool
+	LastEventID int64
+}
+
+// TargetHeaders holds the values parsed from the headers of a target's answer.
+type TargetHeaders struct {
+	// ID of the request that the answer belongs to.
+	ID string
+	// IsSigned reports whether the target itself made the answer.
+	IsSigned bool
+	// NotRun reports that the request did not run at the target and never will.
+	NotRun bool
+	// Misdirected reports that another instance now has the address.
+	Misdirected bool
+}
+
+// HeaderCodec translates between HTTP headers and their parsed values. It makes no decisions.
+type HeaderCodec interface {
+	CallerHeaders(h http.Header) CallerHeaders
+	SetForwardHeaders(h http.Header, s ForwardHeaders)
+	TargetHeaders(status int, h http.Header) TargetHeaders
+	SetRetryAfter(h http.Header, after time.Duration)
+	// Peek reads the request's id and key from its first bytes, as far as head contains them.
+	Peek(head []byte) (id, key string)
+}
--- a/routing.go
+++ b/routing.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// RouteKind says what may be repeated of a route's requests.
+// RouteKind determines whether requests of a route can be retried.
 type RouteKind uint8
 
 // The kinds of a route.
 const (
-	// RouteUnsafe requests may run at most once: it is the safe value.
+	// RouteUnsafe requests may run at most once. It is the safe value.
 	RouteUnsafe RouteKind = iota
 	// RouteSafe requests are idempotent.
 	RouteSafe
 	// RouteStream requests are answered by a series of numbered events. They are
-	// handled as Unsafe unless the route is resumable.
+	// handled as RouteUnsafe unless the route is resumable.
 	RouteStream
 )
 
-// String is the kind's name in logs.
+// String returns the name of the kind in logs.
 func (k RouteKind) String() string {
 	switch k {
 	case RouteSafe:
@@ -32,48 +32,48 @@
 	}
 }
 
-// Routing is a version of the configuration under which entries bring requests
-// to targets without an agent: which route leads to which service, and who may
-// use it. It is never changed once it is built.
+// Routing is a version of the configuration by which entries forward requests
+// to targets without an agent: the service of each route and the workspaces with
+// access. It is immutable once built.
 type Routing struct {
-	// Version is monotone: a higher one replaces a lower one.
+	// Version is monotonic: a higher one replaces a lower one.
 	Version    uint64
 	Routes     []Route
 	Services   map[string]*Service
 	Limits     CallerLimits
 	Workspaces []*WorkspaceAccess
-	// RequiresKey says that requests need a key.
+	// RequiresKey reports whether requests need a key.
 	RequiresKey bool
 
 	hosts map[string][]*Route
 	keys  map[string]*WorkspaceAccess
 }
 
-// Route leads the requests of one host and path prefix to services.
+// Route maps the requests of one host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Resumable streams may go on at another target after their last event.
+	// Resumable streams can continue at another target after their last event.
 	Resumable bool
 	// Public requests need no key.
 	Public bool
-	// Timeout is the longest time to a final answer.
+	// Timeout is the maximum time until the final answer.
 	Timeout time.Duration
-	// LatencyObjective is the time to the answer, or a stream's first event, that
-	// callers want.
+	// LatencyObjective is the target time until the answer, or until the first event of a
+	// stream.
 	LatencyObjective time.Duration
 	// Rank orders routes by urgency: 0 is the most urgent.
 	Rank int
-	// MaxAttempts is the most targets that one request may reach.
+	// MaxAttempts is the maximum number of targets that one request is sent to.
 	MaxAttempts int
-	// HasPromptParts says that requests name the parts of their prompt, which targets
-	// keep in a cache.
+	// HasPromptParts reports whether requests list the parts of their prompt, which targets
+	// cache.
 	HasPromptParts bool
 	// Splits are the services of the route, each with its weight.
 	Splits []Split
-	// AllowedRegions are the only ones whose targets may get its requests; empty for all.
+	// AllowedRegions restricts requests of the route to targets in these regions; empty allows all.
 	AllowedRegions []string
 }
 
@@ -83,26 +83,26 @@
 	Weight  float64
 }
 
-// IsIdempotent says whether a request of the route may run more than once.
+// IsIdempotent reports whether a request of the route may run more than once.
 func (r *Route) IsIdempotent() bool {
 	return r.Kind == RouteSafe || r.Kind == RouteStream && r.Resumable
 }
 
-// Service is a group of like targets.
+// Service is a group of equivalent targets.
 type Service struct {
 	Name string
 	// ColdStart is how long a target is cold after its start.
 	ColdStart time.Duration
-	// ColdRate is the requests a second that a cold target carries, from all
-	// entries together; 0 where cold targets need no care.
+	// ColdRate is the number of requests per second that a cold target can handle from all
+	// entries together; 0 if cold targets have no limit.
 	ColdRate float64
-	// MaxConnections is how many a target accepts from all entries together; 0 where
-	// that is not said.
+	// MaxConnections is the number of connections that a target accepts from all entries
+	// together; 0 if unknown.
 	MaxConnections int
-	// IsEngine says that targets cache prompts and can fetch them.
+	// IsEngine reports whether targets cache prompts and can fetch them from each other.
 	IsEngine bool
-	// LatencyObjective is the shortest that a route to the service has; 0 where none has one.
-	// Index sets it.
+	// LatencyObjective is the shortest objective of all routes to the service; 0 if none has
+	// one. BuildIndex sets it.
 	LatencyObjective time.Duration
 }
 
@@ -110,14 +110,14 @@
 type WorkspaceAccess struct {
 	Name string
 	Keys []string
-	// Rank goes before the route's where HasRank is set.
+	// Rank overrides the route's rank if HasRank is set.
 	Rank    int
 	HasRank bool
-	// AllowedRegions are the only ones whose targets may get its requests; empty for all.
+	// AllowedRegions restricts its requests to targets in these regions; empty allows all.
 	AllowedRegions []string
 }
 
-// CallerLimits bound what a caller may send and how long it may stay idle.
+// CallerLimits limits the size of a caller's requests and the time a connection can be idle.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -125,7 +125,7 @@
 	IdleTimeout    time.Duration
 }
 
-// BuildIndex builds the look-ups; call it once, before the first use.
+// BuildIndex builds the indexes. It must be called once, before the first use.
 func (c *Routing) BuildIndex() {
 	c.hosts = make(map[string][]*Route)
 	for i := range c.Routes {
@@ -144,7 +144,7 @@
 	}
 }
 
-// updateObjectives takes the objective of a route into those of its services.
+// updateObjectives lowers the objectives of the route's services to that of the route.
 func (c *Routing) updateObjectives(r *Route) {
 	for _, split := range r.Splits {
 		s := c.Services[split.Service]
@@ -157,8 +157,8 @@
 	}
 }
 
-// MatchRoute finds the route of a request: the longest prefix among those of the
-// host, or nil.
+// MatchRoute returns the route with the longest prefix that matches the path among those
+// of the host, or nil.
 func (c *Routing) MatchRoute(host, path string) *Route {
 	routes, ok := c.hosts[host]
 	if !ok {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// WorkspaceByKey finds the workspace that holds a key, or nil.
+// WorkspaceByKey returns the workspace that has the key, or nil.
 func (c *Routing) WorkspaceByKey(key string) *WorkspaceAccess {
 	if key == "" {
 		return nil
@@ -181,21 +181,21 @@
 	return c.keys[key]
 }
 
-// Instance is one run of a target as the platform lists it. A restart is a new
-// instance, even when the name is the same.
+// Instance is one run of a target as the platform lists it. A restarted target is a new
+// instance, even if its name is the same.
 type Instance struct {
 	ID      string
 	Service string
 	// Address is IP and port.
 	Address string
 	Domain  string
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Leaving says that the target takes no new work.
+	// Leaving reports whether the target takes no new work.
 	Leaving bool
-	// ColdRemaining is how long the target stays cold, counted from when it said so.
+	// ColdRemaining is how long the target stays cold, counted from the time of its report.
 	ColdRemaining time.Duration
-	// StartedMs is when the target started, Unix milliseconds by its own clock; 0
-	// where it does not say.
+	// StartedMs is the start time of the target by its own clock, in Unix milliseconds; 0
+	// if it does not report one.
 	StartedMs int64
 }
--- a/source.go
+++ b/source.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// FactKind says which field of a Fact holds.
+// FactKind determines which field of a Fact is set.
 type FactKind uint8
 
 // The kinds of a fact.
 const (
-	FactUnknown   FactKind = iota // another writer's entry; it is left alone
+	FactUnknown   FactKind = iota // an entry of another writer; it is ignored
 	FactRouting                   // a version of the configuration
 	FactDomainOut                 // a failure domain is out of service
 	FactInstance                  // a target
 )
 
-// Topic is a part of the facts that is read on its own, so that a large configuration holds
-// up no change of targets.
+// Topic is a subset of the facts that is read separately, so that a large configuration
+// does not delay changes of targets.
 type Topic uint8
 
 // The topics.
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("topic %d", uint8(t))
 }
 
-// ParseTopic returns the topic of a name, and whether there is one.
+// ParseTopic returns the topic with the given name, and false if no topic has it.
 func ParseTopic(name string) (Topic, bool) {
 	for t := range TopicCount {
 		if topicNames[t] == name {
@@ -62,54 +62,54 @@
 	Kind FactKind
 	// Name of the instance or failure domain.
 	Name string
-	// Revision is when the entry changed last.
+	// Revision is the revision at which the entry changed last.
 	Revision uint64
-	// Deleted says that the entry was removed.
+	// Deleted reports whether the entry was removed.
 	Deleted  bool
 	Routing  *Routing
 	Instance *Instance
-	// Raw is the entry as it was published, for peers that can't read it.
+	// Raw is the entry as published, for peers of another version that decode it themselves.
 	Raw []byte
 }
 
-// Batch is the answer to one read.
+// Batch is the result of one read.
 type Batch struct {
-	// Revision is where a watch has to go on to miss nothing.
+	// Revision is the revision from which a watch must continue to miss no change.
 	Revision uint64
 	Facts    []Fact
-	// Age is by how much the answer may be older than the beginning of the call; 0 for
+	// Age is the maximum time by which the answer predates the start of the call; 0 for
 	// an answer of the source itself.
 	Age time.Duration
-	// SettleTime is for how much longer instances that are missing may still come back, after
+	// SettleTime is the remaining time in which missing instances can still reappear after
 	// the source was lost.
 	SettleTime time.Duration
-	// Bytes is the size of the answer, and First how long it took to begin.
+	// Bytes is the size of the answer, and TimeToFirstByte the time until its first byte.
 	Bytes           int
 	TimeToFirstByte time.Duration
 }
 
-// IsDirect says that the source itself answered.
+// IsDirect reports whether the source itself answered.
 func (b *Batch) IsDirect() bool { return b.Age == 0 }
 
-// Source is where the facts of one topic are published. Nothing is ever written there.
+// Source reads the published facts of one topic. It is read-only.
 type Source interface {
 	// List reads all facts. The error is ErrSource.
 	List(ctx context.Context) (Batch, error)
-	// Watch waits until there are changes after a revision, or the time is
+	// Watch waits until there are changes after a revision or the wait time is
 	// over. The error is ErrSource.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Batch, error)
 }
 
-// ErrSource says that a source did not answer as it should.
+// ErrSource reports that a read from a source failed.
 type ErrSource struct {
-	// Status is what it answered, 0 for no answer.
+	// Status is the HTTP status of the answer; 0 if there was none.
 	Status int
-	// Compacted says that the history after the revision is gone: a full read is due.
+	// Compacted reports that the history after the revision is gone: a full read is required.
 	Compacted bool
 	Err       error
 }
 
-// Error says which answer came.
+// Error returns the cause, or the status of the answer.
 func (err ErrSource) Error() string {
 	if err.Err != nil {
 		return "source: " + err.Err.Error()
@@ -120,7 +120,7 @@
 // Unwrap returns the cause.
 func (err ErrSource) Unwrap() error { return err.Err }
 
-// Decoder reads an entry in the form in which it was published.
+// Decoder decodes an entry from the form in which it was published.
 type Decoder interface {
 	Decode(kind FactKind, name string, revision uint64, raw []byte) Fact
 }
--- a/view.go
+++ b/view.go
@@ -5,9 +5,9 @@
 	"encoding/hex"
 )
 
-// View is a publication with the look-ups that a request needs. It is built
-// once for each publication and never changed, so that it is read without a
-// lock by all requests that began under it.
+// View is a publication with the indexes that requests need. It is built once for
+// each publication and immutable, so all requests that started under it read it
+// without a lock.
 type View struct {
 	Publication *Publication
 	// Targets by name.
@@ -20,7 +20,7 @@
 	Profiles map[string]*Profile
 	// Workspaces by name.
 	Workspaces map[string]*Workspace
-	// DomainByHost of hosts: failure domain by host name.
+	// DomainByHost holds the failure domain of each host, by the host's name.
 	DomainByHost map[string]*Domain
 	// Hosts by name.
 	Hosts map[string]*Host
@@ -28,7 +28,7 @@
 	keys map[[sha256.Size]byte]*Workspace
 }
 
-// NewView builds the look-ups of a publication that was checked before.
+// NewView builds the indexes of a publication that has passed the checks.
 func NewView(p *Publication) *View {
 	v := &View{
 		Publication:    p,
@@ -91,13 +91,13 @@
 	v.keys[[sha256.Size]byte(raw)] = ws
 }
 
-// Authenticate finds the workspace that a caller's key belongs to, or nil. The
-// publication holds hashes only, so that reading it gives no one a key.
+// Authenticate returns the workspace that a caller's key belongs to, or nil. The
+// publication contains only hashes, so reading it reveals no keys.
 func (v *View) Authenticate(key string) *Workspace {
 	return v.keys[sha256.Sum256([]byte(key))]
 }
 
-// IsOut says whether operators took the target, its host or its failure domain
+// IsOut reports whether operators took the target, its host or its failure domain
 // out of service.
 func (v *View) IsOut(t *Target) bool {
 	if t.Out {
@@ -110,8 +110,8 @@
 	return d == nil || d.Out
 }
 
-// EffectiveWeight returns the target's weight, 1 where the publication sets none. Whoever
-// divides by the weight itself gets an infinite load for such a target.
+// EffectiveWeight returns the target's weight, or 1 if the publication sets none. Dividing
+// by the Weight field itself yields an infinite load for such a target.
 func (t *Target) EffectiveWeight() float64 {
 	if t.Weight > 0 {
 		return t.Weight
@@ -119,7 +119,7 @@
 	return 1
 }
 
-// Region returns the region of a host, or "" when the host is unknown.
+// Region returns the region of a host, or "" if the host is unknown.
 func (v *View) Region(host string) string {
 	if d := v.DomainByHost[host]; d != nil {
 		return d.Region
