--- a/config/address.go
+++ b/config/address.go
@@ -6,9 +6,9 @@
 	"net/url"
 )
 
-// addressProblem checks an address that others connect to: IP and port. Names are
-// refused because the fleet runs without a resolver; one that hangs would hold
-// up every new connection.
+// addressProblem checks an address that others connect to, which must be an IP and a port. Names
+// are refused because the fleet runs without a resolver: one that does not respond would
+// delay every new connection. It returns "" for a valid address.
 func addressProblem(s string) string {
 	if s == "" {
 		return "missing; want IP and port, such as \"10.0.0.1:7000\""
@@ -23,13 +23,13 @@
 	return ""
 }
 
-// isLoopback says whether an address stays on its host.
+// isLoopback reports whether an address is on the loopback interface.
 func isLoopback(s string) bool {
 	ap, err := netip.ParseAddrPort(s)
 	return err == nil && ap.Addr().IsLoopback()
 }
 
-// urlProblem checks the URL of an HTTP service whose host is an IP.
+// urlProblem checks the URL of an HTTP service whose host is an IP. It returns "" for a valid URL.
 func urlProblem(s string) string {
 	if s == "" {
 		return "missing; want a URL, such as \"http://10.0.0.1:7000\""
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process may use 64 MB in all. What it holds of a publication has to leave
-// nearly all of that to requests, also while the next one is being put in force.
+// TestStoreMemory guards against a store whose indexes take a large part of the 64 MB of a
+// process. While the next publication is being applied, two sets of indexes are in memory.
 func TestStoreMemory(t *testing.T) {
 	heap := func() float64 {
 		runtime.GC()
@@ -25,12 +25,12 @@
 	held := heap() - before
 	runtime.KeepAlive(parts)
 	runtime.KeepAlive(s)
-	t.Logf("2,700 targets: %.1f MiB for look-ups, beside the parts themselves", held)
+	t.Logf("2,700 targets: %.1f MiB for the indexes, in addition to the parts", held)
 	assert.Assert(t, held < 8)
 }
 
-// BenchmarkApply puts a changed publication of 2,700 targets in force, which each
-// process does for every change: 11,000 times a day.
+// BenchmarkApply applies a changed publication of 2,700 targets. Each process does this for
+// every change: 11,000 times a day.
 func BenchmarkApply(b *testing.B) {
 	p := fleet(1, 2700, 270)
 	list := make([]packed, 0, b.N+1)
--- a/config/config.go
+++ b/config/config.go
@@ -1,8 +1,7 @@
-// Package config holds what a process is told: the settings of one process,
+// Package config reads and checks the configuration of a process: its own settings,
 // which it reads from a file when it starts, and the publication of the whole
-// fleet, which it learns from the platform and from its peers while it runs.
+// fleet, which it receives from the platform and from its peers while it runs.
 //
-// Files are JSON with comments. A mistake is reported with its file, line and
-// field, and all mistakes of a file are reported together, so that an operator
-// mends a file in one go instead of meeting its errors one by one.
+// Files are JSON with comments. All mistakes of a file are reported together, each with
+// its file, line and field, so that an operator can correct them in one pass.
 package config
--- a/config/diff.go
+++ b/config/diff.go
@@ -8,10 +8,10 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Diff says what a change from one publication to another would do, in one
-// line for each effect: targets in and out, the share of each model's load that
-// moves to another target, and targets whose cap would lie below the load they
-// carry now. Both publications were checked; loads may be empty.
+// Diff describes the effects of replacing one publication with another, one line for each
+// effect: targets that come into or go out of service, the share of each model's load that
+// moves to another target, and targets whose cap would be below their current
+// load. Both publications must have passed Check; loads may be empty.
 func Diff(old, next *chestnutstep.Publication, loads []chestnutstep.Sample) []string {
 	d := diff{old: chestnutstep.NewView(old), next: chestnutstep.NewView(next)}
 	d.compareVersions()
@@ -110,7 +110,7 @@
 		after.Multiple, after.Floor, after.Slots, after.QueueLimit, after.ColdCap)
 }
 
-// checkCaps warns of targets that would have to shed or queue at once.
+// checkCaps reports targets that would have to shed or queue requests immediately.
 func (d *diff) checkCaps(name string, before, after []*chestnutstep.Target, loads []chestnutstep.Sample) {
 	m := d.next.Models[name]
 	if m == nil || len(after) == 0 {
@@ -138,7 +138,7 @@
 	}
 }
 
-// targetCap is the cap of a target when the mean load for one unit of weight holds.
+// targetCap is the cap of a target for the given mean load per unit of weight.
 func targetCap(m *chestnutstep.Model, mean, weight float64) float64 {
 	if m.Multiple == 0 {
 		return float64(m.Slots)
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// movedShare is the share of a model's load that changes its target: what the
-// targets gain, as weighted rendezvous hashing moves nothing else.
+// movedShare is the share of a model's load that moves to another target. It equals the
+// sum of what the targets gain, as weighted rendezvous hashing moves no other load.
 func movedShare(oldTargets, newTargets []*chestnutstep.Target) float64 {
 	if len(oldTargets) == 0 || len(newTargets) == 0 {
 		return min(float64(len(oldTargets)), 1)
--- a/config/direct.go
+++ b/config/direct.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// DirectSettings is the settings of an entry that brings requests to targets without
+// DirectSettings is the settings of an entry that forwards requests to targets without
 // agents, on a platform that publishes routes and targets.
 type DirectSettings struct {
 	Name   string
 	IP     string
 	Domain string
 	Region string
-	// Regions gives the region of each failure domain.
+	// Regions holds the region of each failure domain.
 	Regions map[string]string
-	// Callers, Ready and Control are listening addresses; Control may be empty.
+	// CallerAddr, ReadyAddr and ControlAddr are listening addresses; ControlAddr may be empty.
 	CallerAddr  string
 	ReadyAddr   string
 	ControlAddr string
 	// PeerAddr is the UDP address for the datagrams between entries.
 	PeerAddr string
-	// MetricsAddr is where metrics are read; empty for none.
+	// MetricsAddr is the listening address for metrics; empty for none.
 	MetricsAddr string
-	// Seeds are Peer addresses of some other entries.
+	// Seeds are the peer addresses of some other entries.
 	Seeds []string
 	// StoreAddr is the address of the platform's store.
 	StoreAddr string
 	Bounds    Bounds
-	// MaxFDs is how many descriptors the process may have, and Memory how many bytes; 0
-	// for as many as the system allows.
+	// MaxFDs limits the file descriptors of the process, and MemoryBytes its memory; 0
+	// is the limit of the system.
 	MaxFDs      int
 	MemoryBytes int64
-	// LinkMbps is the rate of the host's link in Mbit/s; 0 for an unknown one.
+	// LinkMbps is the rate of the host's network link in Mbit/s; 0 if unknown.
 	LinkMbps int
-	// Bootstrap says that the whole fleet starts for the first time.
+	// Bootstrap reports whether the whole fleet starts for the first time.
 	Bootstrap bool
-	// UnknownFields are fields of the settings file that this version does not know.
+	// UnknownFields lists fields of the settings file that this version does not support.
 	UnknownFields []string
 }
 
@@ -44,30 +44,30 @@
 type Bounds struct {
 	// GracePeriod is the time from SIGTERM to SIGKILL.
 	GracePeriod time.Duration
-	// MaxRevokeTime is when a key that was taken away must be dead everywhere.
+	// MaxRevokeTime is the time after which a revoked key must be refused everywhere.
 	MaxRevokeTime time.Duration
-	// MaxApplyTime is the time in which a change must be in force everywhere; 0 where none is
+	// MaxApplyTime is the time after which a change must be in force everywhere; 0 if none is
 	// set.
 	MaxApplyTime time.Duration
-	// RetryRatio of a service's requests, and RetrySlack more, may be repeats
+	// RetryRatio of a service's requests, plus RetrySlack requests, can be retries
 	// within RetryWindow, over all entries.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// ColdFactor times a cold target's rate, and ColdSlack more, may reach it in
-	// a second, over all entries.
+	// ColdFactor times a cold target's rate, plus ColdSlack requests, can reach it per
+	// second, over all entries.
 	ColdFactor float64
 	ColdSlack  float64
-	// CapFactor is the multiple of the mean load that no target may carry.
+	// CapFactor is the multiple of the mean load that no target may exceed.
 	CapFactor float64
 }
 
-// minFDs is the fewest descriptors with which an entry can serve: its listeners, the
-// source, and some connections to callers and targets.
+// minFDs is the smallest number of file descriptors with which an entry can serve: its
+// listeners, the source, and some connections to callers and targets.
 const minFDs = 64
 
-// MaxCallers is how many connections of callers an entry holds: half of its descriptors,
-// as the other half serves targets, and no more than a quarter of its memory carries.
+// MaxCallers returns the maximum number of caller connections of an entry: half of its file
+// descriptors, as the other half serves targets, and no more than fit into a quarter of its memory.
 func (s *DirectSettings) MaxCallers(maxFDs int) int {
 	if s.MaxFDs > 0 {
 		maxFDs = min(maxFDs, s.MaxFDs)
@@ -79,12 +79,12 @@
 	return limit
 }
 
-// bytesPerCaller is the memory of a caller's connection with its request and answer, and with
-// what the garbage collector has yet to clear away of earlier ones.
+// bytesPerCaller is the memory of a caller's connection with its request and answer, and of
+// the garbage of earlier ones that has not been collected yet.
 const bytesPerCaller = 96 << 10
 
-// Check returns what is wrong with the settings. The names map gives the field
-// of the file that each setting came from.
+// Check returns the problems of the settings. The names map holds, by setting, the name of
+// the field in the file.
 func (s *DirectSettings) Check(file string, names map[string]string) []Problem {
 	var list []Problem
 	add := func(name, text string) {
--- a/config/document.go
+++ b/config/document.go
@@ -10,26 +10,26 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxDepth bounds how deep a document may nest. The parser below recurses, so
-// a file of nothing but opening brackets would otherwise grow the stack until
-// the process dies. The deepest field that has a meaning lies at depth 4.
+// maxDepth limits the nesting of a document. The parser recurses, so a file of nothing
+// but opening brackets would otherwise grow the stack until the process
+// crashes. The deepest valid field is at depth 4.
 const maxDepth = 16
 
 // document reads JSON with comments into a struct. Unlike encoding/json it
-// refuses unknown and repeated fields, goes on after an error, and remembers on
-// which line each field stands, so that later checks can point at it too.
+// refuses unknown and repeated fields, continues after an error, and records the line
+// of each field, so that later checks can report it.
 type document struct {
 	file  string
 	raw   []byte
 	lines map[string]int
-	// lineEnds are the offsets of line ends; a search in them keeps a large file
-	// from being scanned once for each of its values.
+	// lineEnds holds the offsets of line ends. Lines are found by binary search in it
+	// instead of a scan of the whole file for each value.
 	lineEnds []int
 	problems problems
 }
 
-// read fills the struct that into points to. What could not be read keeps the
-// value it had.
+// read fills the struct that into points to. Fields that could not be read keep
+// their value.
 func (d *document) read(into any) {
 	d.lines = make(map[string]int)
 	for i, c := range d.raw {
@@ -48,8 +48,8 @@
 	d.readValue(&v, reflect.ValueOf(into).Elem(), "")
 }
 
-// checkDepth refuses documents that nest too deeply. It counts brackets outside
-// of strings; brackets in comments count too, which is harmless.
+// checkDepth refuses documents that are nested too deeply. It counts brackets outside
+// of strings; it also counts brackets in comments, which is harmless.
 func (d *document) checkDepth() bool {
 	depth, quoted := 0, false
 	for i := 0; i < len(d.raw); i++ {
@@ -59,7 +59,7 @@
 		case c == '"':
 			quoted = !quoted
 		case quoted && c == '\n':
-			quoted = false // a quotation mark in a comment; strings end on their line
+			quoted = false // a quotation mark in a comment: strings do not span lines
 		case quoted:
 		case c == '{' || c == '[':
 			depth++
@@ -74,7 +74,7 @@
 	return true
 }
 
-// addSyntaxError turns the parser's message, which holds the line in its text, into a
+// addSyntaxError converts an error of the parser, which contains the line in its text, to a
 // problem at that line.
 func (d *document) addSyntaxError(err error) {
 	p := Problem{Text: err.Error()}
@@ -145,7 +145,7 @@
 
 func (d *document) readArray(v *hujson.Value, into reflect.Value, path string) {
 	if v.Value.Kind() == 'n' {
-		return // encoding/json writes an empty list as null
+		return // encoding/json encodes a nil slice as null
 	}
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
@@ -166,9 +166,9 @@
 	d.problems.add(path, "want %s, got %s", expectedType(into.Kind()), actualType(v))
 }
 
-// mergeProblems returns the problems with file and line filled in. Problems found by
-// checks, which know only the path, are left out where reading the same field
-// failed already; all of them are where the file as a whole could not be read.
+// mergeProblems returns all problems with file and line filled in. A problem found by
+// checks, which has only a path, is omitted if the same field could not be read. All of
+// them are omitted if the whole file could not be read.
 func (d *document) mergeProblems(checked []Problem) error {
 	failed := make(map[string]bool, len(d.problems.list))
 	for _, p := range d.problems.list {
@@ -190,7 +190,7 @@
 	return d.problems.err()
 }
 
-// fieldLine finds the line of a field, or of what encloses it when it is missing.
+// fieldLine returns the line of a field or, if it is missing, of the value that contains it.
 func (d *document) fieldLine(path string) int {
 	for {
 		if n, ok := d.lines[path]; ok {
@@ -211,7 +211,7 @@
 	return path + "." + name
 }
 
-// fieldByName finds the field that encoding/json would write under the name.
+// fieldByName finds the field that encoding/json encodes under the given name.
 func fieldByName(v reflect.Value, name string) (reflect.Value, bool) {
 	for i := range v.NumField() {
 		if jsonName(v.Type().Field(i)) == name {
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -30,7 +30,7 @@
 	// fleet.json:4: budget.writes: unknown field; known here: reads, loads, retries, export
 }
 
-// A store moves only to higher versions, whoever brings which.
+// A store accepts only higher versions, regardless of the order in which they arrive.
 func ExampleStore() {
 	p, err := config.Parse("fleet.json", []byte(written))
 	if err != nil {
--- a/config/main_test.go
+++ b/config/main_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { script.Main(m, 100) }
 
-// fleet makes a valid publication: one engine model, n targets spread over
+// fleet returns a valid publication: one engine model, n targets spread over
 // three domains, each on its own host, and ws workspaces.
 func fleet(version uint64, n, ws int) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
--- a/config/pack.go
+++ b/config/pack.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// MaxValueBytes is the platform's limit for one value, and so for the root and
+	// MaxValueBytes is the platform's size limit of one value, and so of the root and
 	// each part, in bytes.
 	MaxValueBytes = 1 << 20
-	// shardBytes is the size that parts aim at. A change costs every process
-	// the root, which holds one hash a part, and the parts that changed. Small
-	// parts make the root large and large parts are costly themselves; the sum
-	// is least near the square root of (all bytes x bytes a hash), which for a
-	// publication of half a megabyte is 4 KiB.
+	// shardBytes is the intended size of a part. For a change, every process reads the root,
+	// which contains one hash per part, and the changed parts. Small parts make the root
+	// large, and large parts are costly themselves. The sum is smallest near the square
+	// root of (all bytes * bytes per hash), which is 4 KiB for a publication of half a
+	// megabyte.
 	shardBytes = 4 << 10
-	// hashBytes is how much of SHA-256 names a part. 128 bits halve the root
-	// and still rule out two parts with one name by accident; making such a
-	// pair on purpose takes someone who may publish whatever they like anyway.
+	// hashBytes is the number of bytes of a part's SHA-256 hash that are used. 128 bits halve
+	// the root and still exclude accidental collisions. A deliberate collision requires
+	// permission to publish, with which any content could be published anyway.
 	hashBytes = 16
 )
 
@@ -38,21 +38,21 @@
 	PartPrefix = "chestnut/part/"
 )
 
-// Root names the parts of one publication. It is the only value that operators
-// overwrite: parts are named by their content and never change, so that a
-// reader who holds a root can't mix parts of two publications.
+// Root lists the parts of one publication. It is the only value that operators
+// overwrite: parts are named by the hash of their content and never change, so
+// a reader of one root can't mix parts of two publications.
 type Root struct {
 	Version uint64 `json:"version"`
 	// ReadRate and Nodes repeat the publication's read budget and the number of
-	// processes it covers, so that a process knows its share of the budget
-	// before it spends reads on the parts.
+	// processes that it covers, so that a process can compute its share of the budget
+	// before it reads the parts.
 	ReadRate float64 `json:"reads"`
 	Nodes    int     `json:"nodes"`
-	// Parts are the content hashes, in the order in which parts are joined.
+	// Parts are the content hashes, in the order in which the parts are joined.
 	Parts []string `json:"parts"`
 }
 
-// fragment is the content of one part: a piece of a publication.
+// fragment is the content of one part: a subset of a publication.
 type fragment struct {
 	Domains    []chestnutstep.Domain    `json:"domains,omitempty"`
 	Hosts      []chestnutstep.Host      `json:"hosts,omitempty"`
@@ -63,16 +63,16 @@
 	Budget     *chestnutstep.Budget     `json:"budget,omitempty"`
 }
 
-// Hash names content: a root or a part.
+// Hash returns the hash that names content: a root or a part.
 func Hash(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:hashBytes])
 }
 
-// CountNodes counts the processes that a publication covers: an agent for each
-// target, and an entry for each host that is marked to bear one or, where none
-// is marked, for each host without a target. It errs high when hosts stand idle,
-// which only makes each process read less.
+// CountNodes counts the processes that a publication covers: one agent for each
+// target, and one entry for each host marked with HasEntry or, if no host is
+// marked, for each host without a target. Hosts without any process make the count too
+// high, in which case each process reads less than it could.
 func CountNodes(p *chestnutstep.Publication) int {
 	hasTarget := make(map[string]bool, len(p.Targets))
 	for i := range p.Targets {
@@ -93,10 +93,10 @@
 	return max(len(p.Targets)+unused, 1)
 }
 
-// Pack splits a publication that was checked into a root and parts by hash. The
-// same content gives the same bytes in whatever order it is listed. Items are
-// spread over parts by the hash of their name, so that a change of one item
-// changes one part, and adding an item moves no other.
+// Pack splits a publication that has passed Check into a root and parts, by hash. The
+// result does not depend on the order of items. Items are distributed over parts by the
+// hash of their name, so that changing one item changes one part, and adding an item
+// moves no other item.
 func Pack(p *chestnutstep.Publication) (root []byte, parts map[string][]byte) {
 	list := []fragment{{Domains: sortedByName(p.Domains, domainName), Budget: &p.Budget}}
 	list = append(list, shard(p.Models, modelName, func(f *fragment) *[]chestnutstep.Model { return &f.Models })...)
@@ -116,7 +116,7 @@
 	return encode(r), parts
 }
 
-// encode writes plain data, which can't fail once a publication was checked.
+// encode marshals plain data, which can't fail for a publication that has passed Check.
 func encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -138,8 +138,8 @@
 	return out
 }
 
-// shard spreads items over parts. Their number is a power of two, so that it
-// changes seldom as a list grows: each change of it replaces all parts of the
+// shard distributes items over parts. The number of parts is a power of two so that it
+// rarely changes as a list grows: each change of it replaces all parts of the
 // list.
 func shard[T any](list []T, name func(*T) string, field func(*fragment) *[]T) []fragment {
 	if len(list) == 0 {
@@ -162,13 +162,13 @@
 	return 1 << (bits.Len(uint(size/shardBytes)) - 1)
 }
 
-// ErrPart says that a part of a root is missing or is not what its hash says.
+// ErrPart reports a part of a root that is missing or whose content does not match its hash.
 type ErrPart struct {
 	Hash    string
 	Missing bool
 }
 
-// Error says which part and what is wrong with it.
+// Error returns the part's hash and the fault.
 func (err ErrPart) Error() string {
 	if err.Missing {
 		return "part " + err.Hash + " is missing"
@@ -176,12 +176,12 @@
 	return "part " + err.Hash + " has other content"
 }
 
-// IsErrPart checks whether an error is about a missing or wrong part.
+// IsErrPart reports whether an error is an ErrPart.
 func IsErrPart(err error) bool {
 	return errors.As(err, new(ErrPart))
 }
 
-// ParseRoot reads a root. The error is an ErrInvalid.
+// ParseRoot decodes and checks a root. The error is an ErrInvalid.
 func ParseRoot(raw []byte) (*Root, error) {
 	r := new(Root)
 	if len(raw) > MaxValueBytes {
@@ -211,9 +211,9 @@
 	return r, ps.err()
 }
 
-// Unpack puts a publication together and checks it: whole or not at all. The
-// error is an ErrPart for a part that is missing or wrong, and an ErrInvalid
-// for content that breaks the rules.
+// Unpack joins the parts of a publication and checks the result. The
+// error is an ErrPart if a part is missing or has the wrong content, and an ErrInvalid
+// if the content breaks the rules.
 func Unpack(root []byte, parts map[string][]byte) (*chestnutstep.Publication, error) {
 	r, err := ParseRoot(root)
 	if err != nil {
@@ -259,8 +259,8 @@
 	return ErrInvalid{Problems: []Problem{{Path: path, Text: text}}}
 }
 
-// decode reads one JSON value and refuses fields that this program does not
-// know: they may hold a rule that it would break by leaving them out.
+// decode decodes one JSON value. It refuses unknown fields, as they can contain a rule
+// that this version would break by ignoring it.
 func decode(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
--- a/config/problem.go
+++ b/config/problem.go
@@ -9,17 +9,17 @@
 
 // Problem is one mistake in a file or a publication.
 type Problem struct {
-	// File is the name the content was read under; empty for a publication that
-	// came from the platform or a peer.
+	// File is the name of the file; empty for a publication that came
+	// from the platform or a peer.
 	File string
-	// Line counts from 1; 0 when the content has no lines to point at.
+	// Line counts from 1; 0 if the content has no lines.
 	Line int
 	// Path is the field, such as "targets[3].host"; empty for the whole file.
 	Path string
 	Text string
 }
 
-// String formats the problem as compilers do, so that editors can jump to it.
+// String formats the problem like compiler errors, so that editors can jump to it.
 func (p Problem) String() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -38,13 +38,13 @@
 	return b.String()
 }
 
-// ErrInvalid says that a file or a publication breaks the rules. It lists every
-// problem that was found, in the order of the content.
+// ErrInvalid reports that a file or a publication breaks the rules. It lists all
+// problems, in the order of the content.
 type ErrInvalid struct {
 	Problems []Problem
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (err ErrInvalid) Error() string {
 	lines := make([]string, len(err.Problems))
 	for i, p := range err.Problems {
@@ -53,7 +53,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// IsErrInvalid checks whether an error lists problems of a file or publication.
+// IsErrInvalid reports whether an error is an ErrInvalid.
 func IsErrInvalid(err error) bool {
 	return errors.As(err, new(ErrInvalid))
 }
@@ -67,7 +67,7 @@
 	ps.list = append(ps.list, Problem{Path: path, Text: fmt.Sprintf(format, args...)})
 }
 
-// err returns nil when nothing was found.
+// err returns an ErrInvalid with all problems, or nil if there are none.
 func (ps *problems) err() error {
 	if len(ps.list) == 0 {
 		return nil
--- a/config/publication.go
+++ b/config/publication.go
@@ -4,12 +4,12 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// maxPublicationBytes bounds a publication's file in bytes. It is a sixteenth of a
-// process's memory; a publication of 3,000 targets takes less than a megabyte.
+// maxPublicationBytes is the maximum size of a publication's file in bytes. It is a sixteenth
+// of a process's memory; a publication of 3,000 targets takes less than a megabyte.
 const maxPublicationBytes = 4 << 20
 
-// Parse reads and checks a publication as operators write it. The error
-// (ErrInvalid) lists all problems; name stands for the file in them.
+// Parse decodes and checks a publication as operators write it. The error
+// (ErrInvalid) lists all problems, with name as the name of the file.
 func Parse(name string, raw []byte) (*chestnutstep.Publication, error) {
 	if len(raw) > maxPublicationBytes {
 		return nil, ErrInvalid{Problems: []Problem{{File: name, Text: "larger than 4 MiB"}}}
@@ -25,9 +25,9 @@
 	return p, nil
 }
 
-// Check lists all rules that a publication breaks, by path (ErrInvalid). A
-// process checks what it was sent before it puts it in force, as it can't know
-// whether operators did.
+// Check returns an ErrInvalid with all rules that a publication breaks, by path. A
+// process checks each publication that it receives before it applies it, as it can't rely
+// on operators having checked it.
 func Check(p *chestnutstep.Publication) error {
 	var ps problems
 	checkPublication(&ps, p)
--- a/config/publication_check.go
+++ b/config/publication_check.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// minMultiple is the least multiple of the mean load that can be kept:
-	// closer to 1, the error of the estimated mean alone would refuse work that
-	// every target has room for.
+	// minMultiple is the smallest multiple of the mean load that can be enforced.
+	// Closer to 1, the error of the estimated mean alone would refuse requests for which
+	// every target has capacity.
 	minMultiple = 1.05
-	// maxReadRate is what the configuration service stands from all readers
-	// together; a budget above it would break the service and not the budget.
+	// maxReadRate is the number of calls per second that the configuration service can serve to
+	// all readers together. A higher budget would overload the service.
 	maxReadRate = 2000
-	// maxKeys keeps one workspace, which can't be split, far below the size
+	// maxKeys keeps a workspace, which can't be split over parts, far below the size
 	// limit of a part.
 	maxKeys = 1000
-	// maxOffers bounds how many targets one request may be offered to: with the
-	// cap at 1.05 more than a few dozen full targets in a row mean saturation,
-	// which more offers only make worse.
+	// maxOffers is the maximum number of targets that one request can be offered to. With
+	// the cap at 1.05, more than a few dozen full targets in a row mean saturation, which
+	// more offers only make worse.
 	maxOffers = 64
-	// keyBytes is the length of a caller's key hash, SHA-256.
+	// keyBytes is the length of the SHA-256 hash of a caller's key.
 	keyBytes = 32
 )
 
-// checkPublication goes through a publication in its own order.
+// checkPublication checks a publication in the order of its fields.
 func checkPublication(ps *problems, p *chestnutstep.Publication) {
 	if p.Version == 0 {
 		ps.add("version", "want a version from 1 up")
@@ -43,16 +43,16 @@
 	c.checkBudget(p.Budget)
 }
 
-// checker knows the names that later parts of a publication refer to.
+// checker holds the names that later parts of a publication refer to.
 type checker struct {
 	*problems
 	domains, hosts, models names
 }
 
-// names maps a name to the path at which it was given first.
+// names maps a name to the path at which it was first defined.
 type names map[string]string
 
-// add checks a name and that no other item of the list has it.
+// add checks a name and reports it if another item of the list has it.
 func (ns names) add(ps *problems, path, name string) {
 	if !checkName(ps, path+".name", name) {
 		return
@@ -64,7 +64,7 @@
 	ns[name] = path
 }
 
-// checkReference checks that a reference names something that was given.
+// checkReference reports a reference that is missing or whose name is not defined.
 func (ns names) checkReference(ps *problems, path, kind, name string) {
 	if name == "" {
 		ps.add(path, "missing")
@@ -155,7 +155,7 @@
 	}
 }
 
-// orderKinds are the orders that engines know.
+// orderKinds are the kinds of orders that engines support.
 var orderKinds = []string{
 	chestnutstep.OrderModel, chestnutstep.OrderAdapter, chestnutstep.OrderVersion, chestnutstep.OrderRole,
 }
@@ -217,8 +217,8 @@
 	}
 }
 
-// checkKeys refuses a key of two workspaces: the caller would be served under
-// the limits of whichever came last.
+// checkKeys refuses a key that two workspaces have: its callers would be served under
+// the limits of the one that comes last.
 func (c *checker) checkKeys(path string, list []string, seen names) {
 	if len(list) > maxKeys {
 		c.add(path, "want at most %d keys, got %d", maxKeys, len(list))
@@ -228,7 +228,7 @@
 		p := fmt.Sprintf("%s[%d]", path, i)
 		raw, err := hex.DecodeString(key)
 		if err != nil || len(raw) != keyBytes {
-			c.add(p, "want the SHA-256 of a key, as 64 hexadecimal digits") // the text may be a key: keep it out of logs
+			c.add(p, "want the SHA-256 of a key, as 64 hexadecimal digits") // the value can be the key itself: keep it out of logs
 			continue
 		}
 		sum := string(raw)
--- a/config/publication_test.go
+++ b/config/publication_test.go
@@ -15,8 +15,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// The scripts in testdata/publication give a publication's file and all that an
-// operator is told about it.
+// TestPublication runs the scripts in testdata/publication. Each contains the file of a
+// publication and the problems or the effects that are reported to the operator.
 func TestPublication(t *testing.T) {
 	datadriven.Walk(t, "testdata/publication", func(t *testing.T, path string) {
 		var old *chestnutstep.Publication
@@ -37,7 +37,7 @@
 	})
 }
 
-// samples reads loads=(t1:3,t2:5).
+// samples parses loads=(t1:3,t2:5).
 func samples(t *testing.T, d *datadriven.TestData) []chestnutstep.Sample {
 	arg, _ := d.Arg("loads")
 	var list []chestnutstep.Sample
@@ -50,8 +50,9 @@
 	return list
 }
 
-// An operator changes one target of a large fleet. Were the publication one
-// value, each of thousands of processes would fetch half a megabyte for it.
+// TestPackSmallChange guards against a small change that is costly to distribute. If the
+// publication were one value, each of thousands of processes would read half a megabyte
+// when an operator changes one target of a large fleet.
 func TestPackSmallChange(t *testing.T) {
 	for _, n := range []int{6, 300, 2700} {
 		p := fleet(1, n, n/10)
@@ -80,8 +81,8 @@
 	}
 }
 
-// A part is cut short or altered on its way, or names a rule that this program
-// does not know. Applied as it is, the fleet would run on half a publication.
+// TestUnpackRefuses guards against applying an incomplete publication: a part is truncated
+// or altered in transit, or contains a field that this version does not support.
 func TestUnpackRefuses(t *testing.T) {
 	root, parts := Pack(fleet(1, 40, 4))
 	hashes := make([]string, 0, len(parts))
@@ -121,7 +122,7 @@
 		assert.NilError(t, Check(p))
 		root, parts := Pack(p)
 		_, err = Unpack(root, parts)
-		assert.NilError(t, err, "what operators' check lets through must come into force")
+		assert.NilError(t, err, "a publication that passes the check must unpack")
 	})
 }
 
--- a/config/ramp_test.go
+++ b/config/ramp_test.go
@@ -16,14 +16,14 @@
 )
 
 // rampPart is a part as a RAMP writer stores it: under a fixed name, with the
-// version of the write and how many siblings it has.
+// version of the write and the number of its siblings.
 type rampPart struct {
 	Version  uint64
 	Siblings int
 	Content  []byte
 }
 
-// platformReader reads a publication from the platform's stand-in.
+// platformReader reads a publication from the fake platform.
 type platformReader struct {
 	t     *testing.T
 	url   string
@@ -40,7 +40,7 @@
 	return raw
 }
 
-// readRoot reads the root and the parts that are new, as the fleet does.
+// readRoot reads the root and the new parts, as the fleet does.
 func (r *platformReader) readRoot() {
 	parsed, err := ParseRoot(r.get(RootName))
 	assert.NilError(r.t, err)
@@ -51,8 +51,8 @@
 	}
 }
 
-// readRAMP reads all parts in one round, and those that a newer sibling shows to be
-// old in a second one by their version.
+// readRAMP reads all parts in one round. In a second round it reads, by version, the parts
+// that are older than a sibling.
 func (r *platformReader) readRAMP(n int) {
 	list := make([]rampPart, n)
 	var newest uint64
@@ -67,8 +67,8 @@
 	}
 }
 
-// The ways to read a publication of many parts without mixing two of them are
-// compared by the calls that the service counts, as those are what it bounds.
+// TestRampReads compares two methods of reading a publication of many parts without mixing two
+// publications, by the number of calls, which is what the service limits.
 func TestRampReads(t *testing.T) {
 	var platform fake.Platform
 	srv := httptest.NewServer(&platform)
@@ -100,7 +100,7 @@
 	p.Targets[0].Out, p.Version = true, 2
 	publish(p)
 	rootChange, rampChange := calls(r.readRoot), calls(func() { r.readRAMP(n) })
-	old := platform.Put("ramp/0", bytes.Clone(r.get("ramp/0/1"))) // one part not yet written
+	old := platform.Put("ramp/0", bytes.Clone(r.get("ramp/0/1"))) // one part is not written yet
 	rampRace := calls(func() { r.readRAMP(n) })
 	t.Logf("%d parts: calls at the start: root %d, RAMP %d; for a change: root %d, RAMP %d, during a write %d (revision %d)",
 		n, rootStart, rampStart, rootChange, rampChange, rampRace, old)
--- a/config/reload.go
+++ b/config/reload.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// reloadInterval is how often a settings file is looked at: it may change without
-// a signal, and reading a page of text costs next to nothing.
+// reloadInterval is the interval between checks of a settings file. The file can change
+// without a signal, and reading a page of text is cheap.
 const reloadInterval = 2 * time.Second
 
-// Reloader reads a settings file again when it changed, or SIGHUP came. Set the
-// fields before Loop.
+// Reloader reads a settings file again when it has changed or SIGHUP arrives. The
+// fields must be set before Run.
 type Reloader struct {
 	Path  string
 	Parse func(path string) (*DirectSettings, error)
-	// OnChange hears of settings that differ; Refused of a file that can't be
-	// used, once for each state of the file. The former settings stay.
+	// OnChange is called with settings that differ from the previous ones. OnError is called
+	// for a file that can't be used, once for each content; the previous settings stay in force.
 	OnChange func(s *DirectSettings)
 	OnError  func(err error)
-	// Interval is reloadEvery when 0.
+	// Interval between checks; reloadInterval if 0.
 	Interval time.Duration
-	// Read is what the settings in force were read from, before they were parsed. A file
-	// that changes between that and the first look would else never be noticed: the
-	// process would keep settings that nobody sees any more. Nil takes what the file holds
-	// when Loop begins.
+	// Read is the file's content from which the settings in force were parsed. Without it, a
+	// change between that read and the first check would not be detected, and the
+	// process would keep settings that are no longer in the file. If nil, the content at the
+	// start of Run is used.
 	Read []byte
 
 	last []byte
 }
 
-// Run looks until ctx ends.
+// Run checks the file until ctx ends.
 func (r *Reloader) Run(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -45,7 +45,7 @@
 	defer tick.Stop()
 	r.last = r.Read
 	if r.last == nil {
-		r.last, _ = os.ReadFile(r.Path) // a failure shows at the next look
+		r.last, _ = os.ReadFile(r.Path) // an error is reported by the next check
 	}
 	for {
 		select {
@@ -76,7 +76,7 @@
 	r.OnChange(s)
 }
 
-// reportError tells of a state of the file once.
+// reportError reports the error once for each content of the file.
 func (r *Reloader) reportError(raw []byte, err error) {
 	if raw == nil && r.last == nil {
 		return
--- a/config/reload_test.go
+++ b/config/reload_test.go
@@ -13,9 +13,10 @@
 	"chestnutstep.example/chestnutstep/config"
 )
 
-// The settings file changes while the process starts: after it was read, and before it is
-// looked at for the first time. Operators see new bounds in the file, and the process goes
-// on with the old ones until the next change. A file that is broken by then is told as well.
+// TestReloaderDetectsChangeBeforeFirstCheck guards against a change of the settings file that is
+// missed because it happens after the file was read at the start and before the first check.
+// The process would keep the old settings until the next change. A file that is invalid by
+// then must also be reported.
 func TestReloaderDetectsChangeBeforeFirstCheck(t *testing.T) {
 	for _, content := range []string{"second", "broken"} {
 		file := filepath.Join(t.TempDir(), "settings")
@@ -38,7 +39,7 @@
 		case got := <-reports:
 			assert.Equal(t, got, content)
 		case <-time.After(10 * time.Second):
-			t.Error("the change was never noticed")
+			t.Error("the change was not detected")
 		}
 		cancel()
 	}
--- a/config/settings.go
+++ b/config/settings.go
@@ -9,57 +9,57 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Role is what a process does in the fleet.
+// Role is the function of a process in the fleet.
 type Role string
 
 // The roles.
 const (
-	RoleEntry Role = "entry" // takes callers' requests and proposes targets
-	RoleAgent Role = "agent" // stands beside one target and decides
+	RoleEntry Role = "entry" // accepts callers' requests and proposes targets
+	RoleAgent Role = "agent" // runs next to one target and decides which requests it accepts
 )
 
-// Settings is what one process is told when it starts. It differs from a
-// publication in that it holds only what is true of this process and host.
+// Settings holds the settings that a process reads when it starts. Unlike a
+// publication, it contains only values that apply to this process and host.
 type Settings struct {
-	// Name of the process: an agent's is the name of its target if unset.
+	// Name of the process; if unset, an agent uses the name of its target.
 	Name string `json:"name"`
-	// Host and Domain say where the process runs; Region of the domain.
+	// Host and Domain are where the process runs; Region is the region of the domain.
 	Host   string `json:"host"`
 	Domain string `json:"domain"`
 	Region string `json:"region"`
-	// Listen is where an entry takes callers' HTTP, an agent gRPC.
+	// Listen is the address for callers' HTTP at an entry, and for gRPC at an agent.
 	Listen string `json:"listen"`
-	// Peer is where an entry answers other processes. An agent answers them at
+	// Peer is the address for other processes at an entry. An agent serves them at
 	// Listen and leaves it unset.
 	Peer string `json:"peer"`
-	// Admin is where metrics, health and status are read.
+	// Admin is the address for metrics, health and status.
 	Admin string `json:"admin"`
 	// Platform is the base URL of the platform's configuration service.
 	Platform string `json:"platform"`
-	// Peers are agents to ask before the process knows a publication.
+	// Peers are agents to ask for the publication when the process starts.
 	Peers []string `json:"peers"`
-	// Target is what an agent stands beside.
+	// Target is the target next to which an agent runs.
 	Target Target `json:"target"`
 	// TLS between the system's processes.
 	TLS TLS `json:"tls"`
-	// Callers is TLS towards the callers of an entry.
+	// Callers is the TLS configuration for the callers of an entry.
 	Callers CallerTLS `json:"callers"`
-	// DrainTimeout is how long a stopping process waits for requests in progress.
+	// DrainTimeout is how long a stopping process waits for requests in flight.
 	DrainTimeout chestnutstep.Duration `json:"drain"`
-	// Keep bounds the answers that an agent records for repeats.
+	// Keep limits the answers that an agent records for retries.
 	Keep KeepLimits `json:"keep"`
-	// Linger is how long a run goes on whose entry has vanished.
+	// Linger is how long a run continues after its entry has disconnected.
 	Linger chestnutstep.Duration `json:"linger"`
-	// IdleTimeout closes connections between processes that carried nothing so long.
+	// IdleTimeout closes connections between processes that were idle for this time.
 	IdleTimeout chestnutstep.Duration `json:"idle"`
-	// MaxStreams bounds the requests that are open at once in this process.
+	// MaxStreams is the maximum number of concurrent requests in this process.
 	MaxStreams int `json:"streams"`
-	// MaxIdleConns bounds the idle connections that are kept, to agents by an entry and
-	// to the target by an agent.
+	// MaxIdleConns is the maximum number of idle connections that are kept open: by an entry to
+	// agents, and by an agent to its target.
 	MaxIdleConns int `json:"pool"`
 }
 
-// Target is the back end that an agent stands beside.
+// Target is the back end next to which an agent runs.
 type Target struct {
 	Name string `json:"name"`
 	// URL under which the agent calls the target.
@@ -68,25 +68,25 @@
 	Kind string `json:"kind"`
 }
 
-// TLS names the files for mutual TLS between processes.
+// TLS holds the names of the files for mutual TLS between processes.
 type TLS struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// CA signs the certificates of the other processes.
+	// CA is the file of the certificates that sign those of the other processes.
 	CA string `json:"ca"`
-	// Plaintext switches TLS off, also away from loopback.
+	// Plaintext disables TLS, also for addresses that are not on loopback.
 	Plaintext bool `json:"plain"`
 }
 
-// CallerTLS names the files for TLS towards callers.
+// CallerTLS holds the names of the files for TLS with callers.
 type CallerTLS struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// Plaintext switches TLS off, also away from loopback.
+	// Plaintext disables TLS, also for addresses that are not on loopback.
 	Plaintext bool `json:"plain"`
 }
 
-// KeepLimits bounds the recorded answers.
+// KeepLimits limits the recorded answers.
 type KeepLimits struct {
 	MaxBytes int64                 `json:"bytes"`
 	MaxAge   chestnutstep.Duration `json:"time"`
@@ -94,30 +94,30 @@
 
 // Defaults of Settings.
 const (
-	// defaultDrain covers nearly all streamed answers: a planned stop waits for
-	// them instead of cutting them.
+	// defaultDrain covers nearly all streamed answers, so that a planned stop completes
+	// them.
 	defaultDrain = 30 * time.Second
 	// defaultKeepBytes is half of the 64 MB that a process may use, so that the
-	// recorded answers of a surge can't push it over.
+	// answers recorded during a surge can't exceed it.
 	defaultKeepBytes = 32 << 20
-	// defaultKeepTime covers a caller's repeat after its own timeout.
+	// defaultKeepTime covers the retry of a caller after its own timeout.
 	defaultKeepTime = time.Minute
-	// defaultLinger covers the time a caller needs to repeat a request through
-	// another entry; after that the target's work is more likely wasted.
+	// defaultLinger covers the time that a caller needs to retry a request through
+	// another entry. After that the target's work is more likely wasted.
 	defaultLinger = 10 * time.Second
-	// defaultIdle outlives the gap between two requests to the same busy agent,
-	// and lets an entry's memory shrink soon after a surge.
+	// defaultIdle is longer than the time between two requests to the same busy agent,
+	// and short enough that an entry's memory shrinks soon after a surge.
 	defaultIdle = time.Minute
 	// defaultStreams leaves a wide margin over the 500 streams of a busy entry.
 	defaultStreams = 4096
-	// defaultPool keeps the connections of an entry's usual targets open.
+	// defaultPool keeps the connections to the usual targets of an entry open.
 	defaultPool = 256
 )
 
-// maxSettingsBytes bounds a settings file in bytes: far above any real one.
+// maxSettingsBytes is the maximum size of a settings file in bytes, far above any real one.
 const maxSettingsBytes = 1 << 20
 
-// Defaults returns settings in which only what has a default is set.
+// Defaults returns settings with all defaults set and the other fields empty.
 func Defaults() *Settings {
 	return &Settings{
 		DrainTimeout: chestnutstep.Duration(defaultDrain),
@@ -129,8 +129,8 @@
 	}
 }
 
-// Load reads and checks the settings of a process. The error lists all
-// problems (ErrInvalid), or says that the file can't be read.
+// Load reads and checks the settings of a process. The error is an ErrInvalid with all
+// problems, or the error from reading the file.
 func Load(path string, role Role) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return ParseSettings(path, raw, role)
 }
 
-// ParseSettings is Load for content that was read already; name stands for the
+// ParseSettings is Load for content that was already read; name is the name of the
 // file in errors.
 func ParseSettings(name string, raw []byte, role Role) (*Settings, error) {
 	if len(raw) > maxSettingsBytes {
--- a/config/settings_check.go
+++ b/config/settings_check.go
@@ -8,8 +8,8 @@
 )
 
 // namePattern is the form of every name in settings and publications. Names become
-// metric labels, header values and map keys, so they hold nothing that needs
-// quoting there.
+// metric labels, header values and map keys, so they contain only characters that need
+// no quoting there.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 const nameRule = "want a name of letters, digits, '.', '_' and '-', at most 63 long"
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkTLS lets requests cross the network in the clear only when the settings
-// say so in so many words: a forgotten certificate must not pass for a choice.
+// checkTLS refuses settings without TLS beyond loopback unless they set plain explicitly.
+// A forgotten certificate must not disable TLS.
 func (s *Settings) checkTLS(ps *problems) {
 	t := s.TLS
 	hasFiles := t.Cert != "" || t.Key != "" || t.CA != ""
@@ -109,7 +109,7 @@
 	}
 }
 
-// isLoopbackOnly says whether the process talks to other processes on loopback only.
+// isLoopbackOnly reports whether the process talks to other processes only on loopback.
 func (s *Settings) isLoopbackOnly() bool {
 	if !isLoopback(s.Listen) || (s.Peer != "" && !isLoopback(s.Peer)) {
 		return false
@@ -144,8 +144,8 @@
 	}
 }
 
-// Encrypted says whether the process talks to others under mutual TLS.
+// Encrypted reports whether the process uses mutual TLS with other processes.
 func (s *Settings) Encrypted() bool { return s.TLS.Cert != "" }
 
-// EncryptedCallers says whether an entry's callers use TLS.
+// EncryptedCallers reports whether an entry's callers use TLS.
 func (s *Settings) EncryptedCallers() bool { return s.Callers.Cert != "" }
--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The scripts in testdata/settings give a file and what an operator reads: the
-// settings as they hold, defaults included, or all mistakes at once.
+// TestSettings runs the scripts in testdata/settings. Each contains a file and the resulting
+// settings with defaults, or all problems of the file.
 func TestSettings(t *testing.T) {
 	datadriven.Walk(t, "testdata/settings", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -42,7 +42,7 @@
 			again, err := json.Marshal(s)
 			assert.NilError(t, err)
 			_, err = ParseSettings("f", again, role)
-			assert.NilError(t, err, "settings that hold must hold when written out")
+			assert.NilError(t, err, "valid settings must stay valid when written out")
 		}
 	})
 }
--- a/config/store.go
+++ b/config/store.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// maxRefused bounds how many refused publications are remembered. Operators
-	// mend a bad one within minutes; forgetting one only costs a second fetch.
+	// maxRefused is the maximum number of refused publications that are recorded. Operators
+	// correct a bad one within minutes; forgetting one only costs a second fetch.
 	maxRefused = 64
-	// maxPendingBytes bounds the bytes of parts that are kept before their publication
-	// is whole: several times the largest sensible publication, and an eighth of
+	// maxPendingBytes is the maximum size of the parts that are held before their publication
+	// is complete: several times the largest expected publication, and an eighth of
 	// a process's memory.
 	maxPendingBytes = 8 << 20
 )
 
-// Change is a publication that came into force.
+// Change describes a publication that was put in force.
 type Change struct {
 	Now time.Time
-	// From is nil for the first.
+	// From is nil for the first one.
 	From, To *chestnutstep.View
 	Stamp    Stamp
-	// Conflict says that it replaced other content of the same version: two
-	// operators published against each other.
+	// Conflict reports that it replaced other content of the same version: two
+	// operators published concurrently.
 	Conflict bool
 }
 
-// Refusal is a publication that was not put in force.
+// Refusal describes a publication that was not put in force.
 type Refusal struct {
 	Now   time.Time
 	Stamp Stamp
 	Err   error
 }
 
-// ErrStale says that a publication does not replace the one in force. It guards
-// against a configuration service that is stale or goes back: one would notice
-// a domain that operators took out receiving work again.
+// ErrStale reports that a publication does not replace the one in force. It guards
+// against a configuration service that returns outdated data, by which a domain that
+// operators took out of service would receive requests again.
 type ErrStale struct {
 	Stamp, InForce Stamp
 }
@@ -50,41 +50,42 @@
 	return "publication " + err.Stamp.String() + " does not replace " + err.InForce.String()
 }
 
-// IsErrStale checks whether a publication was refused for its version.
+// IsErrStale reports whether an error is an ErrStale.
 func IsErrStale(err error) bool {
 	return errors.As(err, new(ErrStale))
 }
 
-// ErrConflict says that a publication lost against another of the same version.
+// ErrConflict reports a publication that ranks below another of the same version.
 type ErrConflict struct {
 	Stamp, InForce Stamp
 }
 
-// Error names both publications and what to do.
+// Error names both publications and the remedy.
 func (err ErrConflict) Error() string {
 	return "publication " + err.Stamp.String() + " and " + err.InForce.String() +
 		" share a version and differ; publish a higher one"
 }
 
-// IsErrConflict checks whether two publications share a version.
+// IsErrConflict reports whether an error is an ErrConflict.
 func IsErrConflict(err error) bool {
 	return errors.As(err, new(ErrConflict))
 }
 
-// Store holds the publication that is in force in this process. It moves only
-// up in the order of Stamp, whole or not at all, whoever brings a publication
-// and in whatever order they come. The zero value is empty and ready for use.
+// Store holds the publication that is in force in this process. It only advances in
+// the order of Stamp and applies each publication completely or not at all, regardless
+// of the source and the order in which publications arrive. The zero value is empty
+// and ready for use.
 type Store struct {
-	// OnChange and OnRefuse are called in order, one at a time, before Put
-	// returns; they must not call Put. A refused publication is reported once.
-	// Set them before use.
+	// OnChange and OnRefuse are called sequentially, in order, before Apply or Missing
+	// returns; they must not call these methods. A refused publication is reported once.
+	// They must be set before use.
 	OnChange []func(Change)
 	OnRefuse []func(Refusal)
 
-	// view is read by every request, so it takes no lock.
+	// view is read by every request, so reading it takes no lock.
 	view atomic.Pointer[chestnutstep.View]
 
-	// applyMu serialises Put, and with it the calls of the hooks.
+	// applyMu serializes Apply and Missing, and so the calls of the hooks.
 	applyMu sync.Mutex
 
 	mu           sync.Mutex
@@ -93,7 +94,7 @@
 	parts        map[string][]byte
 	changed      chan struct{}
 	refused      map[Stamp]error
-	refusedOrder []Stamp // of refused, oldest first
+	refusedOrder []Stamp // keys of refused, oldest first
 	pending      pendingParts
 }
 
@@ -107,16 +108,16 @@
 	return s.stamp
 }
 
-// Root returns the root in force, to hand to peers; nil before the first.
+// Root returns the root in force, to send to peers; nil before the first.
 func (s *Store) Root() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.root
 }
 
-// Part returns a part of the publication in force, or one that waits for its
-// publication to be whole: processes that start together get the parts from
-// each other instead of each reading all of them from the service.
+// Part returns a part of the publication in force or of one that is not yet complete.
+// Processes that start together thus get parts from each other, and not each of them
+// reads all parts from the service.
 func (s *Store) Part(hash string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,16 +141,16 @@
 	return s.changed
 }
 
-// ShouldFetch says whether a publication would replace the one in force and was not
-// refused before. A process asks before it fetches anything.
+// ShouldFetch reports whether a publication would replace the one in force and was not
+// refused before. A process calls it before it fetches anything.
 func (s *Store) ShouldFetch(st Stamp) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stamp.Compare(st) < 0 && s.refused[st] == nil
 }
 
-// Missing lists the parts of a root that this process does not hold, or says
-// why the root is not wanted (ErrInvalid, ErrOld, ErrClash).
+// Missing lists the parts of a root that this process does not have. It returns an error
+// if the root would be refused (ErrInvalid, ErrStale, ErrConflict).
 func (s *Store) Missing(now time.Time, root []byte) ([]string, error) {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
@@ -171,8 +172,8 @@
 	return list, nil
 }
 
-// AddPart holds a part until its publication is whole. The error is an ErrPart
-// when the content is not what the hash says.
+// AddPart holds a part until its publication is complete. The error is an ErrPart
+// if the content does not match the hash or is too large.
 func (s *Store) AddPart(hash string, raw []byte) error {
 	if len(raw) > MaxValueBytes || Hash(raw) != hash {
 		return ErrPart{Hash: hash}
@@ -183,10 +184,9 @@
 	return nil
 }
 
-// Apply puts a publication in force: the parts given and those held already must
-// make it whole. On an error the one in force stays. A missing part (ErrPart)
-// is no verdict on the publication: Put may be called again; ErrInvalid,
-// ErrOld and ErrClash are final.
+// Apply puts a publication in force: the given parts and those already held must
+// complete it. On an error the current one stays in force. After an ErrPart, Apply can be
+// called again with the missing part; ErrInvalid, ErrStale and ErrConflict are final.
 func (s *Store) Apply(now time.Time, root []byte, parts map[string][]byte) error {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// checkRoot checks all that can be told from the root alone.
+// checkRoot makes all checks for which the root is sufficient.
 func (s *Store) checkRoot(root []byte) (*Root, error) {
 	digest := Hash(root)
 	r, err := ParseRoot(root)
@@ -231,7 +231,7 @@
 	return r, ErrStale{Stamp: st, InForce: s.stamp}
 }
 
-// collectParts joins the parts of a root from what was given and what is held.
+// collectParts joins the parts of a root from the given ones and those already held.
 func (s *Store) collectParts(r *Root, given map[string][]byte) (map[string][]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,8 +268,8 @@
 	return c
 }
 
-// reportRefusal remembers a refusal and reports it once. What is in force again under
-// its own stamp is no refusal worth a report.
+// reportRefusal records a refusal and reports it once. Receiving the publication in
+// force again is not reported.
 func (s *Store) reportRefusal(now time.Time, root []byte, r *Root, err error) error {
 	st := Stamp{Digest: Hash(root)}
 	if r != nil {
--- a/config/store_test.go
+++ b/config/store_test.go
@@ -23,8 +23,8 @@
 	stamp Stamp
 }
 
-// publish packs a small fleet; what tells contents of one version apart is
-// which domain is out. An invalid one has a cap that forbids any work.
+// publish packs a small fleet; contents of the same version differ in the
+// domain that is out of service. An invalid one has a cap that allows no work.
 func publish(version uint64, out string, valid bool) packed {
 	p := fleet(version, 3, 1)
 	for i := range p.Domains {
@@ -37,7 +37,7 @@
 	return packed{root, parts, valid, Stamp{version, Hash(root)}}
 }
 
-// lastParts leaves out all parts but the last n.
+// lastParts returns only the last n parts.
 func (p packed) lastParts(n int) map[string][]byte {
 	r, _ := ParseRoot(p.root)
 	subset := make(map[string][]byte)
@@ -47,8 +47,8 @@
 	return subset
 }
 
-// The scripts in testdata/store play what a configuration service and peers may
-// bring to one process, in which order, and show what is in force after it.
+// TestStore runs the scripts in testdata/store. They apply publications in the orders in
+// which a configuration service and peers can deliver them, and print the one in force.
 func TestStore(t *testing.T) {
 	datadriven.Walk(t, "testdata/store", func(t *testing.T, path string) {
 		var output strings.Builder
@@ -131,14 +131,14 @@
 	return fmt.Sprintf("in force: version %d, out %s", v.Publication.Version, out)
 }
 
-// publicationStore is what the schedules below drive: the store or a naive version.
+// publicationStore is the store that the schedules run against: Store or naiveStore.
 type publicationStore interface {
 	Apply(now time.Time, root []byte, parts map[string][]byte) error
 	View() *chestnutstep.View
 }
 
-// naiveStore takes whatever parses and came last, and lets the parts it has stand in
-// for those that it lacks.
+// naiveStore applies the last publication that it can parse, and ignores parts that are
+// missing.
 type naiveStore struct{ view *chestnutstep.View }
 
 func (n *naiveStore) View() *chestnutstep.View { return n.view }
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// allPublications is what operators publish in the schedules.
+// allPublications are the publications of the schedules.
 var allPublications = sync.OnceValue(func() []packed {
 	return []packed{
 		publish(1, "", true), publish(2, "a", true), publish(2, "b", true), publish(3, "", false),
@@ -167,10 +167,9 @@
 	}
 })
 
-// runSchedule lets five processes meet publications in an arbitrary order: from a
-// service that is stale or goes back, in halves, from operators who publish
-// against each other, invalid ones, across cuts and restarts. It returns the
-// first broken promise.
+// runSchedule delivers publications to five processes in an arbitrary order: from a
+// service that returns outdated data, incomplete, in conflict with each other, invalid,
+// and across restarts. It returns the first violation of a guarantee.
 func runSchedule(draw func(label string, n int) int, create func() publicationStore) error {
 	pubs := allPublications()
 	byStamp := make(map[Stamp]packed)
@@ -189,7 +188,7 @@
 		st := Stamp{v.Publication.Version, Hash(root)}
 		switch p, ok := byStamp[st]; {
 		case !ok:
-			return fmt.Errorf("process %d runs on a mixture that nobody published", i)
+			return fmt.Errorf("process %d runs on a mixture of publications", i)
 		case !p.valid:
 			return fmt.Errorf("process %d runs on invalid version %d", i, st.Version)
 		case st.Compare(seen[i]) < 0:
@@ -232,8 +231,8 @@
 	return converge(stores, seen, exchange)
 }
 
-// converge lets each process hear each other one twice and wants them alike, on
-// the highest that any of them held.
+// converge lets each process exchange twice with each other one and checks that all end
+// with the highest publication that any of them had.
 func converge(stores []publicationStore, seen []Stamp, exchange func(i, j int) error) error {
 	var highest Stamp
 	for _, st := range seen {
@@ -258,9 +257,10 @@
 	return nil
 }
 
-// Publications reach processes in any order, in halves, twice, and against each
-// other. A user would notice a domain that went out of service coming back by
-// itself, or two entries that serve by different rules for good.
+// TestStoreSchedules guards against processes that go back to an earlier publication or
+// stay divided between two. Publications reach processes in any order, incomplete,
+// twice, and in conflict with each other. A domain out of service would return by
+// itself, or two entries would permanently serve by different rules.
 func TestStoreSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
@@ -277,6 +277,6 @@
 			broken[strings.Fields(err.Error())[2]]++
 		}
 	}
-	t.Logf("the naive version broke a promise in these numbers of 100 schedules: %v", broken)
+	t.Logf("the naive store violated a guarantee in these numbers of 100 schedules: %v", broken)
 	assert.Assert(t, broken["went"] > 0 && broken["runs"] > 0, "%v", broken)
 }
