--- a/event/async.go
+++ b/event/async.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// maxQueuedLines is how many lines wait for a slow reader: some seconds' worth of a
-// busy process, in about a megabyte.
+// maxQueuedLines is the maximum number of lines that wait for a slow reader: the lines of
+// several seconds of a busy process, about a megabyte.
 const maxQueuedLines = 2048
 
 // AsyncWriter is a writer that never blocks: lines wait in a bounded queue, and are
-// counted and dropped when it is full. A pipe whose reader has stopped would
-// otherwise hold up every request at its next line of the log. Make it with
-// NewAsync.
+// dropped and counted if it is full. Otherwise a pipe whose reader has stopped would
+// block every request at its next log line. Create it with
+// NewAsyncWriter.
 type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -21,14 +21,14 @@
 	dropped atomic.Int64
 }
 
-// NewAsyncWriter returns a writer in front of another. Close it at the end.
+// NewAsyncWriter returns a writer that writes to out in the background. Close must be called at the end.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	a := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{})}
 	go a.loop()
 	return a
 }
 
-// Write takes one line, or drops it.
+// Write queues one line, or drops it if the queue is full. It never returns an error.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	queued := append([]byte(nil), line...)
 	select {
@@ -39,13 +39,13 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// maxBatchBytes bounds the bytes of one write.
+// maxBatchBytes is the size in bytes at which a batch is written.
 const maxBatchBytes = 32 << 10
 
-// loop writes lines until Close, and then what still waits.
+// loop writes lines until Close, and then the queued ones.
 func (a *AsyncWriter) loop() {
 	defer close(a.done)
 	for {
@@ -59,7 +59,7 @@
 	}
 }
 
-// drain writes what waits.
+// drain writes the queued lines.
 func (a *AsyncWriter) drain() {
 	for {
 		select {
@@ -71,7 +71,7 @@
 	}
 }
 
-// write writes a line and those that wait behind it: each write costs a system call.
+// write writes a line and the queued lines after it in one batch, as each write costs a system call.
 func (a *AsyncWriter) write(batch []byte) {
 	for len(batch) < maxBatchBytes {
 		select {
@@ -83,12 +83,12 @@
 		break
 	}
 	if _, err := a.out.Write(batch); err != nil {
-		a.dropped.Add(1) // standard output is gone: there is nowhere to say so
+		a.dropped.Add(1) // standard output is closed: the error can't be reported
 	}
 }
 
-// Close writes what waits, unless the reader has stopped. Lines that come later are
-// lost: whatever still runs while a process ends must not fail for its log.
+// Close writes the queued lines unless stopped is closed first. Lines written later are
+// dropped without an error, so that code that still runs during shutdown does not fail.
 func (a *AsyncWriter) Close(stopped <-chan struct{}) {
 	close(a.quit)
 	select {
--- a/event/async_test.go
+++ b/event/async_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// blockableWriter is what a log is written to; it can stop reading.
+// blockableWriter is the destination of a log; holding mu blocks it.
 type blockableWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -22,9 +22,9 @@
 	return r.buf.Write(b)
 }
 
-// Whatever reads the log stops for a while, as a full disk or a stuck shipper makes
-// it do. A log that waits for it holds up every request, and callers see a service
-// that stands still while all its targets idle.
+// TestBlockedWriter guards against a log whose reader stops, because of a full disk or a stuck
+// log shipper. A log that waited for its reader would block every request while all
+// targets are idle.
 func TestBlockedWriter(t *testing.T) {
 	r := &blockableWriter{}
 	a := NewAsyncWriter(r)
@@ -46,8 +46,8 @@
 	assert.Equal(t, lines+a.Dropped(), int64(10*maxQueuedLines+1), "each line is written or counted")
 }
 
-// A process ends while its log's reader stands still, and something in it writes one
-// more line. A log that fails then turns a planned stop into a crash.
+// TestWriteAfterClose guards against a line that is written after Close. If it failed, a planned
+// stop would become a crash.
 func TestWriteAfterClose(t *testing.T) {
 	r := &blockableWriter{}
 	a := NewAsyncWriter(r)
@@ -58,7 +58,7 @@
 	}
 }
 
-// Lines come out whole and in order.
+// TestAsyncWriterKeepsOrder checks that lines are written completely and in order.
 func TestAsyncWriterKeepsOrder(t *testing.T) {
 	r := &blockableWriter{}
 	a := NewAsyncWriter(r)
--- a/event/entry.go
+++ b/event/definition.go
@@ -7,18 +7,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Level says who should look at an event.
+// Level is the severity of an event.
 type Level uint8
 
 // The levels.
 const (
-	Debug Level = iota // written only when asked for
-	Info               // the normal course
-	Warn               // served, but something is amiss
-	Error              // an operator should look
+	Debug Level = iota // written only if debug events are enabled
+	Info               // normal operation
+	Warn               // requests are served, but something is wrong
+	Error              // an operator must act
 )
 
-// String returns the level's name as the log writes it.
+// String returns the name of the level in the log.
 func (l Level) String() string { return l.zerolog().String() }
 
 func (l Level) zerolog() zerolog.Level {
@@ -34,7 +34,7 @@
 	}
 }
 
-// ID is the number of an event. It never changes its meaning.
+// ID is the number of an event. Its meaning never changes.
 type ID uint16
 
 // Definition describes one event to operators.
@@ -42,16 +42,16 @@
 	ID    ID
 	Name  string
 	Level Level
-	// RateLimited says that the event comes with requests: its lines are bounded.
+	// RateLimited reports whether the event occurs per request: its lines per second are limited.
 	RateLimited bool
-	// MaxPerSecond is how many lines a second an Often event may write; often when 0.
+	// MaxPerSecond is the limit of a RateLimited event in lines per second; defaultMaxPerSecond if 0.
 	MaxPerSecond int
 	Meaning      string
 	Cause        string
 	Action       string
 }
 
-// maxPerSecond is the bound of an Often event.
+// maxPerSecond returns the limit of a RateLimited event in lines per second.
 func (e Definition) maxPerSecond() int {
 	if e.MaxPerSecond > 0 {
 		return e.MaxPerSecond
@@ -59,7 +59,7 @@
 	return defaultMaxPerSecond
 }
 
-// byID is built once: Emit looks an entry up for each line.
+// byID is built once, as Emit looks up a definition for each line.
 var byID = index(Catalog)
 
 func index(entries []Definition) map[ID]Definition {
@@ -70,7 +70,7 @@
 	return m
 }
 
-// Lookup returns the entry of an event.
+// Lookup returns the definition of an event, and false if there is none.
 func Lookup(id ID) (Definition, bool) {
 	e, ok := byID[id]
 	return e, ok
@@ -92,10 +92,10 @@
 	{7000, "Entry without agents"},
 }
 
-// groupSize is how many numbers a group has.
+// groupSize is the number of event numbers in a group.
 const groupSize = 1000
 
-// Page returns docs/EVENTS.md.
+// Page returns the content of docs/EVENTS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
@@ -108,13 +108,13 @@
 
 const pageHead = `# Events
 
-Made from the table in event/catalog.go by ` + "`go test ./event -update`" + `; a test fails
-when the two differ. Each line of the log is one JSON object with ` + "`time`, `level`,\n`process`, `event` (the number) and `name`" + `, and the fields of the event.
+Generated from the table in event/catalog.go by ` + "`go test ./event -update`" + `; a test fails
+if the two differ. Each line of the log is one JSON object with ` + "`time`, `level`,\n`process`, `event` (the number) and `name`" + `, and the fields of the event.
 
 The log holds no bodies, headers, keys or tickets. Ids that callers choose
-(` + "`request`, `chat`" + `) are masked; whoever has the id finds its lines by
-` + "`printf %s ID | sha256sum | cut -c1-12`" + `. Events that come with requests write at
-most as many lines a second as their heading says; ` + "`dropped`" + ` in the next line counts the others.
+(` + "`request`, `chat`" + `) are masked; the lines of an id are found by
+` + "`printf %s ID | sha256sum | cut -c1-12`" + `. Events that occur per request write at
+most as many lines per second as their heading states; ` + "`dropped`" + ` in the next line counts the others.
 `
 
 func writeGroup(b *strings.Builder, g group) {
--- a/event/event.go
+++ b/event/event.go
@@ -1,6 +1,6 @@
-// Package event writes the process's log as numbered events. Each number is
-// described in one table, from which docs/EVENTS.md is made, so that an
-// operator can look up any line of the log.
+// Package event writes the process's log as numbered events, one JSON object per line. Each
+// number is defined in Catalog, from which docs/EVENTS.md is generated, so that an
+// operator can look up any line of the log. Events that occur per request are rate-limited.
 package event
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/rs/zerolog"
 )
 
-// defaultMaxPerSecond is how many lines a second an event may write when its entry says that
-// it comes with requests. During an outage every request is refused; without a
-// bound the log would cost more than the requests. Ten show the pattern, and
-// the count of the others is not lost.
+// defaultMaxPerSecond is the maximum number of lines per second of an event that occurs per
+// request. During an outage every request is refused; without a limit, the log would cost
+// more than the requests. Ten lines show the pattern, and the dropped ones are
+// counted.
 const defaultMaxPerSecond = 10
 
 // Log writes numbered events as JSON lines. The nil Log writes nothing, so
-// that parts can be used without one.
+// that other components can be used without one.
 type Log struct {
-	// Out receives the lines; each is one call of Write.
+	// Out receives the lines, each in one call of Write.
 	Out io.Writer
-	// Process names the process in each line.
+	// Process is the name of the process in each line.
 	Process string
 	// Now is the clock; time.Now if nil.
 	Now func() time.Time
-	// Debug lets events of the lowest level through.
+	// Debug enables events of the lowest level.
 	Debug bool
 
 	mu          sync.Mutex
@@ -44,7 +44,7 @@
 	dropped int64
 }
 
-// Emit writes one event. Fields are typed, see Field.
+// Emit writes one event with its fields. An ID without a definition is written as an error.
 func (l *Log) Emit(id ID, fields ...Field) {
 	if l == nil || l.Out == nil {
 		return
@@ -93,7 +93,7 @@
 	return time.Now()
 }
 
-// allow says whether a line may be written, and how many lines of the event
+// allow reports whether a line may be written, and how many lines of the event
 // were dropped since the last one.
 func (l *Log) allow(e Definition, now time.Time) (int64, bool) {
 	if !e.RateLimited {
@@ -118,13 +118,13 @@
 	return dropped, true
 }
 
-// maskLength is the length of a masked id: 48 bits tell the requests of one
-// log apart, and are short enough to search for by hand.
+// maskLength is the length of a masked id: 48 bits distinguish the requests of one
+// log, and are short enough to type in a search.
 const maskLength = 12
 
-// Mask turns an id that a caller chose into one that the log may hold. Callers
-// put names and numbers of people into such ids; a plain id in the log would
-// spread them. An operator who has the id finds its lines with
+// Mask converts an id chosen by a caller to one that can be logged. Callers
+// put names and numbers of persons into such ids; an unmasked id in the log would
+// disclose them. An operator who has the id finds its lines with
 // `printf %s ID | sha256sum | cut -c1-12`.
 func Mask(id string) string {
 	if id == "" {
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -54,8 +54,8 @@
 	(*Log)(nil).Emit(ProcessStart)
 }
 
-// In an outage each request is refused and each refusal wants a line. Operators
-// would find the host busy with its log while the callers wait.
+// TestEmitRateLimited guards against a log that costs more than the requests: in an outage
+// each request is refused and each refusal emits an event.
 func TestEmitRateLimited(t *testing.T) {
 	var b bytes.Buffer
 	now := time.Unix(100, 0)
@@ -70,8 +70,8 @@
 	assert.Assert(t, strings.Contains(b.String(), `"dropped":990`), b.String())
 }
 
-// Callers put names of people into ids. A log that is passed on would spread
-// them.
+// TestMask guards against names of persons in the log: callers put them into ids, and logs are
+// forwarded to others.
 func TestMask(t *testing.T) {
 	var b bytes.Buffer
 	l := &Log{Out: &b}
@@ -81,8 +81,8 @@
 	assert.Equal(t, Mask(""), "")
 }
 
-// An event that nothing writes sends operators looking for lines that never
-// come, and hides that a failure is not told at all.
+// TestEveryEventIsWritten guards against events that no code emits: operators would search for
+// lines that are never written, and the failure would not be logged at all.
 func TestEveryEventIsWritten(t *testing.T) {
 	raw, err := os.ReadFile("catalog.go")
 	assert.NilError(t, err)
--- a/event/field.go
+++ b/event/field.go
@@ -7,8 +7,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Field is one typed value of an event. There is no constructor for headers,
-// bodies, keys or tickets: what has no field can't be logged by mistake.
+// Field is one typed value of an event. There are no constructors for headers,
+// bodies, keys or tickets, so that these are not logged by mistake.
 type Field struct {
 	key  string
 	kind kind
@@ -48,21 +48,21 @@
 	}
 }
 
-// Str is a text that the system itself made: an address, a file, a state.
+// Str returns a text field for a value made by the system itself: an address, a file, a state.
 func Str(key, v string) Field { return Field{key: key, kind: kindText, text: v} }
 
-// Int is a whole number.
+// Int returns an integer field.
 func Int(key string, v int64) Field { return Field{key: key, kind: kindInt, bits: uint64(v)} }
 
-// Uint is a whole number without sign.
+// Uint returns an unsigned integer field.
 func Uint(key string, v uint64) Field { return Field{key: key, kind: kindUint, bits: v} }
 
-// Float is a number.
+// Float returns a floating-point field.
 func Float(key string, v float64) Field {
 	return Field{key: key, kind: kindFloat, bits: math.Float64bits(v)}
 }
 
-// Bool is a truth value.
+// Bool returns a boolean field.
 func Bool(key string, v bool) Field {
 	f := Field{key: key, kind: kindBool}
 	if v {
@@ -71,31 +71,31 @@
 	return f
 }
 
-// Dur is a duration, written as Go writes it.
+// Dur returns a duration field, formatted as a Go duration string.
 func Dur(key string, v time.Duration) Field {
 	return Field{key: key, kind: kindDuration, bits: uint64(v)}
 }
 
-// Err is an error, under the key "error".
+// Err returns an error field with the key "error".
 func Err(err error) Field { return Field{key: "error", kind: kindErr, err: err} }
 
-// Request is a request's id, masked.
+// Request returns a field with the masked id of a request.
 func Request(id string) Field { return Str("request", Mask(id)) }
 
-// Chat is a chat's id, masked.
+// Chat returns a field with the masked id of a chat.
 func Chat(id string) Field { return Str("chat", Mask(id)) }
 
-// Workspace is a workspace's published name.
+// Workspace returns a field with the published name of a workspace.
 func Workspace(name string) Field { return Str("workspace", name) }
 
-// Profile is a profile's published name.
+// Profile returns a field with the published name of a profile.
 func Profile(name string) Field { return Str("profile", name) }
 
-// Target is a target's published name.
+// Target returns a field with the published name of a target.
 func Target(name string) Field { return Str("target", name) }
 
-// Reason is the code of a refusal or a broken answer.
+// Reason returns a field with the code of a refusal or a broken answer.
 func Reason[T ~string](reason T) Field { return Str("reason", string(reason)) }
 
-// Version is a publication's version.
+// Version returns a field with the version of a publication.
 func Version(v uint64) Field { return Uint("version", v) }
