--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -28,10 +28,10 @@
 	return resp.StatusCode, string(raw)
 }
 
-// An entry is told to stop while the platform's balancer still sends it
-// callers. It has to say that it is leaving while it still takes work, or
-// callers meet a closed port; and it must not look dead, or the platform
-// kills what it is finishing.
+// TestReadyAndLive guards against a stopping process that the platform's balancer handles
+// wrongly. /ready must fail while the process still accepts work, or callers connect to a
+// closed port; /live must succeed, or the platform kills the process while it completes
+// requests.
 func TestReadyAndLive(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -91,7 +91,8 @@
 	})
 }
 
-// A target gets no work and nobody knows why: operators restart what was fine.
+// TestPage guards against a target without work whose reason is not shown: operators would
+// restart targets that have no fault.
 func TestPage(t *testing.T) {
 	loads := map[string]*chestnutstep.Load{
 		"busy":    {Running: 3, Waiting: 1, Cap: 4, Weight: 1},
--- a/admin/ask.go
+++ b/admin/client.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// fetchTimeout bounds a question to one process: an operator who looks at a
-	// fleet in trouble must not wait for the one host that hangs.
+	// fetchTimeout is the timeout of a query to one process: an operator who inspects a
+	// fleet during an incident must not wait for a host that hangs.
 	fetchTimeout = 3 * time.Second
-	// maxResponseBytes bounds an answer in bytes: the largest fleet's status is below.
+	// maxResponseBytes is the maximum size of a response in bytes, above the status of the largest fleet.
 	maxResponseBytes = 16 << 20
 )
 
-// ErrResponse says that an admin address answered with an error.
+// ErrResponse reports that an admin address answered with an error status.
 type ErrResponse struct {
 	Addr string
 	Code int
 	Text string
 }
 
-// Error names the address and what it said.
+// Error returns the address, the status and the text of the response.
 func (e ErrResponse) Error() string {
 	return fmt.Sprintf("%s answered %d: %s", e.Addr, e.Code, e.Text)
 }
 
-// IsErrResponse says whether an admin address answered with an error.
+// IsErrResponse reports whether an error is an ErrResponse.
 func IsErrResponse(err error) bool {
 	var e ErrResponse
 	return errors.As(err, &e)
 }
 
-// FetchStatus reads the status of the process with that admin address.
+// FetchStatus reads the status of the process with the given admin address.
 func FetchStatus(ctx context.Context, addr string) (Status, error) {
 	var s Status
 	err := fetchJSON(ctx, addr, "/status", &s)
 	return s, err
 }
 
-// FetchAudit reads all audit records that the process with that admin address
-// keeps.
+// FetchAudit reads all audit records held in memory by the process with the given admin
+// address.
 func FetchAudit(ctx context.Context, addr string) ([]audit.Record, error) {
 	var records []audit.Record
 	err := fetchJSON(ctx, addr, "/audit", &records)
@@ -63,7 +63,7 @@
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return errors.Wrap(err, "ask")
+		return errors.Wrap(err, "query admin address")
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
--- a/admin/page.go
+++ b/admin/page.go
@@ -10,8 +10,8 @@
 	"chestnutstep.example/chestnutstep/audit"
 )
 
-// WriteText writes the status as a page for a terminal. Now is the reader's
-// clock, for ages.
+// WriteText writes the status as a page for a terminal. Ages are computed with now, the
+// reader's clock.
 func (s *Status) WriteText(w io.Writer, now time.Time) error {
 	p := &textWriter{w: tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)}
 	p.header(s, now)
@@ -25,7 +25,7 @@
 
 type textWriter struct{ w *tabwriter.Writer }
 
-// printf leaves errors to Flush, which reports the first.
+// printf ignores errors, as Flush returns the first one.
 func (p *textWriter) printf(format string, a ...any) {
 	_, _ = fmt.Fprintf(p.w, format, a...)
 }
@@ -131,7 +131,7 @@
 	return s
 }
 
-// age is the time since a moment, in whole seconds.
+// age returns the time since a moment, rounded to seconds.
 func age(now, since time.Time) time.Duration {
 	return now.Sub(since).Round(time.Second)
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -1,5 +1,6 @@
-// Package admin serves a process's admin address: health for the platform's
-// balancer, and status, metrics and audit trail for operators.
+// Package admin serves a process's admin address: health checks for the platform's
+// balancer, and status, metrics and audit trail for operators. It also contains the client
+// that reads status and audit trail of other processes, and their display as text.
 package admin
 
 import (
@@ -17,24 +18,24 @@
 )
 
 const (
-	// readTimeout bounds the reading of a request: an idle connection of a
-	// scraper that went away must not be held for ever.
+	// readTimeout limits the time to read a request, so that an idle connection of a
+	// scraper that has gone is closed.
 	readTimeout = 10 * time.Second
-	// shutdownTimeout bounds a graceful stop: what is served here is short.
+	// shutdownTimeout limits a graceful stop: all responses here are short.
 	shutdownTimeout = 2 * time.Second
 )
 
-// Server answers on the admin address. It tells who asks what the process
-// does, and no keys; keep the address on the operators' network all the same.
+// Server serves the admin address. Its responses contain no keys, but they describe
+// the process to any client, so the address must be on the operators' network.
 type Server struct {
 	// Addr is the address, IP and port.
 	Addr string
-	// Listener is used instead of Addr when it is set.
+	// Listener is used instead of Addr if set.
 	Listener net.Listener
 	Log      *event.Log
-	// Ready returns nil when the process takes new work, else why not. It has
-	// to fail before a leaving process stops taking work, so that the
-	// platform's balancer looks elsewhere first.
+	// Ready returns nil if the process accepts new work, else the reason why not. It must
+	// return an error before a leaving process stops accepting work, so that the
+	// platform's balancer chooses another process first.
 	Ready   func() error
 	Status  func() Status
 	Metrics http.Handler
@@ -70,7 +71,7 @@
 	}
 }
 
-// Handler answers the paths of the admin address.
+// Handler returns the handler of all paths of the admin address.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", s.live)
@@ -83,8 +84,8 @@
 	return mux
 }
 
-// live answers as long as the process runs at all: a process that is stopping
-// or lacks a publication is alive, and restarting it would not help.
+// live answers as long as the process runs: a process that is stopping
+// or has no publication is live, and a restart would not help.
 func (s *Server) live(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write([]byte("live\n"))
 }
@@ -111,7 +112,7 @@
 	writeJSON(w, st)
 }
 
-// statusRecords is how many audit records a status shows: a screen's worth.
+// statusRecords is the number of audit records in a status: a screen of them.
 const statusRecords = 20
 
 func (s *Server) audit(w http.ResponseWriter, r *http.Request) {
--- a/admin/status.go
+++ b/admin/status.go
@@ -7,26 +7,26 @@
 	"chestnutstep.example/chestnutstep/audit"
 )
 
-// Status is what a process knows of itself and of what it sees, for operators.
-// Times are ages or moments of the process's own clock.
+// Status is the state of a process and of the targets that it has data on, for operators.
+// Times are durations or times of the process's own clock.
 type Status struct {
-	// Process, Role ("entry" or "agent"), Host, Domain and Region name it.
+	// Process, Role ("entry" or "agent"), Host, Domain and Region identify it.
 	Process string    `json:"process"`
 	Role    string    `json:"role"`
 	Host    string    `json:"host"`
 	Domain  string    `json:"domain"`
 	Region  string    `json:"region"`
 	Started time.Time `json:"started"`
-	// Ready says whether the process takes work; Why says why not.
+	// Ready reports whether the process accepts work; NotReadyReason is the reason if not.
 	Ready          bool   `json:"ready"`
 	NotReadyReason string `json:"why,omitempty"`
-	// OpenRequests is the requests in progress.
+	// OpenRequests is the number of requests in progress.
 	OpenRequests int         `json:"streams"`
 	Publication  Publication `json:"publication"`
-	// NoPeers says that no peer answers.
+	// NoPeers reports that no peer answers.
 	NoPeers bool `json:"alone,omitempty"`
-	// Domains lists the targets that the process knows, by failure domain: an
-	// agent its own, an entry all.
+	// Domains lists targets by failure domain: an agent lists its own target, an entry
+	// all targets.
 	Domains  []Domain  `json:"domains"`
 	Suspects []Suspect `json:"suspects,omitempty"`
 	// Changes are the newest records of the audit trail.
@@ -36,13 +36,13 @@
 // Publication is the configuration in force.
 type Publication struct {
 	Version uint64 `json:"version"`
-	// Since is when this process put it in force.
+	// Since is the time at which this process put it in force.
 	Since time.Time `json:"since"`
-	// RefusedVersion is the last version that was refused, and why.
+	// RefusedVersion is the last version that was refused, and RefusalReason the reason.
 	RefusedVersion uint64 `json:"refused,omitempty"`
 	RefusalReason  string `json:"why,omitempty"`
-	// PlatformUnresponsive says that the configuration service did not answer when this
-	// process asked it last; most processes ask their peers instead.
+	// PlatformUnresponsive reports that the configuration service did not answer this
+	// process's last read. Most processes read from their peers instead.
 	PlatformUnresponsive bool `json:"silent,omitempty"`
 }
 
@@ -54,22 +54,22 @@
 	Targets []Target `json:"targets"`
 }
 
-// Target is a target as the process sees it.
+// Target is the state of a target as reported by the process.
 type Target struct {
 	Name  string `json:"name"`
 	Host  string `json:"host"`
 	Model string `json:"model"`
-	// State is the state of the target's chart, as its agent has it.
+	// State is the state of the target's life cycle, as reported by its agent.
 	State string `json:"life,omitempty"`
-	// Load is nil where the process has not heard of the target.
+	// Load is nil if the process has no report of the target.
 	Load *chestnutstep.Load `json:"load,omitempty"`
-	// Mean is the estimated mean load of the model's targets; agents only.
+	// Mean is the estimated mean load of the model's targets; set only by agents.
 	Mean *chestnutstep.Mean `json:"mean,omitempty"`
-	// IdleReason says why the target gets nothing; empty when it does.
+	// IdleReason is the reason why the target receives no work; empty if it does.
 	IdleReason string `json:"why,omitempty"`
 }
 
-// Suspect is a content under which targets crashed.
+// Suspect is a content that was running when targets crashed.
 type Suspect struct {
 	// Content is the fingerprint in hex.
 	Content        string   `json:"content"`
@@ -77,8 +77,8 @@
 	CrashedTargets []string `json:"crashed"`
 }
 
-// IdleReason says why a target gets nothing, or "" when it may get work. The load is
-// nil when nothing is known of it, reached says whether it answers.
+// IdleReason returns the reason why a target receives no work, or "" if it can. The load is
+// nil if it is unknown; reached reports whether the target answers.
 func IdleReason(v *chestnutstep.View, t *chestnutstep.Target, l *chestnutstep.Load, reached bool) string {
 	if why := outOfServiceReason(v, t); why != "" {
 		return why
@@ -92,8 +92,8 @@
 	return loadReason(l)
 }
 
-// outOfServiceReason says what operators took out of service, the widest first: that is
-// what they have to put back.
+// outOfServiceReason returns what operators took out of service, the largest unit first, as that
+// is the one to put back.
 func outOfServiceReason(v *chestnutstep.View, t *chestnutstep.Target) string {
 	h := v.Hosts[t.Host]
 	if h == nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TargetsByDomain lists all published targets by failure domain, in the publication's
-// order, with what see knows of each: what an entry shows.
+// TargetsByDomain lists all published targets by failure domain, in the order of the
+// publication. The function describe returns the state of each target.
 func TargetsByDomain(v *chestnutstep.View, describe func(*chestnutstep.Target) Target) []Domain {
 	list := make([]Domain, 0, len(v.Publication.Domains))
 	index := make(map[string]int, len(v.Publication.Domains))
