--- a/meter/catalog.go
+++ b/meter/catalog.go
@@ -8,7 +8,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// kind is the kind of a metric.
+// kind is the type of a metric.
 type kind string
 
 const (
@@ -39,8 +39,8 @@
 	labelService   = "service"
 )
 
-// durationBuckets are the bounds of the histograms of time: finer below a second, where
-// quick questions live, and up to the minutes that a long plan may take.
+// durationBuckets are the bounds of the histograms of time: finer below a second, for
+// short answers, and up to the minutes that a long one can take.
 var durationBuckets = tally.DurationBuckets{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond,
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
@@ -49,7 +49,7 @@
 	10 * time.Second, 30 * time.Second, time.Minute, 5 * time.Minute,
 }
 
-// Page returns docs/METRICS.md.
+// Page returns the content of docs/METRICS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -24,7 +24,7 @@
 	assert.Equal(t, string(raw), Page(), "run: go test ./meter -update")
 }
 
-// scrape closes the set, which passes all counts on, and reads it.
+// scrape closes the set, which reports all counts, and returns the scraped text.
 func scrape(t *testing.T, s *Set) string {
 	t.Helper()
 	assert.NilError(t, s.Close())
@@ -59,8 +59,8 @@
 	assert.Assert(t, strings.Contains(text, `chestnutstep_agent_wait_seconds_bucket{profile="a",le="0.005"} 1`))
 }
 
-// A defect puts a caller's text into a label. Operators would see the process
-// grow until the platform kills it.
+// TestLabelsAreBounded guards against a defect that puts text of callers into a label: the
+// process would grow until the platform kills it.
 func TestLabelsAreBounded(t *testing.T) {
 	s, err := NewSet()
 	assert.NilError(t, err)
@@ -72,8 +72,8 @@
 	assert.Assert(t, strings.Contains(text, fmt.Sprintf(`{profile="chat",result="other"} %d`, 9*maxLabelValues)))
 }
 
-// Many small customers come first and a large one later. Its share must show in
-// the monthly report all the same, and no request may be lost from the sums.
+// TestWorkspacesByTraffic guards against a large workspace that is missing in the monthly
+// report because many small ones came first. No request may be missing in the sums.
 func TestWorkspacesByTraffic(t *testing.T) {
 	s, err := NewSet()
 	assert.NilError(t, err)
--- a/meter/set.go
+++ b/meter/set.go
@@ -1,5 +1,6 @@
 // Package meter holds a process's metrics: one struct of typed counters,
-// gauges and histograms over tally, served to a Prometheus scraper.
+// gauges and histograms over tally, served to a Prometheus scraper. The number of series of
+// each metric is limited, regardless of the values that callers send.
 package meter
 
 import (
@@ -13,15 +14,15 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// prefix of all names.
+// prefix is the first part of all metric names.
 const prefix = "chestnutstep"
 
-// reportInterval is how often counts move from the scope to what is scraped: finer
-// than any scraper asks, and one short pass over a few hundred series.
+// reportInterval is the interval at which counts are copied from the scope to the scraped
+// registry. It is shorter than any scrape interval, and a pass over a few hundred series is short.
 const reportInterval = time.Second
 
-// Set is every metric of a process. An entry leaves the agent's fields alone
-// and the other way round: a metric that was never touched is not shown.
+// Set contains all metrics of a process. An entry does not use the agent's fields, nor an
+// agent those of an entry: a metric that was never used is not exported.
 type Set struct {
 	Entry       Entry
 	Agent       Agent
@@ -34,25 +35,25 @@
 	closer  io.Closer
 }
 
-// Entry is what an entry counts.
+// Entry contains the metrics of an entry.
 type Entry struct {
 	Requests     Counter   // answers to callers, by code
-	OpenRequests Gauge     // streams open to callers
+	OpenRequests Gauge     // requests in progress
 	FirstByte    Histogram // time to the first byte of an answer
 	Answer       Histogram // time to the last byte of an answer
 	Offers       Counter   // offers to agents, by answer
-	Retries      Counter   // repeats, by whether the budget allowed them
-	Attached     Counter   // broken links taken up again
-	Hints        Counter   // what became of hints
+	Retries      Counter   // retries, by whether the budget allowed them
+	Attached     Counter   // answers resumed after the link broke
+	Hints        Counter   // hints, by result
 	AgentLinks   Gauge     // open connections to agents
 }
 
-// Agent is what an agent counts.
+// Agent contains the metrics of an agent.
 type Agent struct {
 	Offers       Counter   // offers, by verdict
 	Wait         Histogram // time in the queue
 	FirstToken   Histogram // from the call of the target to its first byte
-	Runs         Counter   // runs, by how they ended
+	Runs         Counter   // runs, by result
 	Running      Gauge
 	Waiting      Gauge
 	Cap          Gauge
@@ -62,42 +63,42 @@
 	Cold         Gauge
 	Crashes      Counter
 	CachedTokens Counter // prompt tokens found in the target's cache
-	Moves        Counter // KV cache moves, by way and end
+	Moves        Counter // KV cache moves, by direction and result
 	MovedBytes   Counter // bytes of KV cache moved
 	Tickets      Counter
 	Orders       Counter
 }
 
-// Relay is what an entry without agents counts.
+// Relay contains the metrics of an entry without agents.
 type Relay struct {
 	Requests          Counter   // answers to callers, by kind of route and result
 	OpenRequests      Gauge     // requests in progress
 	FirstByte         Histogram // time to the first byte of an answer
 	Answer            Histogram // time to the last byte of an answer
-	Tries             Counter   // sends to targets, by service and how they ended
+	Tries             Counter   // attempts at targets, by service and result
 	Silent            Counter   // requests that a target's host did not acknowledge
 	Verified          Counter   // requests that opened a connection to verify a host
-	RetriesDenied     Counter   // repeats that the retry budget did not allow
-	PromptTokens      Counter   // prompt tokens, by whether a cache was expected to hold them
+	RetriesDenied     Counter   // retries denied by the retry budget
+	PromptTokens      Counter   // prompt tokens, by whether they were expected to be cached
 	Peers             Gauge     // other entries of the fleet
 	ProofAge          Gauge     // age of the proof that the configuration is current
 	Version           Gauge     // version of the configuration in force
 	Targets           Gauge     // targets known
 	DatagramBytes     Counter   // bytes of datagrams between entries
-	ConnectionsOpened Counter   // connections to targets that were opened
-	LogLinesDropped   Counter   // lines of the log that were dropped
-	Refused           Counter   // requests that found no place, by workspace and reason
-	PlacesTaken       Gauge     // part of a service's places that was taken at the last request
-	PlacesKept        Gauge     // part of them that is kept for requests within their share
+	ConnectionsOpened Counter   // connections to targets opened
+	LogLinesDropped   Counter   // log lines dropped
+	Refused           Counter   // requests refused for lack of a place, by workspace and reason
+	PlacesTaken       Gauge     // fraction of a service's places that was taken at the last request
+	PlacesKept        Gauge     // fraction of them reserved for requests within their share
 	CallerConnections Gauge     // connections of callers
-	Reads             Counter   // reads of facts, by topic and giver
+	Reads             Counter   // reads of facts, by topic and source
 	ReadBytes         Counter   // bytes of these reads
-	ReadGap           Histogram // age of the last proof when changes came
+	ReadGap           Histogram // age of the last proof when changes arrived
 	TargetsEnded      Counter   // targets that ended while requests ran on them, by proof
 	CrashAge          Histogram // age of a crash when a peer reported it
 }
 
-// Workspaces is what a report of fairness between workspaces is made of, summed
+// Workspaces contains the metrics of the fairness report between workspaces, summed
 // over all agents.
 type Workspaces struct {
 	Requests Counter
@@ -105,7 +106,7 @@
 	Wait     Histogram
 }
 
-// Publication is what a process counts of its configuration and its peers.
+// Publication contains the metrics of a process's configuration and peers.
 type Publication struct {
 	Version      Gauge
 	Changes      Counter
@@ -113,12 +114,12 @@
 	GossipRounds Counter
 }
 
-// Process is what any process counts of itself.
+// Process contains the metrics that all processes have.
 type Process struct {
 	Audit Counter
 }
 
-// binder is what binds a field of the set to its entry of the catalogue.
+// binder binds a field of the set to its description.
 type binder interface {
 	bind(scope tally.Scope, e description, t *topWorkspaces)
 }
@@ -204,13 +205,13 @@
 	return entries
 }
 
-// NewSet returns a set whose counts reach the scraper once a second. Close it
+// NewSet returns a set whose counts are exported once per second. Close must be called
 // when the process ends.
 func NewSet() (*Set, error) {
 	return newSet(reportInterval)
 }
 
-func newSet(every time.Duration) (*Set, error) {
+func newSet(interval time.Duration) (*Set, error) {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -219,7 +220,7 @@
 		Separator:              prometheus.DefaultSeparator,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, every)
+	}, interval)
 	s := &Set{handler: reporter.HTTPHandler(), closer: closer}
 	ranked := &topWorkspaces{}
 	for _, b := range s.metrics() {
@@ -231,7 +232,7 @@
 	return s, nil
 }
 
-// registerHelp gives the scraper the metric's help text.
+// registerHelp registers the metric's help text for the scraper.
 func registerHelp(r prometheus.Reporter, e description) error {
 	name := prefix + prometheus.DefaultSeparator + e.name
 	var err error
@@ -257,8 +258,8 @@
 	return list
 }
 
-// Handler serves a scraper.
+// Handler returns the handler that serves a scraper.
 func (s *Set) Handler() http.Handler { return s.handler }
 
-// Close passes the last counts on and stops.
+// Close reports the last counts and stops.
 func (s *Set) Close() error { return s.closer.Close() }
--- a/meter/top_workspaces.go
+++ b/meter/top_workspaces.go
@@ -3,25 +3,25 @@
 import "sync"
 
 const (
-	// maxSeries is how many workspaces have series of their own at a time:
-	// today's customers are about ten, and fifty fit a page of a report.
+	// maxSeries is the maximum number of workspaces that have their own series at a time.
+	// There are about ten customers, and fifty rows fit on a page of a report.
 	maxSeries = 50
-	// maxSeriesEver bounds the workspaces that ever get series of their own: one
-	// that drops out keeps its old series, since a counter that vanishes reads
-	// as a restart.
+	// maxSeriesEver is the maximum number of workspaces that ever get their own series. A
+	// workspace that loses its place keeps its old series, since a counter that disappears
+	// looks like a restart.
 	maxSeriesEver = 2 * maxSeries
-	// maxCounted bounds the workspaces whose requests are counted for the
-	// ranking. It bounds memory, not what is published.
+	// maxCounted is the maximum number of workspaces whose requests are counted for the
+	// ranking. It limits memory, not the exported series.
 	maxCounted = 1024
-	// minLead is how much busier than the least busy of the named a workspace has
-	// to be to take its place, so that two of like traffic do not take turns.
+	// minLead is the factor by which a workspace must exceed the least busy one with its own
+	// series to replace it, so that two with similar traffic do not alternate.
 	minLead = 2
 )
 
-// topWorkspaces decides which workspaces have series of their own: those with the most
-// requests. Without it each workspace of a large customer base would cost
-// every process tens of series; with the first ones named for good, a quiet
-// early one would keep a large late one out of the report.
+// topWorkspaces chooses the workspaces that have their own series: those with the most
+// requests. Without a limit, each workspace of a large customer base would cost
+// every process tens of series. If the first ones kept their series forever, a quiet
+// early one would exclude a busy late one from the report.
 type topWorkspaces struct {
 	mu         sync.Mutex
 	counts     map[string]int64
@@ -59,8 +59,8 @@
 	return true
 }
 
-// evictLeast takes its series from the least busy workspace when the newcomer is
-// clearly busier.
+// evictLeast evicts the least busy workspace if count is clearly higher than its count, and
+// reports whether it did.
 func (t *topWorkspaces) evictLeast(count int64) bool {
 	victim := ""
 	for w := range t.withSeries {
--- a/meter/vector.go
+++ b/meter/vector.go
@@ -7,20 +7,20 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// maxLabelValues is how many values one label other than workspace may take. Profiles,
-// reasons and kinds are published or fixed, and far fewer; the bound is for
-// the defect that puts a caller's text into a label, which would otherwise
-// show as a process that grows until it is killed.
+// maxLabelValues is the maximum number of values of a label other than workspace. Profiles,
+// reasons and kinds are published or fixed, and far fewer. The limit covers a defect
+// that puts text of callers into a label, by which the process would otherwise
+// grow until it is killed.
 const maxLabelValues = 200
 
-// other is the label value that all values beyond a bound share.
+// other is the label value that all values beyond the limit share.
 const other = "other"
 
-// maxLabels is how many labels a metric has at most.
+// maxLabels is the maximum number of labels of a metric.
 const maxLabels = 2
 
-// labelValues is a metric's label values; an array, so that looking up a series
-// allocates nothing.
+// labelValues holds the label values of a series. It is an array, so that looking up a series
+// does not allocate.
 type labelValues [maxLabels]string
 
 // series holds the series of one metric by label values.
@@ -31,8 +31,8 @@
 	mu         sync.RWMutex
 	byLabels   map[labelValues]T
 	seenValues [maxLabels]map[string]bool
-	// ranked is set where the first label is a workspace. All metrics share
-	// it, so that they name the same workspaces.
+	// ranked is set if the first label is a workspace. All metrics share
+	// it, so that they have series for the same workspaces.
 	ranked *topWorkspaces
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// get returns the series of the values; create makes it in a scope.
+// get returns the series with the given label values, or creates it. It returns false if the metric is not bound.
 func (s *series[T]) get(values []string, create func(tally.Scope, string) T) (T, bool) {
 	var zero T
 	if s.scope == nil {
@@ -99,21 +99,21 @@
 	return v
 }
 
-// Counter counts up. Values are those of its labels, in the order of
-// docs/METRICS.md. The zero Counter counts nothing, so that parts can be used
+// Counter is a counter that only increases. Label values are in the order of
+// docs/METRICS.md. The zero Counter counts nothing, so that components can be used
 // without a set.
 type Counter struct{ series[tally.Counter] }
 
 func (c *Counter) bind(scope tally.Scope, e description, t *topWorkspaces) { c.init(scope, e, t) }
 
-// Add adds n, which is not negative.
+// Add adds n, which must not be negative.
 func (c *Counter) Add(n int64, values ...string) {
 	if v, ok := c.get(values, tally.Scope.Counter); ok {
 		v.Inc(n)
 	}
 }
 
-// Gauge holds the latest value of something.
+// Gauge holds the latest value.
 type Gauge struct{ series[tally.Gauge] }
 
 func (g *Gauge) bind(scope tally.Scope, e description, t *topWorkspaces) { g.init(scope, e, t) }
