--- a/audit/audit.go
+++ b/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit keeps the trail of changes that operators may ask about later:
-// which publication was put in force, what was taken out of service and why.
+// Package audit records the changes that operators trace later: publications that were put
+// in force, and failure domains, hosts and targets that were taken out of service, with their
+// causes. Records are numbered and chained by hash, so that lost or altered ones are detected.
 package audit
 
 import (
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// Kind says what a record is about.
+// Kind is the kind of change that a record describes.
 type Kind string
 
 // The kinds of records.
@@ -22,32 +23,31 @@
 	KindTarget    Kind = "target"    // a target's state changed
 	KindLimits    Kind = "limits"    // limits of a model, workspace, profile or budget changed
 	KindOrder     Kind = "order"     // an order to an engine
-	KindCondemned Kind = "condemned" // a content was judged
+	KindCondemned Kind = "condemned" // the crash state of a content changed
 )
 
-// Record is one change. Time, Seq, Process, Prev and Hash are filled in by the
-// trail.
+// Record is one change. The trail sets Time, Seq, Process, Prev and Hash.
 type Record struct {
 	Process string    `json:"process"`
 	Seq     uint64    `json:"seq"`
 	Time    time.Time `json:"time"`
 	Kind    Kind      `json:"kind"`
-	// Subject is the name of what changed, unique within its kind.
+	// Subject is the name of the changed item, unique within its kind.
 	Subject string `json:"subject"`
-	// Cause is what led to the change.
+	// Cause is the cause of the change.
 	Cause  string `json:"cause"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 	// Version of the publication in force after the change.
 	Version uint64 `json:"version"`
-	// Prev is the hash of the record before; empty for the first.
+	// Prev is the hash of the previous record; empty for the first.
 	Prev string `json:"prev"`
 	Hash string `json:"hash"`
 }
 
 // Sum computes the hash of a record over all its other fields. Each field is
-// preceded by its length, so that text can't move from one field into the
-// next without being seen.
+// preceded by its length, so that moving text from one field into the
+// next changes the hash.
 func (r Record) Sum() string {
 	h := sha256.New()
 	hashText(h, r.Process)
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// steppingClock steps a second with each reading.
+// steppingClock advances by one second with each reading.
 type steppingClock struct{ now time.Time }
 
 func (c *steppingClock) read() time.Time {
@@ -40,8 +40,8 @@
 	}
 }
 
-// An operator takes a failure domain out and a member asks days later why the
-// chat lost its place. The log stream alone has to tell, the process is gone.
+// TestExplainMovedChat guards against a trail that can't explain a moved chat days after its
+// failure domain was taken out of service, when only the log stream remains.
 func TestExplainMovedChat(t *testing.T) {
 	var b bytes.Buffer
 	c := &steppingClock{now: time.Unix(1000, 0)}
@@ -73,8 +73,8 @@
 domain a: in -> out by publication 2`))
 }
 
-// A request that crashes targets is refused for good. Its caller's support
-// wants to know since when and why.
+// TestExplainRefusedContent guards against a refused content whose cause can't be traced. A
+// content that crashes targets is refused permanently, and support must find the cause.
 func TestExplainRefusedContent(t *testing.T) {
 	trail := &Trail{Process: "agent-a1"}
 	trail.Add(Record{Kind: KindCondemned, Subject: "00ff", Cause: "crashed a1e and b1e", Before: "suspect", After: "condemned"})
@@ -96,8 +96,8 @@
 	assert.Equal(t, trail.Last(1)[0].Seq, uint64(5))
 }
 
-// Someone edits the log, loses a line of it or shuffles it. Whoever reads the
-// trail later must not take the rest for the whole truth.
+// TestVerifyDetectsDamage guards against an incomplete or altered trail that passes the check:
+// a line of the log is edited, lost or moved.
 func TestVerifyDetectsDamage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		trail := &Trail{Process: "p"}
@@ -124,13 +124,13 @@
 		case "move":
 			r[i].Before, r[i].After = r[i].Before+r[i].After+"x", ""
 			r[i].Hash = r[i].Sum()
-			assert.Assert(t, IsErrAltered(Verify(r)), "a hash made anew breaks the next link")
+			assert.Assert(t, IsErrAltered(Verify(r)), "a recomputed hash breaks the next link")
 		}
 	})
 }
 
-// A host is replaced and the new process writes on in the same log stream. An
-// alarm for each planned restart would soon be ignored, and a real one with it.
+// TestVerifyRestart guards against an alarm for a planned restart, which would hide a real one:
+// a restarted process continues in the same log stream.
 func TestVerifyRestart(t *testing.T) {
 	var log []Record
 	for range 2 {
@@ -141,10 +141,10 @@
 		log = append(log, trail.Last(0)...)
 	}
 	assert.NilError(t, Verify(log))
-	assert.Assert(t, IsErrAltered(Verify(append(log[:3:3], log[4:]...))), "the first of the new life is lost")
+	assert.Assert(t, IsErrAltered(Verify(append(log[:3:3], log[4:]...))), "the first record after the restart is lost")
 }
 
-// FuzzRead feeds Read what an operator may hold for a log.
+// FuzzRead passes arbitrary text to Read as a log.
 func FuzzRead(f *testing.F) {
 	f.Add(`{"event":1010,"process":"p","seq":1,"at":"2026-01-02T03:04:05Z","hash":"00"}`)
 	f.Fuzz(func(t *testing.T, lines string) {
--- a/audit/change.go
+++ b/audit/change.go
@@ -6,16 +6,16 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// States of a failure domain, host or target in before and after.
+// States of a failure domain, host or target in Before and After.
 const (
 	stateIn     = "in"
 	stateOut    = "out"
 	stateAbsent = "absent"
 )
 
-// Changes lists what a publication changes against the one in force before it,
-// one record a change: states of failure domains, hosts and targets, and
-// limits. Either may be nil: before the first one there is nothing.
+// Changes lists the changes from one publication to the next, one record per change: states
+// of failure domains, hosts and targets, and limits. Either publication can be nil, which
+// is an empty one.
 func Changes(old, next *chestnutstep.Publication) []Record {
 	if old == nil {
 		old = &chestnutstep.Publication{}
@@ -31,7 +31,7 @@
 	return c.list
 }
 
-// subjectState is what a publication says of one subject.
+// subjectState is the state of one subject in a publication.
 type subjectState struct {
 	subject string
 	value   string
--- a/audit/explain.go
+++ b/audit/explain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Query asks what governed a target at a moment.
+// Query selects the records that affected a target at a given time.
 type Query struct {
 	Target string
 	Host   string
@@ -10,14 +10,14 @@
 	Model  string
 	// Content is a fingerprint in hex, for a refused content.
 	Content string
-	// At is the moment in question.
+	// At is the time to explain.
 	At time.Time
 }
 
-// Explain returns the newest record up to the moment for each subject that governs
-// the target: its publication, failure domain, host, own state and limits. It
-// is what answers why a chat was moved or a request refused: the refusal names
-// the target and the reason, and the records say what made the reason true.
+// Explain returns the newest record up to the time q.At for each subject that affects
+// the target: the publication, its failure domain, its host, its own state and its limits.
+// The records explain why a chat was moved or a request refused: the refusal contains
+// the target and the reason, and the records contain the change that caused the reason.
 func Explain(records []Record, q Query) []Record {
 	newest := make(map[subject]int)
 	for i, r := range records {
--- a/audit/read.go
+++ b/audit/read.go
@@ -11,12 +11,12 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// maxLineBytes is the longest line of a log that is read, in bytes.
+// maxLineBytes is the maximum length of a log line in bytes.
 const maxLineBytes = 1 << 20
 
-// Read finds the records of one process among the lines of a log stream, which
-// is where they outlive the process. All processes' records are returned when
-// process is empty. Lines that are not audit records are passed over.
+// Read returns the audit records of one process from a log stream, where they remain after
+// the process has ended. If process is empty, it returns those of all processes. Other
+// lines are skipped.
 func Read(r io.Reader, process string) ([]Record, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
@@ -30,8 +30,8 @@
 	return records, errors.Wrap(lines.Err(), "read log")
 }
 
-// parseLine reads one line. The line's own time is that of writing; the record's
-// stands under "at".
+// parseLine decodes one line. The time of the line is the time of writing; that of the record
+// is in the field "at".
 func parseLine(line []byte) (Record, bool) {
 	var l struct {
 		Record
--- a/audit/trail.go
+++ b/audit/trail.go
@@ -7,20 +7,20 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// defaultCapacity is how many records a trail keeps in memory if nothing else is
-// said: at half a kilobyte each they cost half a megabyte, and hold what a
-// failure domain of several hundred targets causes when it leaves and returns.
+// defaultCapacity is the default number of records in memory. At half a kilobyte each they
+// take half a megabyte, which holds the records caused by a failure domain of several
+// hundred targets that leaves and returns.
 const defaultCapacity = 1024
 
 // Trail numbers records, chains them by hash, writes them to the log stream
-// and keeps the newest. Hosts have no disks: what must outlive the process is
-// what the log stream carries, and the chain shows when a line of it is lost.
+// and keeps the newest in memory. Hosts have no disks, so only the log stream remains
+// after the process has ended; the chain reveals lost lines.
 type Trail struct {
 	// Log receives each record as event 1010.
 	Log *event.Log
-	// Process names the process in each record.
+	// Process is the name of the process in each record.
 	Process string
-	// Capacity is how many records stay in memory; 1024 if 0.
+	// Capacity is the number of records kept in memory; 1024 if 0.
 	Capacity int
 	// Now is the clock; time.Now if nil.
 	Now func() time.Time
@@ -32,8 +32,8 @@
 	next int
 }
 
-// Add numbers, chains, writes and keeps a record, and returns it as kept. The
-// lines of the log are in the order of the numbers.
+// Add completes a record with number, time and hashes, stores and logs it, and returns it.
+// Log lines are in the order of the numbers.
 func (t *Trail) Add(r Record) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +61,7 @@
 	return r
 }
 
-// now drops the monotonic part and the zone: a record must hash alike after it
+// now removes the monotonic reading and the zone, so that a record has the same hash after it
 // was written and read.
 func (t *Trail) now() time.Time {
 	now := time.Now
@@ -85,7 +85,7 @@
 }
 
 // Last returns at most n of the newest records, oldest first; all that are
-// kept when n is 0.
+// in memory if n is 0.
 func (t *Trail) Last(n int) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/audit/verify.go
+++ b/audit/verify.go
@@ -6,47 +6,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrGap says that records are missing between two that were given.
+// ErrGap reports that records are missing between two others.
 type ErrGap struct {
 	Process string
 	// After is the number of the last record before the gap, Before that of
-	// the first one behind it.
+	// the first one after it.
 	After, Before uint64
 }
 
-// Error names the records that are missing.
+// Error returns the numbers of the records around the gap.
 func (e ErrGap) Error() string {
 	return fmt.Sprintf("audit trail of %s: records between %d and %d are missing", e.Process, e.After, e.Before)
 }
 
-// IsErrGap says whether records are missing.
+// IsErrGap reports whether an error is an ErrGap.
 func IsErrGap(err error) bool {
 	var e ErrGap
 	return errors.As(err, &e)
 }
 
-// ErrAltered says that a record is not what its process wrote.
+// ErrAltered reports that a record differs from the one that its process wrote.
 type ErrAltered struct {
 	Process string
 	Seq     uint64
 }
 
-// Error names the record.
+// Error returns the number of the record.
 func (e ErrAltered) Error() string {
 	return fmt.Sprintf("audit trail of %s: record %d was changed", e.Process, e.Seq)
 }
 
-// IsErrAltered says whether a record was changed.
+// IsErrAltered reports whether an error is an ErrAltered.
 func IsErrAltered(err error) bool {
 	var e ErrAltered
 	return errors.As(err, &e)
 }
 
-// Verify checks that records of one process are whole, in order and unchanged.
-// The first may be any: older ones may be kept elsewhere. A chain can't show
-// that its newest records are missing; compare its last hash with the one that
-// the process itself shows. A process that starts anew begins a new chain at
-// number 1, behind what its former life wrote to the same log.
+// Verify checks that records of one process are complete, in order and unchanged.
+// The first one can have any number, as older ones can be stored elsewhere. A chain can't
+// reveal that its newest records are missing: compare its last hash with that of
+// the process itself. A restarted process begins a new chain at
+// number 1, after its earlier records in the same log.
 func Verify(records []Record) error {
 	for i, r := range records {
 		if r.Hash != r.Sum() {
