--- a/cert/cert.go
+++ b/cert/cert.go
@@ -1,5 +1,6 @@
-// Package cert makes the TLS configurations of a process from files that may
-// change while it runs.
+// Package cert builds the TLS configurations of a process from files that can
+// change while it runs. New connections use the new files; unusable files never replace
+// those in use.
 package cert
 
 import (
@@ -15,26 +16,26 @@
 )
 
 const (
-	// recheckInterval is how long files that were looked at count as unchanged: three
-	// calls of stat a second are nothing, three a handshake would be felt when
-	// a thousand callers connect at once.
+	// recheckInterval is the minimum time between checks of the files. Three calls of stat
+	// per second cost nothing, but three per handshake are noticeable when a thousand
+	// callers connect at once.
 	recheckInterval = time.Second
-	// expiryWarnWindow is how long before a certificate's end the log says so: a
-	// working week and the days around it.
+	// expiryWarnWindow is the time before a certificate's expiry from which it is logged: a
+	// working week and a weekend.
 	expiryWarnWindow = 7 * 24 * time.Hour
-	// expiryWarnInterval is how often the log says so.
+	// expiryWarnInterval is the interval between these log lines.
 	expiryWarnInterval = 24 * time.Hour
 )
 
 // Files names a certificate, its key and the authority that signs the peers'
-// certificates, all PEM. They are read again when their size or time of change
-// differs; new connections use the new ones, open connections stay. When
-// changed files can't be used, the last good ones stay in use and the log says
-// so: a half-written file must not cut a host off from the fleet.
+// certificates, all in PEM format. They are read again when their size or modification time
+// changes; new connections use the new ones, open connections continue. If
+// changed files can't be used, the last valid ones stay in use and an error is
+// logged: an incomplete file must not disconnect a host from the fleet.
 type Files struct {
 	Cert string
 	Key  string
-	// CA is not needed towards callers.
+	// CA is not needed for caller connections.
 	CA  string
 	Log *event.Log
 	// Now is the clock; time.Now if nil.
@@ -47,33 +48,33 @@
 	loaded     *keyMaterial
 }
 
-// keyMaterial is what was read from the files; it never changes.
+// keyMaterial is the parsed content of the files; it is immutable.
 type keyMaterial struct {
 	pair     tls.Certificate
 	roots    *x509.CertPool
 	notAfter time.Time
 }
 
-// ErrFiles says that certificate files can't be used.
+// ErrFiles reports certificate files that can't be used.
 type ErrFiles struct {
 	Files string
 	Cause error
 }
 
-// Error names the files and the cause.
+// Error returns the files and the cause.
 func (e ErrFiles) Error() string { return e.Files + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e ErrFiles) Unwrap() error { return e.Cause }
 
-// IsErrFiles says whether certificate files can't be used.
+// IsErrFiles reports whether an error is an ErrFiles.
 func IsErrFiles(err error) bool {
 	var e ErrFiles
 	return errors.As(err, &e)
 }
 
-// Load reads the files for the first time. A process that starts with unusable
-// files says so and ends, rather than refuse each connection.
+// Load reads the files for the first time. If they can't be used, the process must exit
+// instead of refusing each connection.
 func (f *Files) Load() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +83,7 @@
 	return f.read()
 }
 
-// current returns what is in use, after a look at the files.
+// current checks the files for changes and returns the material in use.
 func (f *Files) current() (*keyMaterial, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +107,7 @@
 	f.warnExpiry(now)
 }
 
-// read replaces what is in use by what the files hold, if that is usable.
+// read replaces the material in use with the content of the files if that is usable.
 func (f *Files) read() error {
 	m, err := f.parse()
 	if err != nil {
@@ -133,13 +134,13 @@
 	}
 	m.roots = x509.NewCertPool()
 	if !m.roots.AppendCertsFromPEM(raw) {
-		return nil, errors.WithStack(ErrFiles{Files: f.CA, Cause: errors.New("no certificate in it")})
+		return nil, errors.WithStack(ErrFiles{Files: f.CA, Cause: errors.New("contains no certificate")})
 	}
 	return m, nil
 }
 
-// warnExpiry says once a day that the certificate in use ends soon. Without it the
-// first sign would be that no process reaches another.
+// warnExpiry logs once a day that the certificate in use expires soon. Otherwise the
+// expiry would first show as processes that can't connect to each other.
 func (f *Files) warnExpiry(now time.Time) {
 	if f.loaded == nil || f.loaded.notAfter.Sub(now) > expiryWarnWindow || now.Sub(f.warnedAt) < expiryWarnInterval {
 		return
@@ -155,13 +156,13 @@
 	return time.Now()
 }
 
-// fileStamp tells one content of a file from the next without reading it.
+// fileStamp detects that a file has changed without reading it.
 type fileStamp struct {
 	size  int64
 	nanos int64
 }
 
-// stamps are those of certificate, key and authority.
+// stamps holds the stamps of certificate, key and authority.
 type stamps [3]fileStamp
 
 func (f *Files) statFiles() stamps {
--- a/cert/cert_test.go
+++ b/cert/cert_test.go
@@ -56,7 +56,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw})
 }
 
-// issue writes a certificate for an IP; its serial number tells it apart.
+// issue writes a certificate for an IP, identified by its serial number.
 func (a *authority) issue(t *testing.T, f *Files, ip string, serial int64) {
 	t.Helper()
 	key := newKey(t)
@@ -73,7 +73,7 @@
 	writeFile(t, f.CA, a.pem)
 }
 
-// lastModTime steps with each write, so that no two files share a time of change.
+// lastModTime advances with each write, so that no two files have the same modification time.
 var lastModTime = time.Unix(1_700_000_000, 0)
 
 func writeFile(t *testing.T, path string, raw []byte) {
@@ -83,7 +83,7 @@
 	assert.NilError(t, os.Chtimes(path, lastModTime, lastModTime))
 }
 
-// testProcess is one process with its files, its log and a clock of its own.
+// testProcess is a process with its own files, log and clock.
 type testProcess struct {
 	*Files
 	log bytes.Buffer
@@ -102,7 +102,7 @@
 }
 
 // handshake dials 127.0.0.1 over TCP and returns the serial number that the client
-// saw, or the first error of either side.
+// received, or the first error of either side.
 func handshake(t *testing.T, server, client *testProcess) (int64, error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,7 +147,7 @@
 	untrusted.issue(t, other.Files, "127.0.0.1", 12)
 	assert.NilError(t, other.Load())
 	_, err = handshake(t, server, other)
-	assert.Assert(t, err != nil, "a stranger's certificate")
+	assert.Assert(t, err != nil, "a certificate of an untrusted authority")
 
 	wrongIP := newTestProcess(t)
 	ca.issue(t, wrongIP.Files, "127.0.0.2", 13)
@@ -156,8 +156,9 @@
 	assert.ErrorContains(t, err, "127.0.0.1")
 }
 
-// Operators rotate certificates without a restart. The old one runs out and, if
-// a process still showed it, no other would talk to it.
+// TestRotatedCertificateServesNextHandshake guards against a process that continues to use an
+// old certificate after a rotation without restart: after its expiry, no other process would
+// connect to it.
 func TestRotatedCertificateServesNextHandshake(t *testing.T) {
 	ca, next := newAuthority(t), newAuthority(t)
 	server, client := newTestProcess(t), newTestProcess(t)
@@ -169,17 +170,17 @@
 	next.issue(t, client.Files, "127.0.0.1", 23)
 	serial, err := handshake(t, server, client)
 	assert.NilError(t, err)
-	assert.Equal(t, serial, int64(20), "files are looked at once a second")
+	assert.Equal(t, serial, int64(20), "files are checked once per second")
 	server.now = server.now.Add(recheckInterval)
 	client.now = client.now.Add(recheckInterval)
 	serial, err = handshake(t, server, client)
 	assert.NilError(t, err)
 	assert.Equal(t, serial, int64(22))
-	assert.Equal(t, strings.Count(server.log.String(), `"name":"cert_expires"`), 1, "an hour is left")
+	assert.Equal(t, strings.Count(server.log.String(), `"name":"cert_expires"`), 1, "the certificate expires within an hour")
 }
 
-// A tool writes the certificate and dies before the key, or leaves a file cut
-// short. Without care the host drops out of the fleet at its next connection.
+// TestInvalidFilesKeepLastGood guards against a host that can't connect to the fleet because
+// a tool failed between writing certificate and key, or truncated a file.
 func TestInvalidFilesKeepLastGood(t *testing.T) {
 	ca := newAuthority(t)
 	server, client := newTestProcess(t), newTestProcess(t)
@@ -204,7 +205,8 @@
 	assert.Equal(t, serial, int64(32))
 }
 
-// Callers connect without certificates; a rotated one serves them too.
+// TestCallerConfig checks that callers connect without certificates, and that the server's certificate
+// is the one in the files.
 func TestCallerConfig(t *testing.T) {
 	ca := newAuthority(t)
 	server := newTestProcess(t)
--- a/cert/tls.go
+++ b/cert/tls.go
@@ -9,8 +9,8 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// CallerConfig returns the configuration of a listener for callers, who show keys and
-// no certificates.
+// CallerConfig returns the configuration of a listener for callers, which authenticate with keys
+// and not with certificates.
 func (f *Files) CallerConfig() *tls.Config {
 	return f.serverConfig(func(m *keyMaterial) *tls.Config {
 		return &tls.Config{
@@ -21,7 +21,7 @@
 	})
 }
 
-// serverConfig returns a configuration that is made anew for each connection.
+// serverConfig returns a configuration that is built for each connection.
 func (f *Files) serverConfig(build func(*keyMaterial) *tls.Config) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -35,9 +35,9 @@
 	}
 }
 
-// peerConfig is the configuration of one connection between processes of the system,
-// from either side. Session tickets are off: a resumed session would outlive
-// the withdrawal of the authority that vouched for it.
+// peerConfig returns the configuration of one connection between processes of the system,
+// for either side. Session tickets are disabled: a resumed session would remain valid
+// after the authority that signed its certificate was removed.
 func peerConfig(m *keyMaterial) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -50,14 +50,14 @@
 	}
 }
 
-// Credentials returns mutual TLS for grpc, for servers and clients. A client
-// checks the server's certificate against the IP that it dialled.
+// Credentials returns mutual TLS for gRPC, for servers and clients. A client
+// verifies the server's certificate against the IP that it dialed.
 func (f *Files) Credentials() credentials.TransportCredentials {
 	return &creds{files: f}
 }
 
-// creds makes grpc's own TLS credentials for each handshake from the files in
-// use at that moment.
+// creds builds gRPC's own TLS credentials for each handshake from the files in
+// use at that time.
 type creds struct{ files *Files }
 
 // ClientHandshake implements credentials.TransportCredentials.
@@ -86,8 +86,8 @@
 // Clone implements credentials.TransportCredentials.
 func (c *creds) Clone() credentials.TransportCredentials { return &creds{files: c.files} }
 
-// OverrideServerName implements credentials.TransportCredentials. It is always
-// refused: a peer is checked against the address that was dialled.
+// OverrideServerName implements credentials.TransportCredentials. It always returns
+// an error, as a peer is verified against the dialed address.
 func (c *creds) OverrideServerName(string) error {
-	return errors.New("the name of a peer is its address")
+	return errors.New("server name can't be overridden: a peer is verified by its address")
 }
