--- a/pipe/pipe.go
+++ b/pipe/pipe.go
@@ -1,5 +1,5 @@
-// Package pipe is a test aid: a TCP relay that misbehaves when it is told to.
-// It does nothing by timers, so that a test sees the same each time.
+// Package pipe is a test tool: a TCP relay that delays, drops and breaks connections on
+// command. It uses no timers, so that tests are reproducible.
 package pipe
 
 import (
@@ -8,25 +8,25 @@
 	"sync"
 )
 
-// Direction is a direction through a relay.
+// Direction is the direction of bytes through a relay.
 type Direction int
 
-// The ways.
+// The directions.
 const (
-	// Up is from who dialled to who listens.
+	// Up is from the dialing side to the listening side.
 	Up Direction = iota
-	// Down is from who listens to who dialled.
+	// Down is from the listening side to the dialing side.
 	Down
 	directions
 )
 
-// bufferBytes is how much is read at once. It is small, so that Limit and Hold stop
-// close to the byte that was meant.
+// bufferBytes is the size of one read. It is small, so that BreakAfter and Hold take effect
+// close to the intended byte.
 const bufferBytes = 512
 
-// Relay passes connections on to a backend. Set Backend, then Start.
+// Relay forwards connections to a backend. Backend must be set before Start.
 type Relay struct {
-	// Backend is the address to pass connections on to.
+	// Backend is the address to which connections are forwarded.
 	Backend string
 
 	mu       sync.Mutex
@@ -39,15 +39,15 @@
 	accepted int
 }
 
-// directionState is what is told about one way.
+// directionState holds the faults and the byte count of one direction.
 type directionState struct {
-	// held keeps bytes back until they are released.
+	// held delays bytes until they are released.
 	held bool
-	// dropping swallows bytes: the sender sees nothing, as behind a dead router.
+	// dropping discards bytes: the sender is not notified, as behind a failed router.
 	dropping bool
-	// remaining is how many more bytes pass before all links break; -1 is no limit.
+	// remaining is the number of bytes that pass before links break; -1 is no limit.
 	remaining int64
-	// passed counts the bytes that went through.
+	// passed counts the forwarded bytes.
 	passed int64
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// Start listens on a free port of the loopback.
+// Start listens on a free port of the loopback interface.
 func (r *Relay) Start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,34 +76,34 @@
 	return nil
 }
 
-// Addr is where to dial.
+// Addr returns the address to dial.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetBackend sends new connections to another backend.
+// SetBackend forwards new connections to another backend.
 func (r *Relay) SetBackend(backend string) { r.update(func() { r.Backend = backend }) }
 
-// Stop breaks all connections and ends the relay.
+// Stop closes all connections and ends the relay.
 func (r *Relay) Stop() {
 	r.update(func() { r.closed = true })
 	r.listener.Close()
 	r.CloseConnections()
 }
 
-// Hold keeps bytes of one way back, in order, until Heal.
+// Hold delays the bytes of one direction, in order, until Heal.
 func (r *Relay) Hold(w Direction) { r.update(func() { r.states[w].held = true }) }
 
-// Blackhole swallows all further bytes of one way; nobody is told.
+// Blackhole discards all further bytes of one direction without an error.
 func (r *Relay) Blackhole(w Direction) { r.update(func() { r.states[w].dropping = true }) }
 
-// BreakAfter breaks the connection that carries the n-th byte from now on of one
-// way, right behind it, and any other at its next byte of that way.
+// BreakAfter closes the connection that carries the n-th byte from now on in one
+// direction, after that byte, and any other connection at its next byte in that direction.
 func (r *Relay) BreakAfter(w Direction, n int64) { r.update(func() { r.states[w].remaining = n }) }
 
-// Refuse closes new connections at once.
+// Refuse closes new connections immediately.
 func (r *Relay) Refuse() { r.update(func() { r.refuse = true }) }
 
-// Heal releases what is held and ends all misbehaviour. Bytes that a cut
-// swallowed stay lost, so links that lost some are best broken as well.
+// Heal releases held bytes and ends all faults. Discarded bytes stay lost, so
+// connections that lost some should be closed as well.
 func (r *Relay) Heal() {
 	r.update(func() {
 		r.refuse = false
@@ -113,7 +113,7 @@
 	})
 }
 
-// CloseConnections closes all connections: both sides see it.
+// CloseConnections closes all connections on both sides.
 func (r *Relay) CloseConnections() {
 	r.update(func() {
 		for k := range r.links {
@@ -122,14 +122,14 @@
 	})
 }
 
-// BytesPassed is how many bytes went one way so far.
+// BytesPassed returns the number of bytes forwarded so far in one direction.
 func (r *Relay) BytesPassed(w Direction) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.states[w].passed
 }
 
-// AwaitBytes returns once n bytes went one way since the start, or the relay was
+// AwaitBytes returns once n bytes have passed in one direction since the start, or the relay is
 // stopped.
 func (r *Relay) AwaitBytes(w Direction, n int64) {
 	r.mu.Lock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// ConnectionCount is how many connections were made so far.
+// ConnectionCount returns the number of connections accepted so far.
 func (r *Relay) ConnectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,8 +190,8 @@
 	go r.copy(k, Down)
 }
 
-// copy moves the bytes of one way. The end of one way ends the link: nothing
-// that is tested here uses half-closed connections.
+// copy forwards the bytes of one direction. The end of one direction closes the link, as
+// no test uses half-closed connections.
 func (r *Relay) copy(k *link, w Direction) {
 	defer r.remove(k)
 	from, to := k.conns[w], k.conns[1-w]
@@ -207,7 +207,7 @@
 	}
 }
 
-// forward writes what may pass, and says whether the link goes on.
+// forward writes the bytes that may pass, and reports whether the link stays open.
 func (r *Relay) forward(w Direction, to io.Writer, p []byte) bool {
 	p, open := r.filter(w, p)
 	if len(p) == 0 {
--- a/pipe/pipe_test.go
+++ b/pipe/pipe_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startEchoServer answers with what it gets.
+// startEchoServer starts a server that returns all bytes that it receives, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
