--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads a clock that goes on while the host is suspended.
+// Package clock reads the system's boot clock, which advances while the host is suspended, and
+// provides a sleep that ends with a context.
 package clock
 
 import (
@@ -7,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stamp is a moment by the boot clock. It can be compared only with others of
+// Stamp is a time of the boot clock. It can only be compared with others of
 // the same process.
 type Stamp time.Duration
 
-// Now reads the boot clock. Go's monotonic clock stands still while a host is
-// suspended: a process that slept for a minute would take its knowledge for
-// fresh, and act on a key that was taken away meanwhile.
+// Now reads the boot clock. Go's monotonic clock stops while a host is
+// suspended: after a suspension of a minute, a process would treat its data as
+// fresh and accept a key that was revoked in the meantime.
 func Now() Stamp {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -22,11 +23,11 @@
 	return Stamp(ts.Nano())
 }
 
-// fallbackStart stands in on systems without a boot clock.
+// fallbackStart is the reference of Now on systems without a boot clock.
 var fallbackStart = time.Now()
 
-// Sub is the time from other to s.
+// Sub returns the time from other to s.
 func (s Stamp) Sub(other Stamp) time.Duration { return time.Duration(s - other) }
 
-// Add is the moment d after s.
+// Add returns the time d after s.
 func (s Stamp) Add(d time.Duration) Stamp { return s + Stamp(d) }
--- a/clock/sleep.go
+++ b/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits, and reports whether ctx is still alive.
+// Sleep waits for d or until ctx ends, and reports whether ctx is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
