--- a/chestnutstep.go
+++ b/chestnutstep.go
@@ -34,7 +34,7 @@
 	HeaderPriority = "Priority"
 )
 
-// RunStatus reports whether a request ran at a target, as far as is known.
+// RunStatus reports whether a request ran at a target, or that this is uncertain.
 type RunStatus string
 
 // The values of RunStatus. Only an agent that rules out a later run returns RunNo for a
@@ -64,7 +64,7 @@
 // The reasons, grouped by the component that returns them.
 const (
 	// Refusals of an agent: the request did not run.
-	ReasonFull      Reason = "full"      // the target's load has reached its multiple of the mean
+	ReasonFull      Reason = "full"      // the target's load has reached its cap, a multiple of the mean load
 	ReasonCold      Reason = "cold"      // the cold-start cap is reached
 	ReasonLeaving   Reason = "leaving"   // the target is leaving
 	ReasonOut       Reason = "out"       // operators took the target out of service
@@ -89,7 +89,7 @@
 	ReasonCrossed  Reason = "crossed"  // the target sent the answer of another request
 	ReasonShort    Reason = "short"    // the target's answer ended early
 	ReasonTimeout  Reason = "timeout"  // the deadline passed
-	ReasonCanceled Reason = "canceled" // the caller closed the request
+	ReasonCanceled Reason = "canceled" // the caller canceled the request
 	ReasonGone     Reason = "gone"     // the requested bytes are no longer stored
 	ReasonUnknown  Reason = "unknown"  // no record of the request exists here
 	ReasonLink     Reason = "link"     // the link to the agent broke
--- a/config/direct.go
+++ b/config/direct.go
@@ -44,10 +44,9 @@
 type Bounds struct {
 	// GracePeriod is the time from SIGTERM to SIGKILL.
 	GracePeriod time.Duration
-	// MaxRevokeTime is the time after which a revoked key must be refused everywhere.
+	// MaxRevokeTime is the maximum time until a revoked key is refused everywhere.
 	MaxRevokeTime time.Duration
-	// MaxApplyTime is the time after which a change must be in force everywhere; 0 if none is
-	// set.
+	// MaxApplyTime is the maximum time until a change is in force everywhere; 0 if unset.
 	MaxApplyTime time.Duration
 	// RetryRatio of a service's requests, plus RetrySlack requests, can be retries
 	// within RetryWindow, over all entries.
--- a/decide.go
+++ b/decide.go
@@ -200,7 +200,7 @@
 }
 
 // Detector keeps the crash suspicions of one process. An agent records crashes of its
-// own target, an entry records broken answers; both merge the suspicions of peers.
+// own target, an entry those that broken answers reveal; both merge the suspicions of others.
 type Detector interface {
 	Check(now time.Time, fingerprint uint64) ContentState
 	// Start and End bracket a run of the content at this target.
--- a/meter/set.go
+++ b/meter/set.go
@@ -83,7 +83,7 @@
 	Peers             Gauge     // other entries of the fleet
 	ProofAge          Gauge     // age of the proof that the configuration is current
 	Version           Gauge     // version of the configuration in force
-	Targets           Gauge     // targets known
+	Targets           Gauge     // targets in the configuration
 	DatagramBytes     Counter   // bytes of datagrams between entries
 	ConnectionsOpened Counter   // connections to targets opened
 	LogLinesDropped   Counter   // log lines dropped
--- a/meter/vector.go
+++ b/meter/vector.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// get returns the series with the given label values, or creates it. It returns false if the metric is not bound.
+// get returns the series with the given label values, or creates it. It returns false if the
+// metric is not bound.
 func (s *series[T]) get(values []string, create func(tally.Scope, string) T) (T, bool) {
 	var zero T
 	if s.scope == nil {
