--- a/agent/agent.go
+++ b/agent/agent.go
@@ -125,7 +125,7 @@
 		return
 	}
 	a.jobs = make(map[string]*job)
-	a.targetState = chart.Target.Start()
+	a.targetState = chart.Target.InitialState()
 	a.migrator.wake = make(chan struct{}, 1)
 	if a.Clock == nil {
 		a.Clock = time.Now
--- a/answer/answer_test.go
+++ b/answer/answer_test.go
@@ -202,12 +202,12 @@
 // BenchmarkStore measures the memory of an empty answer.
 func BenchmarkStore(b *testing.B) {
 	s := Store{MaxBytes: 1 << 40}
-	before := script.Heap()
+	before := script.HeapBytes()
 	for i := range b.N {
 		l, _ := s.GetOrCreate(script.Epoch, "darkroom", "0b6c3f3e-7d5e-4f1e-9b1a-"+strconv.Itoa(1e11+i))
 		l.SetHead(&wire.Head{Status: 204})
 		l.Finish()
 	}
-	b.ReportMetric((script.Heap()-before)/float64(b.N), "B/answer")
+	b.ReportMetric((script.HeapBytes()-before)/float64(b.N), "B/answer")
 	runtime.KeepAlive(&s)
 }
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -39,40 +39,40 @@
 // Steps of the engine under test: short, so that the wait for the next one
 // hides little of what is measured; background streams take each slowPace-th.
 const (
-	step     = 250 * time.Microsecond
-	slowPace = 400
+	tokenInterval = 250 * time.Microsecond
+	heldPace      = 400
 	// warmProbes go first and are not counted: they open connections.
 	warmProbes = 50
 )
 
 // path is one way from a caller to the engine.
 type path struct {
-	name   string
-	caller *fake.Caller
-	first  load.Times
-	broken int
+	name      string
+	caller    *fake.Caller
+	firstByte load.Histogram
+	failures  int
 }
 
-// open lifts the caps that a fleet's decisions would set on the load, since
+// removeLimits lifts the caps that a fleet's decisions would set on the load, since
 // the cost of passing bytes on is measured here, not the decisions.
-func open(p *chestnutstep.Publication) {
-	const most = 5000
+func removeLimits(p *chestnutstep.Publication) {
+	const unlimited = 5000
 	for i := range p.Models {
 		m := &p.Models[i]
-		m.Multiple, m.Floor, m.Slots, m.QueueLimit, m.ColdCap = 0, most, most, most, most
+		m.Multiple, m.Floor, m.Slots, m.QueueLimit, m.ColdCap = 0, unlimited, unlimited, unlimited, unlimited
 	}
 }
 
 func (b *Bench) start(ctx context.Context, engines int, base time.Duration) (*fleet.Fleet, *fleet.Process, error) {
 	f := &fleet.Fleet{
-		Bin: b.Bin, Dir: b.Dir, Domains: 1, Engines: engines, Entries: 1, Change: open,
+		Bin: b.Bin, Dir: b.Dir, DomainCount: 1, EnginesPerDomain: engines, EntryCount: 1, Customize: removeLimits,
 		EngineFlags: []string{"--base", base.String(), "--slope", "0s", "--prefill", "0s", "--slots", "5000"},
 	}
 	if err := f.Start(ctx); err != nil {
 		f.Close()
 		return nil, nil, err
 	}
-	pass, err := f.StartPass(ctx)
+	pass, err := f.StartProxy(ctx)
 	if err != nil {
 		f.Close()
 	}
@@ -87,57 +87,57 @@
 	}}
 }
 
-func request(id string, ask fake.Ask) fake.Request {
-	ask.Note = id
-	body, _ := json.Marshal(ask)
-	return fake.Request{Profile: fleet.ProfileChat, Chat: id, ID: id, Body: body}
+func request(id string, chat fake.ChatRequest) fake.Request {
+	chat.Note = id
+	body, _ := json.Marshal(chat)
+	return fake.Request{Profile: fleet.ProfileChat, Chat: id, IdempotencyKey: id, Body: body}
 }
 
 // stream is one background answer that stays open.
 type stream struct {
-	path *path
-	ask  fake.Request
-	open sync.WaitGroup
-	once sync.Once
+	path    *path
+	request fake.Request
+	opened  sync.WaitGroup
+	once    sync.Once
 }
 
 func (s *stream) run(ctx context.Context) {
-	s.ask.Seen = func(int) { s.once.Do(s.open.Done) }
-	s.path.caller.Do(ctx, s.ask)
-	s.once.Do(s.open.Done)
+	s.request.OnTokens = func(int) { s.once.Do(s.opened.Done) }
+	s.path.caller.Do(ctx, s.request)
+	s.once.Do(s.opened.Done)
 }
 
-// hold opens streams on a path and waits until all have had a token.
-func (p *path) hold(ctx context.Context, n int) {
+// openStreams opens streams on a path and waits until all have had a token.
+func (p *path) openStreams(ctx context.Context, n int) {
 	all := make([]*stream, n)
 	for i := range all {
 		s := &stream{path: p}
-		s.ask = request(fmt.Sprintf("%s-held-%d", p.name, i), fake.Ask{Output: 1 << 20, Pace: slowPace})
-		s.open.Add(1)
+		s.request = request(fmt.Sprintf("%s-held-%d", p.name, i), fake.ChatRequest{Output: 1 << 20, Pace: heldPace})
+		s.opened.Add(1)
 		all[i] = s
 		go s.run(ctx)
 	}
 	for _, s := range all {
-		s.open.Wait()
+		s.opened.Wait()
 	}
 }
 
 // probe times the first byte of one short answer.
 func (p *path) probe(ctx context.Context, n int) {
-	res := p.caller.Do(ctx, request(fmt.Sprintf("%s-probe-%d", p.name, n), fake.Ask{Output: 1}))
-	if res.Kind != fake.Whole {
-		p.broken++
+	res := p.caller.Do(ctx, request(fmt.Sprintf("%s-probe-%d", p.name, n), fake.ChatRequest{Output: 1}))
+	if res.Kind != fake.Complete {
+		p.failures++
 		return
 	}
 	if n >= 0 {
-		p.first.Add(res.First)
+		p.firstByte.Add(res.FirstByte)
 	}
 }
 
 // FirstByte times the first byte on three paths in turn, with streams open on
 // the fleet's path and on the naive one, and compares memory before and after.
 func (b *Bench) FirstByte(ctx context.Context) error {
-	f, pass, err := b.start(ctx, 1, step)
+	f, pass, err := b.start(ctx, 1, tokenInterval)
 	if err != nil {
 		return err
 	}
@@ -145,22 +145,22 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	paths := []*path{
-		newPath("direct", f.Targets[0].Back.Address),
+		newPath("direct", f.Targets[0].Backend.Address),
 		newPath("naive", pass.Address),
-		newPath("fleet", f.Doors[0].Address),
+		newPath("fleet", f.Entries[0].Address),
 	}
 	b.probe(ctx, paths, -warmProbes, 0)
-	m := &memory{processes: []*fleet.Process{pass, f.Doors[0], f.Targets[0].Agent}}
+	m := &usageSpan{processes: []*fleet.Process{pass, f.Entries[0], f.Targets[0].Agent}}
 	if err := m.begin(); err != nil {
 		return err
 	}
-	paths[1].hold(ctx, b.Streams)
-	paths[2].hold(ctx, b.Streams)
+	paths[1].openStreams(ctx, b.Streams)
+	paths[2].openStreams(ctx, b.Streams)
 	b.probe(ctx, paths, 0, b.Probes)
 	if err := m.end(); err != nil {
 		return err
 	}
-	b.printFirst(paths)
+	b.printFirstByte(paths)
 	m.print(b.Out, b.Streams)
 	return paths[2].check()
 }
@@ -176,21 +176,21 @@
 }
 
 func (p *path) check() error {
-	if p.broken > 0 {
-		return errors.Newf("%d probes of %s were not served whole", p.broken, p.name)
+	if p.failures > 0 {
+		return errors.Newf("%d probes of %s were not served whole", p.failures, p.name)
 	}
 	return nil
 }
 
-func (b *Bench) printFirst(paths []*path) {
+func (b *Bench) printFirstByte(paths []*path) {
 	fmt.Fprintf(b.Out, "first byte with %d streams open on each path, %d probes\n", b.Streams, b.Probes)
 	for _, p := range paths {
-		fmt.Fprintf(b.Out, "  %-8s median %v, p99 %v\n", p.name, p.first.Quantile(0.5), p.first.Quantile(0.99))
+		fmt.Fprintf(b.Out, "  %-8s median %v, p99 %v\n", p.name, p.firstByte.Quantile(0.5), p.firstByte.Quantile(0.99))
 	}
-	naive, own := &paths[1].first, &paths[2].first
+	naivePath, fleetPath := &paths[1].firstByte, &paths[2].firstByte
 	for _, q := range []float64{0.5, 0.99} {
-		added := own.Quantile(q) - paths[0].first.Quantile(q)
-		ratio := float64(own.Quantile(q)) / float64(max(naive.Quantile(q), 1))
+		added := fleetPath.Quantile(q) - paths[0].firstByte.Quantile(q)
+		ratio := float64(fleetPath.Quantile(q)) / float64(max(naivePath.Quantile(q), 1))
 		fmt.Fprintf(b.Out, "  entry and agent add %v at quantile %v; %.2f times the naive path\n", added, q, ratio)
 	}
 }
--- a/bench/memory.go
+++ b/bench/memory.go
@@ -7,20 +7,20 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// memory compares the resident memory of processes before and after.
-type memory struct {
+// usageSpan compares the resident memory of processes before and after.
+type usageSpan struct {
 	processes []*fleet.Process
 	before    []fleet.Usage
 	after     []fleet.Usage
 }
 
-func (m *memory) begin() error {
+func (m *usageSpan) begin() error {
 	var err error
 	m.before, err = usages(m.processes)
 	return err
 }
 
-func (m *memory) end() error {
+func (m *usageSpan) end() error {
 	var err error
 	m.after, err = usages(m.processes)
 	return err
@@ -40,10 +40,10 @@
 
 // print gives the slope, a stream, and the whole. Resident memory includes
 // what the garbage collector has not returned yet, so it errs high.
-func (m *memory) print(w io.Writer, streams int) {
+func (m *usageSpan) print(w io.Writer, streams int) {
 	for i, p := range m.processes {
-		more := m.after[i].Resident - m.before[i].Resident
+		growth := m.after[i].Resident - m.before[i].Resident
 		fmt.Fprintf(w, "  %-16s %d MB resident, %d KB a stream\n",
-			p.Name, m.after[i].Resident>>20, more/int64(streams)>>10)
+			p.Name, m.after[i].Resident>>20, growth/int64(streams)>>10)
 	}
 }
--- a/bench/pad.go
+++ b/bench/pad.go
@@ -16,7 +16,7 @@
 
 // padWorkspaces fills up the workspaces.
 func padWorkspaces(p *chestnutstep.Publication) {
-	q := fake.Planned.Publication(1)
+	q := fake.PlannedSize.Publication(1)
 	p.Workspaces = append(p.Workspaces, q.Workspaces...)
 	p.Budget.ReadRate = q.Budget.ReadRate
 }
@@ -29,13 +29,13 @@
 // one among 3,050, and the few that are really there would fetch the parts of
 // such a first publication for minutes.
 func padTargets(p *chestnutstep.Publication) {
-	q := fake.Planned.Publication(1)
+	q := fake.PlannedSize.Publication(1)
 	for i := range q.Hosts {
 		q.Hosts[i].Out = true
 	}
 	for i := range q.Targets {
 		q.Targets[i].Out = true
-		q.Targets[i].Agent = nobody(i)
+		q.Targets[i].Agent = unusedAddress(i)
 	}
 	p.Domains = append(p.Domains, q.Domains...)
 	p.Hosts = append(p.Hosts, q.Hosts...)
@@ -44,7 +44,7 @@
 	p.Targets = append(p.Targets, q.Targets...)
 }
 
-// nobody is the i-th loopback address that no fleet ever uses.
-func nobody(i int) string {
+// unusedAddress is the i-th loopback address that no fleet ever uses.
+func unusedAddress(i int) string {
 	return fmt.Sprintf("127.230.%d.%d:17100", i>>8, i&0xff)
 }
--- a/bench/sample.go
+++ b/bench/sample.go
@@ -20,43 +20,43 @@
 
 // sample is what the processes used and sent up to a moment.
 type sample struct {
-	agents int // the first of the processes; entries follow
-	used   time.Time
-	usage  []fleet.Usage
-	paged  time.Time
-	gossip []float64
-	calls  fake.Calls
+	agents    int // the first of the processes; entries follow
+	usageAt   time.Time
+	usage     []fleet.Usage
+	metricsAt time.Time
+	gossip    []float64
+	calls     fake.Calls
 }
 
 // begin reads the pages first, so that answering them is not in the CPU time.
 func (s *sample) begin(ctx context.Context, f *fleet.Fleet) error {
 	s.agents = len(f.Targets)
-	if err := s.pages(ctx, f); err != nil {
+	if err := s.readMetrics(ctx, f); err != nil {
 		return err
 	}
-	return s.use(f)
+	return s.readUsage(f)
 }
 
 // end reads the pages last, for the same reason.
 func (s *sample) end(ctx context.Context, f *fleet.Fleet) error {
 	s.agents = len(f.Targets)
-	if err := s.use(f); err != nil {
+	if err := s.readUsage(f); err != nil {
 		return err
 	}
-	return s.pages(ctx, f)
+	return s.readMetrics(ctx, f)
 }
 
-// use reads CPU time and memory from /proc.
-func (s *sample) use(f *fleet.Fleet) error {
+// readUsage reads CPU time and memory from /proc.
+func (s *sample) readUsage(f *fleet.Fleet) error {
 	var err error
-	s.used = time.Now()
+	s.usageAt = time.Now()
 	s.usage, err = usages(processes(f))
 	return err
 }
 
-// pages reads the counters of the platform and of each process.
-func (s *sample) pages(ctx context.Context, f *fleet.Fleet) error {
-	s.paged = time.Now()
+// readMetrics reads the counters of the platform and of each process.
+func (s *sample) readMetrics(ctx context.Context, f *fleet.Fleet) error {
+	s.metricsAt = time.Now()
 	if err := readJSON(ctx, "http://"+f.Platform.Address+"/control/calls", &s.calls); err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 
 // print gives what each process used since an earlier sample.
 func (s *sample) print(w io.Writer, before *sample) {
-	d, paged := s.used.Sub(before.used).Seconds(), s.paged.Sub(before.paged).Seconds()
+	d, paged := s.usageAt.Sub(before.usageAt).Seconds(), s.metricsAt.Sub(before.metricsAt).Seconds()
 	var cpu, bytes, resident []float64
 	for i := range s.usage {
 		cpu = append(cpu, 100*(s.usage[i].CPU-before.usage[i].CPU).Seconds()/d)
@@ -130,7 +130,7 @@
 	}{{"agent", 0, s.agents}, {"entry", s.agents, len(cpu)}} {
 		c, b, r := cpu[part.from:part.to], bytes[part.from:part.to], resident[part.from:part.to]
 		fmt.Fprintf(w, "  %s: %s %% of a core, %s bytes/s of gossip, %s MB resident\n",
-			part.name, both(c, 2), both(b, 0), both(r, 1))
+			part.name, medianAndMax(c, 2), medianAndMax(b, 0), medianAndMax(r, 1))
 	}
 	fmt.Fprintf(w, "  calls to the platform: %.1f/s\n", float64(s.total()-before.total())/paged)
 }
@@ -140,8 +140,8 @@
 	return s.calls.Read + s.calls.Watch + s.calls.Hosts
 }
 
-// both formats the median and the greatest.
-func both(x []float64, digits int) string {
+// medianAndMax formats the median and the greatest.
+func medianAndMax(x []float64, digits int) string {
 	x = slices.Clone(x)
 	slices.Sort(x)
 	return fmt.Sprintf("%.*f (%.*f)", digits, x[len(x)/2], digits, x[len(x)-1])
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -32,19 +32,19 @@
 }
 
 const (
-	// scaleProcesses bounds the run: the machine is shared, and a host number
+	// maxScaleProcesses bounds the run: the machine is shared, and a host number
 	// of the loopback network is one byte.
-	scaleProcesses = 200
-	scaleDomains   = 6
-	// scaleCalm lets what the start left behind pass before the rest is timed.
-	scaleCalm = 10 * time.Second
+	maxScaleProcesses = 200
+	scaleDomains      = 6
+	// scaleSettleTime lets what the start left behind pass before the rest is timed.
+	scaleSettleTime = 10 * time.Second
 )
 
 // check refuses what would be too large or could not be read.
 func (s *Scale) check() error {
 	n := 1 + 2*s.Agents + s.Entries
-	if n > scaleProcesses {
-		return errors.Newf("%d processes: at most %d", n, scaleProcesses)
+	if n > maxScaleProcesses {
+		return errors.Newf("%d processes: at most %d", n, maxScaleProcesses)
 	}
 	if s.Agents < scaleDomains || s.Agents%scaleDomains != 0 || s.Entries < 1 || s.Changes < 1 {
 		return errors.Newf("needs an entry, a change and a multiple of %d agents", scaleDomains)
@@ -61,33 +61,33 @@
 		return err
 	}
 	f := &fleet.Fleet{
-		Bin: s.Bin, Dir: s.Dir, Domains: scaleDomains, Engines: s.Agents / scaleDomains, Entries: s.Entries,
+		Bin: s.Bin, Dir: s.Dir, DomainCount: scaleDomains, EnginesPerDomain: s.Agents / scaleDomains, EntryCount: s.Entries,
 	}
 	if s.Pad != PadNone {
-		f.Change = padWorkspaces
+		f.Customize = padWorkspaces
 	}
 	defer f.Close()
-	began := time.Now()
+	start := time.Now()
 	if err := f.Start(ctx); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.Out, "%d agents and %d entries ready after %v\n", s.Agents, s.Entries, time.Since(began).Round(time.Millisecond))
-	if err := s.grow(ctx, f); err != nil {
+	fmt.Fprintf(s.Out, "%d agents and %d entries ready after %v\n", s.Agents, s.Entries, time.Since(start).Round(time.Millisecond))
+	if err := s.addPadding(ctx, f); err != nil {
 		return err
 	}
-	if err := s.rest(ctx, f); err != nil {
+	if err := s.measureRest(ctx, f); err != nil {
 		return err
 	}
-	return s.changes(ctx, f)
+	return s.measureChanges(ctx, f)
 }
 
-// grow publishes what fills up the targets, if asked for.
-func (s *Scale) grow(ctx context.Context, f *fleet.Fleet) error {
+// addPadding publishes what fills up the targets, if asked for.
+func (s *Scale) addPadding(ctx context.Context, f *fleet.Fleet) error {
 	if s.Pad == PadAll {
 		if err := f.Publish(ctx, padTargets); err != nil {
 			return err
 		}
-		d, err := f.Settled(ctx)
+		d, err := f.WaitPublished(ctx)
 		if err != nil {
 			return err
 		}
@@ -98,9 +98,9 @@
 	return nil
 }
 
-// rest watches the fleet while nothing changes and nobody calls.
-func (s *Scale) rest(ctx context.Context, f *fleet.Fleet) error {
-	if err := wait(ctx, scaleCalm); err != nil {
+// measureRest watches the fleet while nothing changes and nobody calls.
+func (s *Scale) measureRest(ctx context.Context, f *fleet.Fleet) error {
+	if err := wait(ctx, scaleSettleTime); err != nil {
 		return err
 	}
 	var before, after sample
@@ -126,19 +126,19 @@
 	}
 }
 
-// spread is how one change reached the processes.
-type spread struct {
+// changeTime is how one change reached the processes.
+type changeTime struct {
 	// all is from before its first part was written until the last process held
 	// it; last is from the first process to the last.
 	all, last time.Duration
 }
 
-// changes publishes one change after the other and times each. The processes
+// measureChanges publishes one change after the other and times each. The processes
 // say themselves since when they hold it, so looking at them costs no accuracy.
-func (s *Scale) changes(ctx context.Context, f *fleet.Fleet) error {
+func (s *Scale) measureChanges(ctx context.Context, f *fleet.Fleet) error {
 	var all, last []time.Duration
 	for range s.Changes {
-		c, err := s.change(ctx, f)
+		c, err := s.measureChange(ctx, f)
 		if err != nil {
 			return err
 		}
@@ -147,28 +147,28 @@
 	slices.Sort(all)
 	slices.Sort(last)
 	fmt.Fprintf(s.Out, "%d changes: all hold one %v after its first part was written (worst %v), %v after the first process (worst %v)\n",
-		s.Changes, middle(all), all[len(all)-1], middle(last), last[len(last)-1])
+		s.Changes, median(all), all[len(all)-1], median(last), last[len(last)-1])
 	return nil
 }
 
-func middle(d []time.Duration) time.Duration { return d[len(d)/2] }
+func median(d []time.Duration) time.Duration { return d[len(d)/2] }
 
-func (s *Scale) change(ctx context.Context, f *fleet.Fleet) (spread, error) {
-	began := time.Now()
+func (s *Scale) measureChange(ctx context.Context, f *fleet.Fleet) (changeTime, error) {
+	start := time.Now()
 	err := f.Publish(ctx, func(p *chestnutstep.Publication) {
 		p.Targets[0].Out = !p.Targets[0].Out
 	})
 	if err != nil {
-		return spread{}, err
+		return changeTime{}, err
 	}
-	if _, err := f.Settled(ctx); err != nil {
-		return spread{}, err
+	if _, err := f.WaitPublished(ctx); err != nil {
+		return changeTime{}, err
 	}
 	var first, last time.Time
 	for _, p := range processes(f) {
 		st, err := p.Status(ctx)
 		if err != nil {
-			return spread{}, errors.Wrap(err, p.Name)
+			return changeTime{}, errors.Wrap(err, p.Name)
 		}
 		since := st.Publication.Since
 		if first.IsZero() || since.Before(first) {
@@ -178,7 +178,7 @@
 			last = since
 		}
 	}
-	return spread{last.Sub(began).Round(time.Millisecond), last.Sub(first).Round(time.Millisecond)}, nil
+	return changeTime{last.Sub(start).Round(time.Millisecond), last.Sub(first).Round(time.Millisecond)}, nil
 }
 
 // processes lists agents, then entries.
@@ -187,5 +187,5 @@
 	for _, t := range f.Targets {
 		out = append(out, t.Agent)
 	}
-	return append(out, f.Doors...)
+	return append(out, f.Entries...)
 }
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -18,44 +18,44 @@
 	loadStep    = 5 * time.Millisecond
 )
 
-// flood sends requests at a fixed rate, whether or not answers come back: a
+// loadRun sends requests at a fixed rate, whether or not answers come back: a
 // slow path must not slow down the load that it is measured under.
-type flood struct {
-	path   *path
-	rate   int
-	tokens int
-	sent   int
-	active sync.WaitGroup
-	whole  atomic.Int64
-	failed atomic.Int64
-	got    atomic.Int64
+type loadRun struct {
+	path       *path
+	rate       int
+	tokens     int
+	sent       int
+	inFlight   sync.WaitGroup
+	complete   atomic.Int64
+	failed     atomic.Int64
+	tokensRead atomic.Int64
 }
 
-func (l *flood) play(ctx context.Context, d time.Duration) {
-	began := time.Now()
+func (l *loadRun) play(ctx context.Context, d time.Duration) {
+	start := time.Now()
 	total := int(d.Seconds() * float64(l.rate))
 	for i := range total {
 		l.sent++
-		due := began.Add(time.Duration(i) * time.Second / time.Duration(l.rate))
-		time.Sleep(time.Until(due))
-		l.active.Add(1)
+		dueAt := start.Add(time.Duration(i) * time.Second / time.Duration(l.rate))
+		time.Sleep(time.Until(dueAt))
+		l.inFlight.Add(1)
 		go l.run(ctx, l.sent)
 	}
 }
 
-func (l *flood) run(ctx context.Context, n int) {
-	defer l.active.Done()
+func (l *loadRun) run(ctx context.Context, n int) {
+	defer l.inFlight.Done()
 	last := 0
-	r := request(fmt.Sprintf("%s-flood-%d", l.path.name, n), fake.Ask{Output: l.tokens})
-	r.Seen = func(tokens int) {
-		l.got.Add(int64(tokens - last))
+	r := request(fmt.Sprintf("%s-flood-%d", l.path.name, n), fake.ChatRequest{Output: l.tokens})
+	r.OnTokens = func(tokens int) {
+		l.tokensRead.Add(int64(tokens - last))
 		last = tokens
 	}
-	if l.path.caller.Do(ctx, r).Kind != fake.Whole {
+	if l.path.caller.Do(ctx, r).Kind != fake.Complete {
 		l.failed.Add(1)
 		return
 	}
-	l.whole.Add(1)
+	l.complete.Add(1)
 }
 
 // Throughput plays the same load over the fleet and over the naive path, one
@@ -67,44 +67,44 @@
 	}
 	defer f.Close()
 	fmt.Fprintf(b.Out, "load of %d requests/s with %d tokens each for %v\n", b.Rate, b.Tokens, b.Time)
-	naive, err := b.flood(ctx, newPath("naive", pass.Address), []*fleet.Process{pass})
+	naiveCPU, err := b.runLoad(ctx, newPath("naive", pass.Address), []*fleet.Process{pass})
 	if err != nil {
 		return err
 	}
-	door := []*fleet.Process{f.Doors[0]}
+	fleetProcesses := []*fleet.Process{f.Entries[0]}
 	for _, t := range f.Targets {
-		door = append(door, t.Agent)
+		fleetProcesses = append(fleetProcesses, t.Agent)
 	}
-	own, err := b.flood(ctx, newPath("fleet", f.Doors[0].Address), door)
+	fleetCPU, err := b.runLoad(ctx, newPath("fleet", f.Entries[0].Address), fleetProcesses)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(b.Out, "  an entry takes %.2f times the CPU time of the naive path\n", own/max(naive, 0.001))
+	fmt.Fprintf(b.Out, "  an entry takes %.2f times the CPU time of the naive path\n", fleetCPU/max(naiveCPU, 0.001))
 	return nil
 }
 
-// flood plays the load on a path and returns the cores that its first process
+// runLoad plays the load on a path and returns the cores that its first process
 // used. The first second is left out: it opens connections.
-func (b *Bench) flood(ctx context.Context, p *path, ps []*fleet.Process) (float64, error) {
-	l := &flood{path: p, rate: b.Rate, tokens: b.Tokens}
-	m := &memory{processes: ps}
+func (b *Bench) runLoad(ctx context.Context, p *path, ps []*fleet.Process) (float64, error) {
+	l := &loadRun{path: p, rate: b.Rate, tokens: b.Tokens}
+	m := &usageSpan{processes: ps}
 	l.play(ctx, 2*time.Second)
 	if err := m.begin(); err != nil {
 		return 0, err
 	}
-	began, tokens, whole := time.Now(), l.got.Load(), l.whole.Load()
+	start, tokens, complete := time.Now(), l.tokensRead.Load(), l.complete.Load()
 	l.play(ctx, b.Time)
-	took := time.Since(began).Seconds()
-	tokens, whole = l.got.Load()-tokens, l.whole.Load()-whole
+	elapsed := time.Since(start).Seconds()
+	tokens, complete = l.tokensRead.Load()-tokens, l.complete.Load()-complete
 	if err := m.end(); err != nil {
 		return 0, err
 	}
-	l.active.Wait()
+	l.inFlight.Wait()
 	fmt.Fprintf(b.Out, "  %-8s %.0f answers/s, %.0f tokens/s, %d not whole\n",
-		p.name, float64(whole)/took, float64(tokens)/took, l.failed.Load())
+		p.name, float64(complete)/elapsed, float64(tokens)/elapsed, l.failed.Load())
 	for i, q := range ps {
-		cores := (m.after[i].CPU - m.before[i].CPU).Seconds() / took
+		cores := (m.after[i].CPU - m.before[i].CPU).Seconds() / elapsed
 		fmt.Fprintf(b.Out, "    %-16s %.2f cores, %d MB resident\n", q.Name, cores, m.after[i].Resident>>20)
 	}
-	return (m.after[0].CPU - m.before[0].CPU).Seconds() / took, nil
+	return (m.after[0].CPU - m.before[0].CPU).Seconds() / elapsed, nil
 }
--- a/chart/chart.go
+++ b/chart/chart.go
@@ -23,8 +23,8 @@
 	Final bool
 }
 
-// Move is a permitted change of state.
-type Move struct {
+// Transition is a permitted change of state.
+type Transition struct {
 	From  string
 	Event string
 	To    string
@@ -34,16 +34,16 @@
 // Chart is a checked state chart. It is never changed after Parse, so that it
 // is read without a lock.
 type Chart struct {
-	Name   string
-	Text   string
-	States []State
-	Moves  []Move
+	Name        string
+	Text        string
+	States      []State
+	Transitions []Transition
 
-	next   map[step]string
+	next   map[transitionKey]string
 	states map[string]*State
 }
 
-type step struct {
+type transitionKey struct {
 	state string
 	event string
 }
@@ -52,7 +52,7 @@
 // second move for one state and event, a state that can't be reached, a move
 // out of a final state, and a state that is neither final nor left.
 func Parse(text string) (*Chart, error) {
-	c := &Chart{next: map[step]string{}, states: map[string]*State{}}
+	c := &Chart{next: map[transitionKey]string{}, states: map[string]*State{}}
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
@@ -67,9 +67,9 @@
 	return c, nil
 }
 
-// Must parses a chart that is embedded in the program. A bad one is a fault of
+// MustParse parses a chart that is embedded in the program. A bad one is a fault of
 // the build, so that it stops the program at its start.
-func Must(text string) *Chart {
+func MustParse(text string) *Chart {
 	c, err := Parse(text)
 	if err != nil {
 		panic(err)
@@ -86,7 +86,7 @@
 	case "state", "final":
 		return c.addState(rest, kind == "final")
 	case "move":
-		return c.addMove(rest)
+		return c.addTransition(rest)
 	}
 	return "unknown item " + kind
 }
@@ -105,29 +105,29 @@
 	return ""
 }
 
-func (c *Chart) addMove(rest string) string {
+func (c *Chart) addTransition(rest string) string {
 	f := strings.SplitN(rest, " ", 4)
 	if len(f) < 3 {
 		return "a move needs from, event and to"
 	}
-	m := Move{From: f[0], Event: f[1], To: f[2]}
+	m := Transition{From: f[0], Event: f[1], To: f[2]}
 	if len(f) == 4 {
 		m.Text = f[3]
 	}
-	at := step{m.From, m.Event}
+	at := transitionKey{m.From, m.Event}
 	if _, ok := c.next[at]; ok {
 		return "second move from " + m.From + " on " + m.Event
 	}
 	c.next[at] = m.To
-	c.Moves = append(c.Moves, m)
+	c.Transitions = append(c.Transitions, m)
 	return ""
 }
 
-// Start returns the first state.
-func (c *Chart) Start() string { return c.States[0].Name }
+// InitialState returns the first state.
+func (c *Chart) InitialState() string { return c.States[0].Name }
 
-// Final says that no event leaves the state.
-func (c *Chart) Final(state string) bool {
+// IsFinal says that no event leaves the state.
+func (c *Chart) IsFinal(state string) bool {
 	s := c.states[state]
 	return s != nil && s.Final
 }
@@ -135,7 +135,7 @@
 // Next returns the state that an event leads to, or ErrTransition when the
 // chart has no such move.
 func (c *Chart) Next(state, event string) (string, error) {
-	to, ok := c.next[step{state, event}]
+	to, ok := c.next[transitionKey{state, event}]
 	if !ok {
 		return state, ErrTransition{Chart: c.Name, State: state, Event: event}
 	}
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -33,7 +33,7 @@
 
 func walk(c *Chart, events []string) string {
 	var out strings.Builder
-	state := c.Start()
+	state := c.InitialState()
 	for _, event := range events {
 		next, err := c.Next(state, event)
 		if err != nil {
@@ -41,7 +41,7 @@
 			continue
 		}
 		state = next
-		fmt.Fprintf(&out, "%s -> %s, final %v\n", event, state, c.Final(state))
+		fmt.Fprintf(&out, "%s -> %s, final %v\n", event, state, c.IsFinal(state))
 	}
 	return out.String()
 }
@@ -49,7 +49,7 @@
 // A target that operators took out, or that leaves, restarts: it goes silent,
 // comes back and looks healthy. It must not get work by that, or an operator
 // sees requests on a host that is being replaced.
-func TestNoRestartBringsATargetBack(t *testing.T) {
+func TestRestartDoesNotReturnTarget(t *testing.T) {
 	for _, state := range []string{"out", "leaving"} {
 		at := state
 		for _, event := range []string{"lost", "ready", "chill", "earn", "prove", "lost"} {
--- a/chart/check.go
+++ b/chart/check.go
@@ -13,14 +13,14 @@
 	if problem := c.checkNames(); problem != "" {
 		return problem
 	}
-	if problem := c.checkEnds(); problem != "" {
+	if problem := c.checkFinalStates(); problem != "" {
 		return problem
 	}
-	return c.checkReach()
+	return c.checkReachable()
 }
 
 func (c *Chart) checkNames() string {
-	for _, m := range c.Moves {
+	for _, m := range c.Transitions {
 		if c.states[m.From] == nil {
 			return "unknown state " + m.From
 		}
@@ -31,33 +31,33 @@
 	return ""
 }
 
-// checkEnds compares the states that are marked final with those that no move
+// checkFinalStates compares the states that are marked final with those that no move
 // leaves. A state that was left without a move by mistake would hold whatever
 // reaches it for ever.
-func (c *Chart) checkEnds() string {
-	left := map[string]bool{}
-	for _, m := range c.Moves {
-		left[m.From] = true
+func (c *Chart) checkFinalStates() string {
+	hasExit := map[string]bool{}
+	for _, m := range c.Transitions {
+		hasExit[m.From] = true
 	}
 	for _, s := range c.States {
-		if s.Final && left[s.Name] {
+		if s.Final && hasExit[s.Name] {
 			return "a move leaves the final state " + s.Name
 		}
-		if !s.Final && !left[s.Name] {
+		if !s.Final && !hasExit[s.Name] {
 			return "no move leaves the state " + s.Name
 		}
 	}
 	return ""
 }
 
-func (c *Chart) checkReach() string {
-	seen := map[string]bool{c.Start(): true}
-	for grown := true; grown; {
-		grown = false
-		for _, m := range c.Moves {
+func (c *Chart) checkReachable() string {
+	seen := map[string]bool{c.InitialState(): true}
+	for changed := true; changed; {
+		changed = false
+		for _, m := range c.Transitions {
 			if seen[m.From] && !seen[m.To] {
 				seen[m.To] = true
-				grown = true
+				changed = true
 			}
 		}
 	}
--- a/chart/doc.go
+++ b/chart/doc.go
@@ -16,7 +16,7 @@
 		fmt.Fprintf(&b, "| %s | %s |\n", s.Name, s.Text)
 	}
 	b.WriteString("\n| From | Event | To | When |\n|---|---|---|---|\n")
-	for _, m := range c.Moves {
+	for _, m := range c.Transitions {
 		fmt.Fprintf(&b, "| %s | %s | %s | %s |\n", m.From, m.Event, m.To, m.Text)
 	}
 	return b.String()
@@ -24,8 +24,8 @@
 
 func (c *Chart) diagram(b *strings.Builder) {
 	b.WriteString("```mermaid\nstateDiagram-v2\n")
-	fmt.Fprintf(b, "    [*] --> %s\n", c.Start())
-	for _, m := range c.Moves {
+	fmt.Fprintf(b, "    [*] --> %s\n", c.InitialState())
+	for _, m := range c.Transitions {
 		fmt.Fprintf(b, "    %s --> %s: %s\n", m.From, m.To, m.Event)
 	}
 	for _, s := range c.States {
--- a/chart/doc_test.go
+++ b/chart/doc_test.go
@@ -16,7 +16,7 @@
 
 // A chart changes and its page does not. Whoever reads the page at night, to see
 // what a ticket's state means, acts on what is no longer so.
-func TestPageShowsTheCharts(t *testing.T) {
+func TestChartsPageIsCurrent(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# State charts\n\nWritten from the chart files that the code interprets, by `go test ./chart -update`.\n")
 	for _, c := range []*chart.Chart{chart.Target, ticket.Chart, order.Chart, chart.Publication} {
--- a/chart/embed.go
+++ b/chart/embed.go
@@ -9,7 +9,7 @@
 var publicationText string
 
 // Target is the life of a target as the agent beside it sees it.
-var Target = Must(targetText)
+var Target = MustParse(targetText)
 
 // Publication is the life of one version of the configuration at a process.
-var Publication = Must(publicationText)
+var Publication = MustParse(publicationText)
--- a/cmd/chestnutstep/check.go
+++ b/cmd/chestnutstep/check.go
@@ -41,8 +41,8 @@
 }
 
 func (o *checkOptions) run(w io.Writer) error {
-	done, err := o.runPlatform(w)
-	if err != nil || o.file == "" && done {
+	checked, err := o.runPlatform(w)
+	if err != nil || o.file == "" && checked {
 		return err
 	}
 	if o.file == "" {
@@ -77,25 +77,25 @@
 		_, err := platform.ParseSettings(file, raw)
 		return err
 	}
-	done := false
-	for _, one := range []struct {
+	checked := false
+	for _, entry := range []struct {
 		file  string
 		check func(file string, raw []byte) error
 	}{{o.settings, settings}, {o.routing, platform.CheckConfig}, {o.deploy, platform.CheckDeploy}} {
-		if one.file == "" {
+		if entry.file == "" {
 			continue
 		}
-		raw, err := os.ReadFile(one.file)
+		raw, err := os.ReadFile(entry.file)
 		if err != nil {
 			return true, errors.Wrap(err, "check")
 		}
-		if err := one.check(one.file, raw); err != nil {
+		if err := entry.check(entry.file, raw); err != nil {
 			return true, err
 		}
-		fmt.Fprintf(w, "%s is fine\n", one.file)
-		done = true
+		fmt.Fprintf(w, "%s is fine\n", entry.file)
+		checked = true
 	}
-	return done, nil
+	return checked, nil
 }
 
 func readPublication(path string) (*chestnutstep.Publication, error) {
--- a/cmd/chestnutstep/pack.go
+++ b/cmd/chestnutstep/pack.go
@@ -59,11 +59,11 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return errors.Wrap(err, "pack")
 	}
-	fresh := path + ".new"
-	if err := os.WriteFile(fresh, raw, 0o644); err != nil {
+	tmp := path + ".new"
+	if err := os.WriteFile(tmp, raw, 0o644); err != nil {
 		return errors.Wrap(err, "pack")
 	}
-	if err := os.Rename(fresh, path); err != nil {
+	if err := os.Rename(tmp, path); err != nil {
 		return errors.Wrap(err, "pack")
 	}
 	fmt.Fprintf(w, "new  %s %d bytes\n", name, len(raw))
--- a/cmd/chestnutstep/serve.go
+++ b/cmd/chestnutstep/serve.go
@@ -23,9 +23,9 @@
 	c.String(&metrics, "m", "metrics", "port for metrics, where the settings are the platform's")
 	return c, func() error {
 		if file := os.Getenv(platform.SettingsEnv); *path == "" && file != "" {
-			return direct(file, metrics)
+			return runDirect(file, metrics)
 		}
-		s, err := settings(*path, config.RoleEntry)
+		s, err := loadSettings(*path, config.RoleEntry)
 		if err != nil {
 			return err
 		}
@@ -33,8 +33,8 @@
 	}
 }
 
-// direct runs an entry on the platform whose settings file is named.
-func direct(file, metrics string) error {
+// runDirect runs an entry on the platform whose settings file is named.
+func runDirect(file, metrics string) error {
 	parse := func(path string) (*config.DirectSettings, error) { return directSettings(path, metrics) }
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -73,7 +73,7 @@
 func agentCommand() (*flaggy.Subcommand, func() error) {
 	c, path := serveFlags("agent", "stand beside one target and decide what it takes")
 	return c, func() error {
-		s, err := settings(*path, config.RoleAgent)
+		s, err := loadSettings(*path, config.RoleAgent)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	return c, path
 }
 
-func settings(path string, role config.Role) (*config.Settings, error) {
+func loadSettings(path string, role config.Role) (*config.Settings, error) {
 	if path == "" {
 		return nil, errors.Newf("name the settings file: chestnutstep %s --settings FILE", role)
 	}
--- a/cmd/chestnutstep/status.go
+++ b/cmd/chestnutstep/status.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		return o.trail(records)
+		return o.printVerified(records)
 	}
 	s, err := admin.FetchStatus(context.Background(), addr)
 	if err != nil {
@@ -84,10 +84,10 @@
 	if err != nil {
 		return err
 	}
-	return o.trail(records)
+	return o.printVerified(records)
 }
 
-func (o *statusOptions) trail(records []audit.Record) error {
+func (o *statusOptions) printVerified(records []audit.Record) error {
 	if err := o.print(records); err != nil {
 		return err
 	}
--- a/cmd/standin/call.go
+++ b/cmd/standin/call.go
@@ -16,8 +16,8 @@
 	"chestnutstep.example/chestnutstep/load"
 )
 
-// caller is what `standin call` was told.
-type caller struct {
+// callOptions is what `standin call` was told.
+type callOptions struct {
 	entries []string
 	keys    []string
 	profile string
@@ -33,9 +33,9 @@
 func callCommand() command {
 	c := flaggy.NewSubcommand("call")
 	c.Description = "callers: chats that return, cancels, and actions repeated through another entry"
-	v := &caller{profile: "chat", action: "book", tries: 4, seed: 1, plan: load.Plan{
-		Chats: 50, Turns: 4, Pause: 300 * time.Millisecond, Start: 500 * time.Millisecond,
-		Skew: 1, History: 500, Output: 30, Cancel: 0.5,
+	v := &callOptions{profile: "chat", action: "book", tries: 4, seed: 1, plan: load.Plan{
+		Chats: 50, Turns: 4, Pause: 300 * time.Millisecond, StartSpread: 500 * time.Millisecond,
+		Skew: 1, HistoryTokens: 500, OutputTokens: 30, CancelRatio: 0.5,
 	}}
 	c.StringSlice(&v.entries, "e", "entry", "base URL of an entry; repeat for more")
 	c.StringSlice(&v.keys, "k", "key", "WORKSPACE=KEY; repeat for more, the busiest first")
@@ -48,16 +48,16 @@
 	c.Int(&v.plan.Chats, "c", "chats", "number of chats")
 	c.Int(&v.plan.Turns, "n", "turns", "mean requests of a chat")
 	c.Duration(&v.plan.Pause, "", "pause", "mean pause between a chat's requests")
-	c.Duration(&v.plan.Start, "", "start", "time over which the chats begin")
+	c.Duration(&v.plan.StartSpread, "", "start", "time over which the chats begin")
 	c.Float64(&v.plan.Skew, "", "skew", "exponent of the workspaces' shares; 0 is even")
-	c.Int(&v.plan.History, "", "history", "mean tokens of a chat's first prompt")
-	c.Int(&v.plan.Output, "o", "output", "mean tokens of an answer")
-	c.Float64(&v.plan.Cancel, "x", "cancel", "share of the requests that are given up")
+	c.Int(&v.plan.HistoryTokens, "", "history", "mean tokens of a chat's first prompt")
+	c.Int(&v.plan.OutputTokens, "o", "output", "mean tokens of an answer")
+	c.Float64(&v.plan.CancelRatio, "x", "cancel", "share of the requests that are given up")
 	c.Bool(&v.json, "j", "json", "print JSON")
-	return command{c, v.call}
+	return command{c, v.run}
 }
 
-func (v *caller) call() error {
+func (v *callOptions) run() error {
 	if len(v.entries) == 0 || len(v.keys) == 0 {
 		return errors.New("give at least one --entry and one --key")
 	}
@@ -72,34 +72,34 @@
 	}
 	v.plan.Seed = uint64(v.seed)
 	var r load.Report
-	p := load.Player{Run: rand.Text()[:8] + "-", Entries: v.entries, Keys: keys, Profile: v.profile, Tries: v.tries, Timeout: v.timeout, Report: &r}
-	p.Play(context.Background(), v.plan.Record())
-	bad := v.act(keys[v.plan.Workspaces[0]])
+	p := load.Player{IDPrefix: rand.Text()[:8] + "-", Entries: v.entries, Keys: keys, Profile: v.profile, MaxTries: v.tries, Timeout: v.timeout, Report: &r}
+	p.Play(context.Background(), v.plan.GenerateChats())
+	actionErr := v.runActions(keys[v.plan.Workspaces[0]])
 	v.print(r.Summary())
 	for _, err := range r.Errors(3) {
 		fmt.Fprintln(os.Stderr, err)
 	}
-	if n := r.Kind(fake.Short) + r.Kind(fake.Foreign); n > 0 {
+	if n := r.CountKind(fake.Truncated) + r.CountKind(fake.Misdelivered); n > 0 {
 		return errors.Newf("%d answers were silently short or another's", n)
 	}
-	return bad
+	return actionErr
 }
 
-func (v *caller) act(key string) error {
+func (v *callOptions) runActions(key string) error {
 	a := load.Actor{Caller: &fake.Caller{Entries: v.entries, Key: key}, Profile: v.action, Path: "/bookings"}
 	for i := range v.actions {
 		d, err := a.Do(context.Background(), fmt.Sprintf("slot-%d-%d", v.seed, i), i)
 		if err != nil {
 			return err
 		}
-		if !d.Same || d.Times != 1 {
+		if !d.SameAnswer || d.Times != 1 {
 			return errors.Newf("%s: %s then %s, took effect %d times", d.Name, d.First.Kind, d.Second.Kind, d.Times)
 		}
 	}
 	return nil
 }
 
-func (v *caller) print(s load.Summary) {
+func (v *callOptions) print(s load.Summary) {
 	if !v.json {
 		s.Print(os.Stdout)
 		return
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -15,8 +15,8 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// player is what `standin demo` was told.
-type player struct {
+// demoOptions is what `standin demo` was told.
+type demoOptions struct {
 	seed int
 	hold bool
 	keep bool
@@ -25,14 +25,14 @@
 func demoCommand() command {
 	c := flaggy.NewSubcommand("demo")
 	c.Description = "starts a fleet of separate processes on loopback, plays the main job, checks the promises"
-	p := &player{seed: 1}
+	p := &demoOptions{seed: 1}
 	c.Int(&p.seed, "s", "seed", "of the load")
 	c.Bool(&p.hold, "", "hold", "leave the fleet running until interrupted")
 	c.Bool(&p.keep, "", "keep", "keep the directory with settings and logs")
-	return command{c, p.play}
+	return command{c, p.run}
 }
 
-func (p *player) play() error {
+func (p *demoOptions) run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	dir, err := os.MkdirTemp("", "standin-")
@@ -52,7 +52,7 @@
 	if err := f.Start(ctx); err != nil {
 		return err
 	}
-	list(f)
+	printFleet(f)
 	d := demo.Demo{Fleet: f, Out: os.Stdout, Seed: uint64(p.seed)}
 	err = d.Run(ctx)
 	if p.hold {
@@ -62,13 +62,13 @@
 	return err
 }
 
-// list prints where the processes are, so that operators' commands can be
+// printFleet prints where the processes are, so that operators' commands can be
 // tried on them.
-func list(f *fleet.Fleet) {
+func printFleet(f *fleet.Fleet) {
 	for _, t := range f.Targets {
-		fmt.Printf("%-10s %-10s target %s agent %s admin %s\n", t.Name, t.Domain, t.Back.Address, t.Agent.Address, t.Agent.Admin)
+		fmt.Printf("%-10s %-10s target %s agent %s admin %s\n", t.Name, t.Domain, t.Backend.Address, t.Agent.Address, t.Agent.Admin)
 	}
-	for _, e := range f.Doors {
+	for _, e := range f.Entries {
 		fmt.Printf("%-10s %-10s callers %s admin %s\n", e.Name, e.Domain, e.Address, e.Admin)
 	}
 	fmt.Printf("%-10s %-10s %s\n\n", "platform", "", f.Platform.Address)
--- a/cmd/standin/lab.go
+++ b/cmd/standin/lab.go
@@ -12,8 +12,8 @@
 	"chestnutstep.example/chestnutstep/trial"
 )
 
-// lab are the arguments of the lab subcommand.
-type lab struct {
+// labOptions are the arguments of the lab subcommand.
+type labOptions struct {
 	seed    uint64
 	minutes int
 	domain  bool
@@ -25,7 +25,7 @@
 func labCommand() command {
 	c := flaggy.NewSubcommand("lab")
 	c.Description = "plays one load against policies, on a clock of its own, and prints what callers got"
-	l := &lab{seed: 1, minutes: 6, out: os.Stdout}
+	l := &labOptions{seed: 1, minutes: 6, out: os.Stdout}
 	c.UInt64(&l.seed, "s", "seed", "of the load")
 	c.Int(&l.minutes, "m", "minutes", "of the load, the first half to warm up; with --domain it is always 10")
 	c.Bool(&l.domain, "d", "domain", "take a failure domain out and bring it back")
@@ -35,20 +35,20 @@
 }
 
 // rows are the policies to be played.
-func (l *lab) rows() []trial.Row {
+func (l *labOptions) rows() []trial.Row {
 	if l.domain {
 		return trial.DirectDomainRows(l.seed)
 	}
 	rows := trial.DirectRows(l.seed)
 	for i := range rows {
-		rows[i].Config.For = time.Duration(l.minutes) * time.Minute
-		rows[i].Config.Warm = rows[i].Config.For / 2
+		rows[i].Config.Duration = time.Duration(l.minutes) * time.Minute
+		rows[i].Config.Warmup = rows[i].Config.Duration / 2
 	}
 	return rows
 }
 
 // run prints a row for each policy.
-func (l *lab) run() error {
+func (l *labOptions) run() error {
 	if l.surge {
 		return l.runSurge()
 	}
@@ -58,7 +58,7 @@
 	for _, row := range l.rows() {
 		r := trial.Run(row.Config)
 		fmt.Fprintf(w, "%s\t%.2f%%\t%.1f%%\t%.1f%%\t%.2f\t%.2f\t%s\t%d\n", row.Name,
-			100*r.All.InTime, 100*r.All.Reuse, 100*r.All.Imported, r.Largest, r.Largest99, r.All.Wait95.Round(time.Millisecond), r.Crashes)
+			100*r.All.InTime, 100*r.All.Reuse, 100*r.All.Imported, r.MaxToMean, r.MaxToMean99, r.All.Wait95.Round(time.Millisecond), r.Crashes)
 		lines = append(lines, plotLine{row.Name, r.Series})
 	}
 	if err := w.Flush(); err != nil {
@@ -71,14 +71,14 @@
 }
 
 // runSurge prints a row for each load, where entries refuse and where they take all.
-func (l *lab) runSurge() error {
+func (l *labOptions) runSurge() error {
 	w := tabwriter.NewWriter(l.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "offered\tin time a second\tin time\trefused\tfirst byte 95%\ttaking all: in time a second\tin time\tfirst byte 95%")
 	rows := trial.SurgeRows(l.seed)
 	for _, r := range rows {
 		fmt.Fprintf(w, "%.2f\t%.0f\t%.1f%%\t%.1f%%\t%s\t%.0f\t%.1f%%\t%s\n", r.Offered,
-			r.Refusing.Goodput, 100*r.Refusing.InTime, 100*r.Refusing.Refused, r.Refusing.First95.Round(time.Millisecond),
-			r.Taking.Goodput, 100*r.Taking.InTime, r.Taking.First95.Round(time.Millisecond))
+			r.WithAdmission.Goodput, 100*r.WithAdmission.InTime, 100*r.WithAdmission.Refused, r.WithAdmission.First95.Round(time.Millisecond),
+			r.WithoutAdmission.Goodput, 100*r.WithoutAdmission.InTime, r.WithoutAdmission.First95.Round(time.Millisecond))
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -23,7 +23,7 @@
 		engineCommand(),
 		serviceCommand(),
 		callCommand(),
-		passCommand(),
+		proxyCommand(),
 		loadCommand(),
 		scaleCommand(), labCommand(),
 		demoCommand(),
--- a/cmd/standin/plot.go
+++ b/cmd/standin/plot.go
@@ -23,17 +23,17 @@
 // plotLine is what one policy gave over time.
 type plotLine struct {
 	name   string
-	series []trial.Span
+	series []trial.Interval
 }
 
 // charts are drawn one below the other.
 var charts = []struct {
 	title string
-	value func(s trial.Span) float64
+	value func(s trial.Interval) float64
 }{
-	{"prefixes found or fetched, share of returning chats", func(s trial.Span) float64 { return s.Reuse + s.Imported }},
-	{"wait for the start, seconds", func(s trial.Span) float64 { return s.Wait.Seconds() }},
-	{"largest load against the mean", func(s trial.Span) float64 { return s.Largest }},
+	{"prefixes found or fetched, share of returning chats", func(s trial.Interval) float64 { return s.Reuse + s.Imported }},
+	{"wait for the start, seconds", func(s trial.Interval) float64 { return s.Wait.Seconds() }},
+	{"largest load against the mean", func(s trial.Interval) float64 { return s.MaxToMean }},
 }
 
 // drawPlots draws what policies gave over time.
@@ -48,13 +48,13 @@
 			}
 			curves = append(curves, curve{l.name, points})
 		}
-		p, err := chart(c.title, "minutes", curves)
+		p, err := newPlot(c.title, "minutes", curves)
 		if err != nil {
 			return err
 		}
 		plots = append(plots, p)
 	}
-	return write(file, plots)
+	return writePlots(file, plots)
 }
 
 // drawSurge draws goodput and the time to the first byte against the offered load.
@@ -67,22 +67,22 @@
 		{"requests in time a second", func(r trial.SurgeResult) float64 { return r.Goodput }},
 		{"time to the first byte of 95 in 100, seconds", func(r trial.SurgeResult) float64 { return r.First95.Seconds() }},
 	} {
-		refusing, taking := make(plotter.XYs, len(rows)), make(plotter.XYs, len(rows))
+		withAdmission, withoutAdmission := make(plotter.XYs, len(rows)), make(plotter.XYs, len(rows))
 		for i, r := range rows {
-			refusing[i] = plotter.XY{X: r.Offered, Y: c.value(r.Refusing)}
-			taking[i] = plotter.XY{X: r.Offered, Y: c.value(r.Taking)}
+			withAdmission[i] = plotter.XY{X: r.Offered, Y: c.value(r.WithAdmission)}
+			withoutAdmission[i] = plotter.XY{X: r.Offered, Y: c.value(r.WithoutAdmission)}
 		}
-		p, err := chart(c.title, "offered load against what targets carry", []curve{{"refusing", refusing}, {"taking all", taking}})
+		p, err := newPlot(c.title, "offered load against what targets carry", []curve{{"refusing", withAdmission}, {"taking all", withoutAdmission}})
 		if err != nil {
 			return err
 		}
 		plots = append(plots, p)
 	}
-	return write(file, plots)
+	return writePlots(file, plots)
 }
 
-// write puts charts into one SVG file, one below the other.
-func write(file string, plots []*plot.Plot) error {
+// writePlots puts charts into one SVG file, one below the other.
+func writePlots(file string, plots []*plot.Plot) error {
 	canvas := vgsvg.New(plotWidth, plotHeight*vg.Length(len(plots)))
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1}
 	for i, p := range plots {
@@ -105,11 +105,11 @@
 	points plotter.XYs
 }
 
-// chart draws curves over one axis.
-func chart(title, over string, curves []curve) (*plot.Plot, error) {
+// newPlot draws curves over one axis.
+func newPlot(title, xLabel string, curves []curve) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
-	p.X.Label.Text = over
+	p.X.Label.Text = xLabel
 	p.Legend.Top = true
 	for i, c := range curves {
 		line, err := plotter.NewLine(c.points)
--- a/cmd/standin/plot_test.go
+++ b/cmd/standin/plot_test.go
@@ -15,7 +15,7 @@
 // Whoever compares policies wants one picture with a line of each in each chart.
 func TestDrawPlots(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "lab.svg")
-	series := []trial.Span{{Reuse: 0.5, Wait: time.Second, Largest: 1.2}, {Begin: time.Minute, Reuse: 0.7, Largest: 1.4}}
+	series := []trial.Interval{{Reuse: 0.5, Wait: time.Second, MaxToMean: 1.2}, {Begin: time.Minute, Reuse: 0.7, MaxToMean: 1.4}}
 	assert.NilError(t, drawPlots(file, []plotLine{{"one policy", series}, {"another", series}}))
 	raw, err := os.ReadFile(file)
 	assert.NilError(t, err)
@@ -30,8 +30,8 @@
 func TestDrawSurge(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "surge.svg")
 	rows := []trial.SurgeRow{
-		{Offered: 1, Refusing: trial.SurgeResult{Goodput: 300}, Taking: trial.SurgeResult{Goodput: 250}},
-		{Offered: 2, Refusing: trial.SurgeResult{Goodput: 310}, Taking: trial.SurgeResult{Goodput: 150}},
+		{Offered: 1, WithAdmission: trial.SurgeResult{Goodput: 300}, WithoutAdmission: trial.SurgeResult{Goodput: 250}},
+		{Offered: 2, WithAdmission: trial.SurgeResult{Goodput: 310}, WithoutAdmission: trial.SurgeResult{Goodput: 150}},
 	}
 	assert.NilError(t, drawSurge(file, rows))
 	raw, err := os.ReadFile(file)
--- a/cmd/standin/scale.go
+++ b/cmd/standin/scale.go
@@ -26,13 +26,13 @@
 	return command{c, func() error { return scale(s) }}
 }
 
-// scaleLimit bounds a run whatever happens.
-const scaleLimit = 2 * time.Minute
+// scaleTimeout bounds a run whatever happens.
+const scaleTimeout = 2 * time.Minute
 
 func scale(s *bench.Scale) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, scaleLimit)
+	ctx, cancel := context.WithTimeout(ctx, scaleTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "standin-")
 	if err != nil {
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// stopTime is how long a stand-in that is asked to stop lets answers end.
-const stopTime = 2 * time.Second
+// shutdownTimeout is how long a stand-in that is asked to stop lets answers end.
+const shutdownTimeout = 2 * time.Second
 
 // server is a stand-in's HTTP server and how it ended.
 type server struct {
@@ -48,7 +48,7 @@
 }
 
 func (s *server) stop() error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.Shutdown(ctx) != nil {
 		return s.Close()
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -25,7 +25,7 @@
 	datadriven.Walk(t, "testdata/detector", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
 			p := &detectorScript{detectors: map[string]*Detector{}, now: script.Epoch}
-			return script.Play(d.Input, &p.now, p.step)
+			return script.RunLines(d.Input, &p.now, p.step)
 		})
 	})
 }
@@ -223,17 +223,17 @@
 // fingerprint.
 func BenchmarkJudge(b *testing.B) {
 	d := &Detector{Target: "bay-engine-1"}
-	before := script.Heap()
+	before := script.HeapBytes()
 	for n := range uint64(DefaultMaxSuspicions) {
 		target := fmt.Sprint("bay-engine-", n)
 		d.Merge(script.Epoch, []chestnutstep.Suspicion{{Fingerprint: n + 1, CrashedTargets: []string{target}, SeenAt: script.Epoch}})
 	}
-	between := script.Heap()
+	between := script.HeapBytes()
 	for n := range uint64(DefaultMaxServed) {
 		d.Start(script.Epoch, n<<20)
 		d.End(script.Epoch, n<<20, true)
 	}
-	after := script.Heap()
+	after := script.HeapBytes()
 	var n uint64
 	for b.Loop() {
 		n++
--- a/crash/quarantine_test.go
+++ b/crash/quarantine_test.go
@@ -126,11 +126,11 @@
 // BenchmarkQuarantine reports the cost of a check and the memory per content.
 func BenchmarkQuarantine(b *testing.B) {
 	q := &Quarantine{}
-	before := script.Heap()
+	before := script.HeapBytes()
 	for n := range uint64(DefaultMaxContents) {
 		q.Add(0, Loss{Fingerprint: n + 1, Target: uint32(n / 40)})
 	}
-	after := script.Heap()
+	after := script.HeapBytes()
 	q.Add(0, Loss{Fingerprint: 1, Target: 5000})
 	var n uint64
 	for b.Loop() {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -20,8 +20,8 @@
 
 // Times of the demo, which has to end within a minute.
 const (
-	// warmTime lets chats return a few times before the failure domain goes.
-	warmTime = 8 * time.Second
+	// warmupTime lets chats return a few times before the failure domain goes.
+	warmupTime = 8 * time.Second
 	// outTime is how long the failure domain stays out once all know.
 	outTime = 6 * time.Second
 	// backTime is how long the load goes on after it came back.
@@ -30,8 +30,8 @@
 	playTime = 40 * time.Second
 )
 
-// moved is the failure domain that leaves and returns.
-const moved = "domain-b"
+// movedDomain is the failure domain that leaves and returns.
+const movedDomain = "domain-b"
 
 // bookings is how many actions each part of the demo makes.
 const bookings = 6
@@ -44,87 +44,87 @@
 	// Seed of the load.
 	Seed uint64
 
-	report  load.Report
-	sampler sampler
-	deeds   []load.Deed
-	failed  []string
-	settled []time.Duration
-	fresh   int // new work in the domain after it went out
-	again   int // new work there after it came back
-	played  chan struct{}
+	report             load.Report
+	sampler            sampler
+	actions            []load.ActionResult
+	violations         []string
+	publishTimes       []time.Duration
+	startedWhileOut    int // new work in the domain after it went out
+	startedAfterReturn int // new work there after it came back
+	playDone           chan struct{}
 }
 
-// ErrBroken says which promises did not hold.
-type ErrBroken struct {
-	Promises []string
+// ErrViolated says which promises did not hold.
+type ErrViolated struct {
+	Violations []string
 }
 
-func (e *ErrBroken) Error() string {
-	return fmt.Sprintf("%d promises broke: %q", len(e.Promises), e.Promises)
+func (e *ErrViolated) Error() string {
+	return fmt.Sprintf("%d promises broke: %q", len(e.Violations), e.Violations)
 }
 
-// IsErrBroken reports whether err says that promises did not hold.
-func IsErrBroken(err error) bool {
-	var e *ErrBroken
+// IsErrViolated reports whether err says that promises did not hold.
+func IsErrViolated(err error) bool {
+	var e *ErrViolated
 	return errors.As(err, &e)
 }
 
 // Run plays the demo on a fleet that has started, and prints the report.
 func (d *Demo) Run(ctx context.Context) error {
-	d.played = make(chan struct{})
+	d.playDone = make(chan struct{})
 	d.sampler = sampler{fleet: d.Fleet, done: make(chan struct{})}
-	playing, stop := context.WithTimeout(ctx, playTime)
+	playCtx, stop := context.WithTimeout(ctx, playTime)
 	defer stop()
-	go d.run(playing)
-	go d.sampler.run(playing)
-	err := d.move(ctx)
+	go d.playChats(playCtx)
+	go d.sampler.run(playCtx)
+	err := d.moveDomain(ctx)
 	stop()
-	<-d.played
+	<-d.playDone
 	<-d.sampler.done
 	if err != nil {
 		return err
 	}
-	if err := d.evidence(ctx); err != nil {
+	if err := d.checkActions(ctx); err != nil {
 		return err
 	}
 	d.print()
-	return d.verdict()
+	return d.check()
 }
 
-// run plays the chats.
-func (d *Demo) run(ctx context.Context) {
-	defer close(d.played)
+// playChats plays the chats.
+func (d *Demo) playChats(ctx context.Context) {
+	defer close(d.playDone)
 	p := load.Player{
-		Entries: d.Fleet.URLs(),
-		Keys:    fleet.Keys,
-		Profile: fleet.ProfileChat,
-		Tries:   6,
-		Report:  &d.report,
+		Entries:  d.Fleet.URLs(),
+		Keys:     fleet.Keys,
+		Profile:  fleet.ProfileChat,
+		MaxTries: 6,
+		Report:   &d.report,
 	}
 	p.Play(ctx, load.Plan{
-		Seed:       d.Seed,
-		Chats:      60,
-		Turns:      40,
-		Pause:      time.Second,
-		Start:      2 * time.Second,
-		Workspaces: []string{"darkroom", "prairie", "archive"},
-		Skew:       1,
-		History:    400,
-		Output:     40,
-		Cancel:     0.5,
-	}.Record())
+		Seed:          d.Seed,
+		Chats:         60,
+		Turns:         40,
+		Pause:         time.Second,
+		StartSpread:   2 * time.Second,
+		Workspaces:    []string{"darkroom", "prairie", "archive"},
+		Skew:          1,
+		HistoryTokens: 400,
+		OutputTokens:  40,
+		CancelRatio:   0.5,
+	}.GenerateChats())
 }
 
-// move books, takes the failure domain out, books, brings it back, and books.
-func (d *Demo) move(ctx context.Context) error {
+// moveDomain books, takes the failure domain out, books, brings it back, and books.
+func (d *Demo) moveDomain(ctx context.Context) error {
 	if err := d.book(ctx, "before"); err != nil {
 		return err
 	}
-	pause(ctx, warmTime)
+	pause(ctx, warmupTime)
 	if err := d.publish(ctx, true); err != nil {
 		return err
 	}
-	atOut, err := d.started(ctx, moved)
+	atOut, err := d.countStarted(ctx, movedDomain)
 	if err != nil {
 		return err
 	}
@@ -132,11 +132,11 @@
 		return err
 	}
 	pause(ctx, outTime)
-	atBack, err := d.started(ctx, moved)
+	atBack, err := d.countStarted(ctx, movedDomain)
 	if err != nil {
 		return err
 	}
-	d.fresh = atBack - atOut
+	d.startedWhileOut = atBack - atOut
 	if err := d.publish(ctx, false); err != nil {
 		return err
 	}
@@ -144,17 +144,17 @@
 		return err
 	}
 	pause(ctx, backTime)
-	atEnd, err := d.started(ctx, moved)
-	d.again = atEnd - atBack
+	atEnd, err := d.countStarted(ctx, movedDomain)
+	d.startedAfterReturn = atEnd - atBack
 	return err
 }
 
 func (d *Demo) publish(ctx context.Context, out bool) error {
-	if err := d.Fleet.Out(ctx, moved, out); err != nil {
+	if err := d.Fleet.SetDomainOut(ctx, movedDomain, out); err != nil {
 		return err
 	}
-	took, err := d.Fleet.Settled(ctx)
-	d.settled = append(d.settled, took)
+	elapsed, err := d.Fleet.WaitPublished(ctx)
+	d.publishTimes = append(d.publishTimes, elapsed)
 	return err
 }
 
@@ -166,17 +166,17 @@
 		Path:    "/bookings",
 	}
 	for i := range bookings {
-		deed, err := a.Do(ctx, fmt.Sprintf("bay-%s-%d", part, i), i)
+		action, err := a.Do(ctx, fmt.Sprintf("bay-%s-%d", part, i), i)
 		if err != nil {
 			return err
 		}
-		d.deeds = append(d.deeds, deed)
+		d.actions = append(d.actions, action)
 	}
 	return nil
 }
 
-// started counts the requests that engines of a failure domain began.
-func (d *Demo) started(ctx context.Context, domain string) (int, error) {
+// countStarted counts the requests that engines of a failure domain began.
+func (d *Demo) countStarted(ctx context.Context, domain string) (int, error) {
 	n := 0
 	for _, t := range d.Fleet.Targets {
 		if t.Domain != domain || t.Kind != chestnutstep.KindEngine {
--- a/demo/sampler.go
+++ b/demo/sampler.go
@@ -41,7 +41,7 @@
 	var sum, largest float64
 	n := 0
 	for _, t := range s.fleet.Targets {
-		if t.Kind != chestnutstep.KindEngine || s.out(t.Domain) {
+		if t.Kind != chestnutstep.KindEngine || s.isOut(t.Domain) {
 			continue
 		}
 		l, err := t.Load(ctx)
@@ -60,7 +60,7 @@
 	s.mean += sum / float64(n)
 }
 
-func (s *sampler) out(domain string) bool {
+func (s *sampler) isOut(domain string) bool {
 	for _, d := range s.fleet.Publication.Domains {
 		if d.Name == domain {
 			return d.Out
@@ -77,7 +77,7 @@
 	return s.largest / s.mean
 }
 
-func (s *sampler) fell() int {
+func (s *sampler) crashCount() int {
 	n := 0
 	for _, c := range s.crashes {
 		n += c
--- a/demo/verdict.go
+++ b/demo/verdict.go
@@ -11,8 +11,8 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// evidence compares what callers were told with the services' own logs.
-func (d *Demo) evidence(ctx context.Context) error {
+// checkActions compares what callers were told with the services' own logs.
+func (d *Demo) checkActions(ctx context.Context) error {
 	ran := map[string]int{}
 	for _, t := range d.Fleet.Targets {
 		if t.Kind != chestnutstep.KindService {
@@ -26,70 +26,70 @@
 			ran[e.Action]++
 		}
 	}
-	for _, deed := range d.deeds {
-		if n := ran[deed.Name]; n != 1 {
-			d.fail("%s ran %d times: %s, then %s", deed.Name, n, told(deed.First), told(deed.Second))
+	for _, action := range d.actions {
+		if n := ran[action.Name]; n != 1 {
+			d.addViolation("%s ran %d times: %s, then %s", action.Name, n, describe(action.First), describe(action.Second))
 			continue
 		}
-		if !deed.Same || deed.Times != 1 {
-			d.fail("%s: its repeat got another answer: %s, then %s", deed.Name, told(deed.First), told(deed.Second))
+		if !action.SameAnswer || action.Times != 1 {
+			d.addViolation("%s: its repeat got another answer: %s, then %s", action.Name, describe(action.First), describe(action.Second))
 		}
 	}
 	return nil
 }
 
-func told(r fake.Result) string {
+func describe(r fake.Result) string {
 	return strings.TrimSpace(fmt.Sprintf("%s %d %s", r.Kind, r.Status, r.Code))
 }
 
-func (d *Demo) fail(format string, args ...any) {
-	d.failed = append(d.failed, fmt.Sprintf(format, args...))
+func (d *Demo) addViolation(format string, args ...any) {
+	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-// verdict lists the promises that broke.
-func (d *Demo) verdict() error {
-	for _, k := range []fake.Kind{fake.Short, fake.Foreign, fake.Broken, fake.Absent} {
-		if n := d.report.Kind(k); n > 0 {
-			d.fail("%d answers were %s: %v", n, k, d.report.Errors(1))
+// check lists the promises that broke.
+func (d *Demo) check() error {
+	for _, k := range []fake.ResultKind{fake.Truncated, fake.Misdelivered, fake.Broken, fake.Unreachable} {
+		if n := d.report.CountKind(k); n > 0 {
+			d.addViolation("%d answers were %s: %v", n, k, d.report.Errors(1))
 		}
 	}
-	if d.report.Kind(fake.Whole) == 0 {
-		d.fail("no answer was whole")
+	if d.report.CountKind(fake.Complete) == 0 {
+		d.addViolation("no answer was whole")
 	}
-	if d.fresh > 0 {
-		d.fail("%d requests began in %s after it went out", d.fresh, moved)
+	if d.startedWhileOut > 0 {
+		d.addViolation("%d requests began in %s after it went out", d.startedWhileOut, movedDomain)
 	}
-	if d.again == 0 {
-		d.fail("%s got no work after it came back", moved)
+	if d.startedAfterReturn == 0 {
+		d.addViolation("%s got no work after it came back", movedDomain)
 	}
-	if n := d.sampler.fell(); n > 0 {
-		d.fail("engines fell over %d times", n)
+	if n := d.sampler.crashCount(); n > 0 {
+		d.addViolation("engines fell over %d times", n)
 	}
-	if len(d.failed) == 0 {
+	if len(d.violations) == 0 {
 		return nil
 	}
-	return &ErrBroken{d.failed}
+	return &ErrViolated{d.violations}
 }
 
 func (d *Demo) print() {
 	d.report.Summary().Print(d.Out)
 	d.line("largest over mean load", fmt.Sprintf("%.2f", d.sampler.skew()))
-	d.line("engines that fell over", fmt.Sprint(d.sampler.fell()))
-	d.line("actions, each sent twice", fmt.Sprint(len(d.deeds)))
-	d.line("actions that ran once", fmt.Sprint(d.once()))
-	d.line("domain out, in force after", d.settled[0].Round(settledDigits).String())
-	d.line("new work there while out", fmt.Sprint(d.fresh))
-	d.line("domain back, in force after", d.settled[1].Round(settledDigits).String())
-	d.line("new work there since", fmt.Sprint(d.again))
+	d.line("engines that fell over", fmt.Sprint(d.sampler.crashCount()))
+	d.line("actions, each sent twice", fmt.Sprint(len(d.actions)))
+	d.line("actions that ran once", fmt.Sprint(d.countOnce()))
+	d.line("domain out, in force after", d.publishTimes[0].Round(publishTimeRounding).String())
+	d.line("new work there while out", fmt.Sprint(d.startedWhileOut))
+	d.line("domain back, in force after", d.publishTimes[1].Round(publishTimeRounding).String())
+	d.line("new work there since", fmt.Sprint(d.startedAfterReturn))
 }
 
-// settledDigits is finer than the polling behind the figure.
-const settledDigits = 1e7
+// publishTimeRounding is finer than the polling behind the figure.
+const publishTimeRounding = 1e7
 
-func (d *Demo) once() int {
+func (d *Demo) countOnce() int {
 	n := 0
-	for _, deed := range d.deeds {
-		if deed.Same && deed.Times == 1 {
+	for _, action := range d.actions {
+		if action.SameAnswer && action.Times == 1 {
 			n++
 		}
 	}
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -20,7 +20,7 @@
 	f.Add("1.5s", "chat", "hint", "key", "ticket", "keep-alive, x-a")
 	f.Add("-1s", "", "\x00", "\xff", "t:0", "")
 	f.Add("1e9h", "a\nb", "", "", "AAAA", "Authorization")
-	v := chestnutstep.NewView(fake.Planned.Publication(1))
+	v := chestnutstep.NewView(fake.PlannedSize.Publication(1))
 	p := &v.Publication.Profiles[0]
 	now := time.Now()
 	f.Fuzz(func(t *testing.T, limit, chat, hint, key, ticket, connection string) {
--- a/entry/size_test.go
+++ b/entry/size_test.go
@@ -17,7 +17,7 @@
 // BenchmarkOffer measures the size in bytes of the offer of a short prompt with a browser's
 // headers, which is the cost of each attempt without framing.
 func BenchmarkOffer(b *testing.B) {
-	v := chestnutstep.NewView(fake.Planned.Publication(1))
+	v := chestnutstep.NewView(fake.PlannedSize.Publication(1))
 	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(""))
 	for name, value := range map[string]string{
 		"Content-Type": "application/json", "Accept": "text/event-stream", "User-Agent": "desk/1.0",
--- a/fake/answer.go
+++ b/fake/answer.go
@@ -59,20 +59,20 @@
 	return append(dst, eventEnd...)
 }
 
-// ErrForeign says that a stream holds what its caller did not ask for.
-type ErrForeign struct {
+// ErrMisdelivered says that a stream holds what its caller did not ask for.
+type ErrMisdelivered struct {
 	// Token is the number of the first wrong event.
 	Token int
 	Got   string
 }
 
-func (e *ErrForeign) Error() string {
+func (e *ErrMisdelivered) Error() string {
 	return "event " + strconv.Itoa(e.Token) + " is of another answer: " + strconv.Quote(e.Got)
 }
 
-// IsErrForeign reports whether err says that an answer is another's.
-func IsErrForeign(err error) bool {
-	var e *ErrForeign
+// IsErrMisdelivered reports whether err says that an answer is another's.
+func IsErrMisdelivered(err error) bool {
+	var e *ErrMisdelivered
 	return errors.As(err, &e)
 }
 
@@ -88,29 +88,29 @@
 	// Failed says that an error event announced a broken answer.
 	Failed bool
 
-	rest []byte
-	sum  xxhash.Digest
-	open bool
+	buffer  []byte
+	sum     xxhash.Digest
+	started bool
 }
 
 // Write takes the next bytes of the stream. It returns ErrForeign at the first
 // event that does not belong.
 func (c *Checker) Write(p []byte) (int, error) {
-	if !c.open {
+	if !c.started {
 		c.sum.Reset()
-		c.open = true
+		c.started = true
 	}
-	c.rest = append(c.rest, p...)
+	c.buffer = append(c.buffer, p...)
 	for {
-		n := bytes.Index(c.rest, []byte(eventEnd))
+		n := bytes.Index(c.buffer, []byte(eventEnd))
 		if n < 0 {
 			return len(p), nil
 		}
 		n += len(eventEnd)
-		if err := c.event(c.rest[:n]); err != nil {
+		if err := c.event(c.buffer[:n]); err != nil {
 			return 0, err
 		}
-		c.rest = c.rest[n:]
+		c.buffer = c.buffer[n:]
 	}
 }
 
@@ -122,9 +122,9 @@
 	if after, ok := bytes.CutPrefix(e, []byte(eventDone+dataField)); ok {
 		return c.done(after)
 	}
-	var room [64]byte
-	if c.Done != nil || !bytes.Equal(e, appendToken(room[:0], c.Seed, c.Tokens)) {
-		return &ErrForeign{Token: c.Tokens, Got: string(e)}
+	var buf [64]byte
+	if c.Done != nil || !bytes.Equal(e, appendToken(buf[:0], c.Seed, c.Tokens)) {
+		return &ErrMisdelivered{Token: c.Tokens, Got: string(e)}
 	}
 	_, _ = c.sum.Write(e)
 	c.Tokens++
@@ -137,7 +137,7 @@
 		return errors.Wrap(err, "last event")
 	}
 	if d.Tokens != c.Tokens || d.Sum != strconv.FormatUint(c.sum.Sum64(), 16) {
-		return &ErrForeign{Token: c.Tokens, Got: string(raw)}
+		return &ErrMisdelivered{Token: c.Tokens, Got: string(raw)}
 	}
 	c.Done = &d
 	return nil
--- a/fake/authority.go
+++ b/fake/authority.go
@@ -21,16 +21,16 @@
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	raw  []byte
+	der  []byte
 }
 
-// Files are the paths of a certificate, its key and its authority.
-type Files struct {
+// CertFiles are the paths of a certificate, its key and its authority.
+type CertFiles struct {
 	Cert, Key, CA string
 }
 
-// authorityLife is how long stand-ins' certificates are good for.
-const authorityLife = 24 * time.Hour
+// certTTL is how long stand-ins' certificates are good for.
+const certTTL = 24 * time.Hour
 
 // NewAuthority draws a new authority.
 func NewAuthority() (*Authority, error) {
@@ -40,19 +40,19 @@
 	}
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in authority"}, IsCA: true,
-		BasicConstraintsValid: true, NotAfter: time.Now().Add(authorityLife), KeyUsage: x509.KeyUsageCertSign,
+		BasicConstraintsValid: true, NotAfter: time.Now().Add(certTTL), KeyUsage: x509.KeyUsageCertSign,
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err != nil {
 		return nil, errors.Wrap(err, "authority")
 	}
 	cert, err := x509.ParseCertificate(raw)
-	return &Authority{cert: cert, key: key, raw: raw}, errors.Wrap(err, "authority")
+	return &Authority{cert: cert, key: key, der: raw}, errors.Wrap(err, "authority")
 }
 
 // Issue writes a certificate for an IP, its key and the authority into a folder.
-func (a *Authority) Issue(dir, name, ip string) (Files, error) {
-	f := Files{
+func (a *Authority) Issue(dir, name, ip string) (CertFiles, error) {
+	f := CertFiles{
 		Cert: filepath.Join(dir, name+".crt"),
 		Key:  filepath.Join(dir, name+".key"),
 		CA:   filepath.Join(dir, name+".ca"),
@@ -63,7 +63,7 @@
 	}
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
-		IPAddresses: []net.IP{net.ParseIP(ip)}, NotAfter: time.Now().Add(authorityLife),
+		IPAddresses: []net.IP{net.ParseIP(ip)}, NotAfter: time.Now().Add(certTTL),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, t, a.cert, key.Public(), a.key)
@@ -74,10 +74,10 @@
 	if err != nil {
 		return f, errors.Wrap(err, "issue")
 	}
-	return f, f.write(raw, pkcs8, a.raw)
+	return f, f.write(raw, pkcs8, a.der)
 }
 
-func (f Files) write(cert, key, ca []byte) error {
+func (f CertFiles) write(cert, key, ca []byte) error {
 	for _, part := range []struct {
 		path, kind string
 		raw        []byte
--- a/fake/batch.go
+++ b/fake/batch.go
@@ -13,14 +13,14 @@
 func (e *Engine) loop() {
 	next := time.Now()
 	for {
-		d, ok := e.plan()
+		d, ok := e.planStep()
 		if !ok {
 			return
 		}
 		// Steps are timed against an absolute schedule: a sleep that overshoots
 		// by a timer tick would otherwise add up over a long answer.
 		next = next.Add(d)
-		if late := time.Since(next); late > d {
+		if behind := time.Since(next); behind > d {
 			next = time.Now()
 		}
 		time.Sleep(time.Until(next))
@@ -28,76 +28,76 @@
 	}
 }
 
-// plan fills the batch from the queue and returns how long the step takes.
-func (e *Engine) plan() (time.Duration, bool) {
+// planStep fills the batch from the queue and returns how long the step takes.
+func (e *Engine) planStep() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for len(e.queue) > 0 && len(e.batch) < e.Slots {
 		e.batch = append(e.batch, e.pop())
 	}
 	if len(e.batch) == 0 {
-		e.looping = false
+		e.loopRunning = false
 		return 0, false
 	}
-	d := e.Base + e.Slope*time.Duration(len(e.batch))
-	d += e.Prefill * time.Duration(e.prefill())
-	return time.Duration(float64(d) * e.faults.slow()), true
+	d := e.BaseStep + e.StepPerRequest*time.Duration(len(e.batch))
+	d += e.PrefillPerToken * time.Duration(e.prefillTokens())
+	return time.Duration(float64(d) * e.faults.slowdown()), true
 }
 
-// prefill computes the next chunk of the prompts, first come first served.
-func (e *Engine) prefill() int {
-	room := prefillChunk
+// prefillTokens computes the next chunk of the prompts, first come first served.
+func (e *Engine) prefillTokens() int {
+	budget := prefillChunk
 	for _, s := range e.batch {
-		n := min(room, s.uncached)
+		n := min(budget, s.uncached)
 		s.uncached -= n
-		room -= n
+		budget -= n
 	}
-	return prefillChunk - room
+	return prefillChunk - budget
 }
 
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	rest := e.batch[:0]
+	unfinished := e.batch[:0]
 	for _, s := range e.batch {
 		switch {
-		case s.over:
-		case !s.due():
-			rest = append(rest, s)
+		case s.finished:
+		case !s.advance():
+			unfinished = append(unfinished, s)
 		case s.step():
 			e.finish(s, s.outcome())
 		default:
-			s.wake()
-			rest = append(rest, s)
+			s.notify()
+			unfinished = append(unfinished, s)
 		}
 	}
-	clear(e.batch[len(rest):])
-	e.batch = rest
+	clear(e.batch[len(unfinished):])
+	e.batch = unfinished
 }
 
 // finish ends an answer: what it computed stays in the cache.
 func (e *Engine) finish(s *stream, outcome string) {
-	if s.over {
+	if s.finished {
 		return
 	}
-	s.over = true
+	s.finished = true
 	if outcome != OutcomeCrashed {
 		e.cache.store(s.key, s.prompt-s.uncached+s.tokens)
 	}
 	if outcome == OutcomeDone {
 		e.served++
 	}
-	e.Journal.end(s.log, outcome)
-	s.wake()
-	e.remember(s)
+	e.Journal.end(s.execution, outcome)
+	s.notify()
+	e.recordEnded(s)
 }
 
-// kept is how many ended answers can still be resumed.
-const kept = 256
+// maxEndedStreams is how many ended answers can still be resumed.
+const maxEndedStreams = 256
 
-func (e *Engine) remember(s *stream) {
+func (e *Engine) recordEnded(s *stream) {
 	e.ended = append(e.ended, s.request)
-	if len(e.ended) <= kept {
+	if len(e.ended) <= maxEndedStreams {
 		return
 	}
 	delete(e.streams, e.ended[0])
@@ -108,7 +108,7 @@
 func (e *Engine) pop() *stream {
 	best := 0
 	for i, s := range e.queue {
-		if s.class < e.queue[best].class {
+		if s.priority < e.queue[best].priority {
 			best = i
 		}
 	}
--- a/fake/cache.go
+++ b/fake/cache.go
@@ -28,17 +28,17 @@
 	tokens int
 }
 
-// prefixes is an LRU cache of prompt prefixes, bounded in tokens. Its owner
+// prefixCache is an LRU cache of prompt prefixes, bounded in tokens. Its owner
 // holds a lock.
-type prefixes struct {
-	most   int
-	tokens int
-	order  list.List
-	byChat map[chatKey]*list.Element
-	events []CacheEvent
+type prefixCache struct {
+	maxTokens int
+	tokens    int
+	order     list.List
+	byChat    map[chatKey]*list.Element
+	events    []CacheEvent
 }
 
-func (p *prefixes) note(kind string, k chatKey, tokens int) {
+func (p *prefixCache) addEvent(kind string, k chatKey, tokens int) {
 	p.events = append(p.events, CacheEvent{
 		Seq:       len(p.events) + 1,
 		Kind:      kind,
@@ -48,8 +48,8 @@
 	})
 }
 
-// hit returns how much of a prompt the cache holds and marks it as used.
-func (p *prefixes) hit(k chatKey, prompt int) int {
+// cachedTokens returns how much of a prompt the cache holds and marks it as used.
+func (p *prefixCache) cachedTokens(k chatKey, prompt int) int {
 	el := p.byChat[k]
 	if el == nil {
 		return 0
@@ -58,8 +58,8 @@
 	return min(el.Value.(*prefix).tokens, prompt)
 }
 
-func (p *prefixes) store(k chatKey, tokens int) {
-	if tokens <= 0 || tokens > p.most {
+func (p *prefixCache) store(k chatKey, tokens int) {
+	if tokens <= 0 || tokens > p.maxTokens {
 		return
 	}
 	p.drop(p.byChat[k])
@@ -68,16 +68,16 @@
 	}
 	p.byChat[k] = p.order.PushFront(&prefix{key: k, tokens: tokens})
 	p.tokens += tokens
-	p.note(CacheStored, k, tokens)
-	for p.tokens > p.most {
+	p.addEvent(CacheStored, k, tokens)
+	for p.tokens > p.maxTokens {
 		last := p.order.Back()
 		old := last.Value.(*prefix)
 		p.drop(last)
-		p.note(CacheEvicted, old.key, old.tokens)
+		p.addEvent(CacheEvicted, old.key, old.tokens)
 	}
 }
 
-func (p *prefixes) drop(el *list.Element) {
+func (p *prefixCache) drop(el *list.Element) {
 	if el == nil {
 		return
 	}
@@ -87,9 +87,9 @@
 	p.tokens -= old.tokens
 }
 
-func (p *prefixes) clear() {
+func (p *prefixCache) clear() {
 	p.order.Init()
 	p.byChat = nil
 	p.tokens = 0
-	p.note(CacheCleared, chatKey{}, 0)
+	p.addEvent(CacheCleared, chatKey{}, 0)
 }
--- a/fake/caller.go
+++ b/fake/caller.go
@@ -15,18 +15,18 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Kind is what a caller can say of an answer.
-type Kind string
+// ResultKind is what a caller can say of an answer.
+type ResultKind string
 
 // The kinds.
 const (
-	Whole    Kind = "whole"    // complete and the caller's own
-	Broken   Kind = "broken"   // the answer said or showed that it is not complete
-	Short    Kind = "short"    // ended like a complete answer, but is not: never allowed
-	Foreign  Kind = "foreign"  // holds another request's content: never allowed
-	Refused  Kind = "refused"  // a problem document
-	Canceled Kind = "canceled" // the caller itself gave up
-	Absent   Kind = "absent"   // no HTTP answer: the entry is gone
+	Complete     ResultKind = "whole"    // complete and the caller's own
+	Broken       ResultKind = "broken"   // the answer said or showed that it is not complete
+	Truncated    ResultKind = "short"    // ended like a complete answer, but is not: never allowed
+	Misdelivered ResultKind = "foreign"  // holds another request's content: never allowed
+	Refused      ResultKind = "refused"  // a problem document
+	Canceled     ResultKind = "canceled" // the caller itself gave up
+	Unreachable  ResultKind = "absent"   // no HTTP answer: the entry is gone
 )
 
 // Caller speaks to entries as the users' programs do and checks every answer.
@@ -39,7 +39,7 @@
 	Client *http.Client
 	// Gap, if set, is told the time between tokens. It is called by many
 	// goroutines.
-	Gap func(time.Duration)
+	OnGap func(time.Duration)
 }
 
 // Request is what a caller asks.
@@ -48,36 +48,36 @@
 	Entry   int
 	Profile string
 	Chat    string
-	// ID is the Idempotency-Key: a repeat with the same one joins the first.
-	ID      string
-	Ticket  string
-	Hint    string
-	Timeout time.Duration
+	// IdempotencyKey is the Idempotency-Key: a repeat with the same one joins the first.
+	IdempotencyKey string
+	Ticket         string
+	Hint           string
+	Timeout        time.Duration
 	// Method and Path; POST and /v1/chat if unset.
 	Method, Path string
 	Body         []byte
-	// Cancel gives up after so many tokens; 0 reads to the end.
-	Cancel int
+	// CancelAfter gives up after so many tokens; 0 reads to the end.
+	CancelAfter int
 	// Seen, if set, is told how many tokens have come so far.
-	Seen func(tokens int)
+	OnTokens func(tokens int)
 }
 
 // Result is what the caller got.
 type Result struct {
-	Kind   Kind
+	Kind   ResultKind
 	Status int
 	// Code of a problem document.
 	Code   string
 	Run    chestnutstep.RunStatus
 	Hint   string
 	Ticket string
-	// Retry is when the caller may come back; 0 when it was not told.
-	Retry  time.Duration
-	Tokens int
+	// RetryAfter is when the caller may come back; 0 when it was not told.
+	RetryAfter time.Duration
+	Tokens     int
 	// Cached is the part of the prompt that was found in the cache.
 	Cached int
-	// First is the time to the first byte of the body.
-	First time.Duration
+	// FirstByte is the time to the first byte of the body.
+	FirstByte time.Duration
 	// Data is the body of an answer that is no event stream.
 	Data []byte
 	Err  error
@@ -92,47 +92,47 @@
 }
 
 // Do sends a request and reads the answer.
-func (c *Caller) Do(ctx context.Context, ask Request) Result {
+func (c *Caller) Do(ctx context.Context, req Request) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	began := time.Now()
-	w, err := c.send(ctx, ask)
+	start := time.Now()
+	w, err := c.send(ctx, req)
 	if err != nil {
-		return Result{Kind: Absent, Err: err}
+		return Result{Kind: Unreachable, Err: err}
 	}
 	defer w.Body.Close()
-	res := heading(w)
+	res := newResult(w)
 	if strings.HasPrefix(w.Header.Get("Content-Type"), "application/problem+json") {
-		return res.refusal(w.Body)
+		return res.readProblem(w.Body)
 	}
 	if w.Header.Get("Content-Type") != "text/event-stream" {
-		return res.document(w.Body)
+		return res.readDocument(w.Body)
 	}
-	s := stage{caller: c, ask: ask, began: began, last: began, res: res}
-	s.checker.Seed = Seed(ask.Chat, ask.Body)
+	s := answerReader{caller: c, request: req, startedAt: start, lastRead: start, res: res}
+	s.checker.Seed = Seed(req.Chat, req.Body)
 	return s.read(w.Body)
 }
 
-func (c *Caller) send(ctx context.Context, ask Request) (*http.Response, error) {
-	method, path := ask.Method, ask.Path
+func (c *Caller) send(ctx context.Context, req Request) (*http.Response, error) {
+	method, path := req.Method, req.Path
 	if method == "" {
 		method = http.MethodPost
 	}
 	if path == "" {
 		path = "/v1/chat"
 	}
-	r, err := http.NewRequestWithContext(ctx, method, c.Entries[ask.Entry]+path, bytes.NewReader(ask.Body))
+	r, err := http.NewRequestWithContext(ctx, method, c.Entries[req.Entry]+path, bytes.NewReader(req.Body))
 	if err != nil {
 		return nil, err
 	}
 	r.Header.Set("Authorization", "Bearer "+c.Key)
-	r.Header.Set(chestnutstep.HeaderProfile, ask.Profile)
-	set(r.Header, chestnutstep.HeaderChat, ask.Chat)
-	set(r.Header, chestnutstep.HeaderIdempotencyKey, ask.ID)
-	set(r.Header, chestnutstep.HeaderTicket, ask.Ticket)
-	set(r.Header, chestnutstep.HeaderHint, ask.Hint)
-	if ask.Timeout > 0 {
-		r.Header.Set(chestnutstep.HeaderTimeout, ask.Timeout.String())
+	r.Header.Set(chestnutstep.HeaderProfile, req.Profile)
+	setHeader(r.Header, chestnutstep.HeaderChat, req.Chat)
+	setHeader(r.Header, chestnutstep.HeaderIdempotencyKey, req.IdempotencyKey)
+	setHeader(r.Header, chestnutstep.HeaderTicket, req.Ticket)
+	setHeader(r.Header, chestnutstep.HeaderHint, req.Hint)
+	if req.Timeout > 0 {
+		r.Header.Set(chestnutstep.HeaderTimeout, req.Timeout.String())
 	}
 	return c.client().Do(r)
 }
@@ -144,13 +144,13 @@
 	return http.DefaultClient
 }
 
-func set(h http.Header, name, value string) {
+func setHeader(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
 }
 
-func heading(w *http.Response) Result {
+func newResult(w *http.Response) Result {
 	res := Result{
 		Status: w.StatusCode,
 		Run:    chestnutstep.RunStatus(w.Header.Get(chestnutstep.HeaderRun)),
@@ -158,12 +158,12 @@
 		Ticket: w.Header.Get(chestnutstep.HeaderTicket),
 	}
 	if n, err := strconv.ParseFloat(w.Header.Get("Retry-After"), 64); err == nil {
-		res.Retry = time.Duration(n * float64(time.Second))
+		res.RetryAfter = time.Duration(n * float64(time.Second))
 	}
 	return res
 }
 
-func (r Result) refusal(body io.Reader) Result {
+func (r Result) readProblem(body io.Reader) Result {
 	var p Problem
 	if err := json.NewDecoder(body).Decode(&p); err != nil {
 		r.Kind, r.Err = Broken, errors.Wrap(err, "problem document")
@@ -176,77 +176,77 @@
 	return r
 }
 
-// document reads a plain answer: it is whole if its length is as declared.
-func (r Result) document(body io.Reader) Result {
+// readDocument reads a plain answer: it is whole if its length is as declared.
+func (r Result) readDocument(body io.Reader) Result {
 	r.Data, r.Err = io.ReadAll(body)
-	r.Kind = Whole
+	r.Kind = Complete
 	if r.Err != nil {
 		r.Kind = Broken
 	}
 	return r
 }
 
-// stage is one event stream as it is read.
-type stage struct {
-	caller  *Caller
-	ask     Request
-	began   time.Time
-	last    time.Time
-	checker Checker
-	res     Result
+// answerReader is one event stream as it is read.
+type answerReader struct {
+	caller    *Caller
+	request   Request
+	startedAt time.Time
+	lastRead  time.Time
+	checker   Checker
+	res       Result
 }
 
-func (s *stage) read(body io.Reader) Result {
+func (s *answerReader) read(body io.Reader) Result {
 	buf := make([]byte, 8<<10)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if _, bad := s.checker.Write(buf[:n]); bad != nil {
-				return s.end(Foreign, bad)
+			if _, mismatch := s.checker.Write(buf[:n]); mismatch != nil {
+				return s.finish(Misdelivered, mismatch)
 			}
-			s.clock()
-			s.tell()
+			s.recordTime()
+			s.notifyTokens()
 		}
-		if s.ask.Cancel > 0 && s.checker.Tokens >= s.ask.Cancel {
-			return s.end(Canceled, nil)
+		if s.request.CancelAfter > 0 && s.checker.Tokens >= s.request.CancelAfter {
+			return s.finish(Canceled, nil)
 		}
 		if err == io.EOF {
-			return s.end(s.atEnd(), nil)
+			return s.finish(s.endKind(), nil)
 		}
 		if err != nil {
-			return s.end(Broken, err)
+			return s.finish(Broken, err)
 		}
 	}
 }
 
-// clock notes the time to the first byte and between pieces.
-func (s *stage) clock() {
+// recordTime notes the time to the first byte and between pieces.
+func (s *answerReader) recordTime() {
 	now := time.Now()
-	if s.res.First == 0 {
-		s.res.First = now.Sub(s.began)
-	} else if s.caller.Gap != nil {
-		s.caller.Gap(now.Sub(s.last))
+	if s.res.FirstByte == 0 {
+		s.res.FirstByte = now.Sub(s.startedAt)
+	} else if s.caller.OnGap != nil {
+		s.caller.OnGap(now.Sub(s.lastRead))
 	}
-	s.last = now
+	s.lastRead = now
 }
 
-func (s *stage) tell() {
-	if s.ask.Seen != nil {
-		s.ask.Seen(s.checker.Tokens)
+func (s *answerReader) notifyTokens() {
+	if s.request.OnTokens != nil {
+		s.request.OnTokens(s.checker.Tokens)
 	}
 }
 
-func (s *stage) atEnd() Kind {
+func (s *answerReader) endKind() ResultKind {
 	switch {
 	case s.checker.Done != nil:
-		return Whole
+		return Complete
 	case s.checker.Failed:
 		return Broken
 	}
-	return Short
+	return Truncated
 }
 
-func (s *stage) end(k Kind, err error) Result {
+func (s *answerReader) finish(k ResultKind, err error) Result {
 	s.res.Kind, s.res.Err = k, err
 	s.res.Tokens = s.checker.Tokens
 	if s.checker.Done != nil {
@@ -255,8 +255,8 @@
 	return s.res
 }
 
-// ticketAsk is the body of a request for tickets, ticketBatch the answer.
-type ticketAsk struct {
+// ticketRequest is the body of a request for tickets, ticketBatch the answer.
+type ticketRequest struct {
 	Profile string `json:"profile"`
 	Count   int    `json:"count"`
 }
@@ -267,9 +267,9 @@
 
 // Tickets asks an entry for tickets of a profile.
 func (c *Caller) Tickets(ctx context.Context, entry int, profile string, n int) ([]string, error) {
-	body, _ := json.Marshal(ticketAsk{profile, n})
+	body, _ := json.Marshal(ticketRequest{profile, n})
 	res := c.Do(ctx, Request{Entry: entry, Profile: profile, Path: "/chestnut/tickets", Body: body})
-	if res.Kind != Whole || res.Status != http.StatusOK {
+	if res.Kind != Complete || res.Status != http.StatusOK {
 		return nil, errors.Newf("tickets: %s %d %s: %v", res.Kind, res.Status, res.Code, res.Err)
 	}
 	var batch ticketBatch
@@ -279,15 +279,15 @@
 	return batch.Tickets, nil
 }
 
-// callerIdle is how many connections to one entry a caller keeps: as many as
+// maxIdleConns is how many connections to one entry a caller keeps: as many as
 // the streams that the largest test opens at once.
-const callerIdle = 1024
+const maxIdleConns = 1024
 
 // NewClient returns an HTTP client that keeps enough connections for a load
 // test; the default one would reconnect for nearly every request.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: callerIdle,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression:  true,
 	}}
 }
--- a/fake/control.go
+++ b/fake/control.go
@@ -42,13 +42,13 @@
 
 func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	if time.Now().Before(e.since) {
+	if time.Now().Before(e.downUntil) {
 		e.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	l := e.reports.at(time.Now())
 	if l.Boot == "" {
-		l = Load{Boot: e.boot, Cold: e.cold(), Lag: e.Lag.Seconds()}
+		l = Load{Boot: e.boot, Cold: e.cold(), Lag: e.ReportLag.Seconds()}
 	}
 	e.mu.Unlock()
 	writeJSON(w, l)
@@ -85,14 +85,14 @@
 	e.copy(w, r, s, offset, linger)
 }
 
-func chatOf(r *http.Request) chatKey {
+func chatKeyOf(r *http.Request) chatKey {
 	q := r.URL.Query()
 	return chatKey{q.Get("workspace"), q.Get("chat")}
 }
 
 func (e *Engine) getKV(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	n := e.cache.hit(chatOf(r), e.Cache)
+	n := e.cache.cachedTokens(chatKeyOf(r), e.CacheTokens)
 	boot := e.boot
 	e.mu.Unlock()
 	if n == 0 {
@@ -101,8 +101,8 @@
 	}
 	w.Header().Set(chestnutstep.HeaderCachedTokens, strconv.Itoa(n))
 	w.Header().Set(chestnutstep.HeaderBootID, boot)
-	w.Header().Set("Content-Length", strconv.Itoa(n*e.KV))
-	page := make([]byte, e.KV)
+	w.Header().Set("Content-Length", strconv.Itoa(n*e.KVBytesPerToken))
+	page := make([]byte, e.KVBytesPerToken)
 	for range n {
 		if _, err := w.Write(page); err != nil {
 			return
@@ -116,28 +116,28 @@
 		panic(http.ErrAbortHandler)
 	}
 	tokens, err := strconv.Atoi(r.Header.Get(chestnutstep.HeaderCachedTokens))
-	if err != nil || int64(tokens*e.KV) != n {
+	if err != nil || int64(tokens*e.KVBytesPerToken) != n {
 		http.Error(w, "the body does not hold as many tokens as it says", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	e.cache.store(chatOf(r), tokens)
+	e.cache.store(chatKeyOf(r), tokens)
 	e.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Events is a page of cache events; some are missing when Gap is set.
-type Events struct {
+// EventPage is a page of cache events; some are missing when Gap is set.
+type EventPage struct {
 	Events []CacheEvent `json:"events"`
 }
 
 func (e *Engine) getEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
-	time.Sleep(e.Lag)
+	time.Sleep(e.ReportLag)
 	e.mu.Lock()
-	page := Events{Events: []CacheEvent{}}
+	page := EventPage{Events: []CacheEvent{}}
 	for _, v := range e.cache.events[min(max(after, 0), len(e.cache.events)):] {
-		if e.Gap == 0 || v.Seq%e.Gap != 0 {
+		if e.EventGap == 0 || v.Seq%e.EventGap != 0 {
 			page.Events = append(page.Events, v)
 		}
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	v.Fence = fence
-	if !e.orders.take(v, e.Fenced) {
+	if !e.orders.accept(v, e.Fenced) {
 		http.Error(w, "an order with a higher fencing number came before", http.StatusConflict)
 		return
 	}
@@ -170,13 +170,13 @@
 func (e *Engine) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if readJSON(w, r, &f) {
-		e.Misbehave(f)
+		e.SetFault(f)
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// Misbehave puts a fault in force from now on.
-func (e *Engine) Misbehave(f Fault) {
+// SetFault puts a fault in force from now on.
+func (e *Engine) SetFault(f Fault) {
 	e.once.Do(e.start)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,9 +189,9 @@
 		e.crash()
 	}
 	if f.Drop {
-		e.drops++
+		e.dropCount++
 		for _, s := range e.streams {
-			s.wake()
+			s.notify()
 		}
 	}
 	f.Cold, f.Crash, f.Drop = false, false, false
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -27,57 +27,57 @@
 // prefixes in limited memory, is fragile while cold, and reports its load
 // late. Set the fields, then serve it over HTTP.
 type Engine struct {
-	// Base and Slope are the time of one step: Base plus Slope for each
+	// BaseStep and Slope are the time of one step: Base plus Slope for each
 	// running request.
-	Base, Slope time.Duration
-	// Prefill is the time for one prompt token that is not in the cache.
-	Prefill time.Duration
+	BaseStep, StepPerRequest time.Duration
+	// PrefillPerToken is the time for one prompt token that is not in the cache.
+	PrefillPerToken time.Duration
 	// Slots is how many requests run at once; the rest wait inside the engine.
 	Slots int
-	// Cache bounds the prefix cache in tokens.
-	Cache int
-	// Cold is how many requests the engine can carry until it has served Warm
+	// CacheTokens bounds the prefix cache in tokens.
+	CacheTokens int
+	// ColdCapacity is how many requests the engine can carry until it has served Warm
 	// requests since its last start. One more and it falls over. 0 switches the
 	// cold start off.
-	Cold, Warm int
-	// Hard is how many requests make even a warm engine fall over; 0 is never.
-	Hard int
-	// Restart is how long it drops every connection after it fell over.
-	Restart time.Duration
-	// Lag of load reports and cache events.
-	Lag time.Duration
-	// Gap leaves out each Gap-th cache event; 0 leaves out none.
-	Gap int
+	ColdCapacity, WarmupRequests int
+	// CrashLoad is how many requests make even a warm engine fall over; 0 is never.
+	CrashLoad int
+	// RestartTime is how long it drops every connection after it fell over.
+	RestartTime time.Duration
+	// ReportLag of load reports and cache events.
+	ReportLag time.Duration
+	// EventGap leaves out each Gap-th cache event; 0 leaves out none.
+	EventGap int
 	// Fenced refuses orders that carry an older fencing number.
 	Fenced bool
-	// KV is the bytes of KV cache for one token.
-	KV int
+	// KVBytesPerToken is the bytes of KV cache for one token.
+	KVBytesPerToken int
 	// Rand draws boot ids.
 	Rand *rand.Rand
 	// Journal is the log of executions.
 	Journal Journal
 
-	once    sync.Once
-	mux     *http.ServeMux
-	mu      sync.Mutex
-	boot    string
-	boots   int
-	served  int
-	since   time.Time // when it answers again after falling over
-	drops   int
-	looping bool
-	queue   []*stream
-	batch   []*stream
-	streams map[string]*stream
-	ended   []string
-	cache   prefixes
-	reports reports
-	orders  orders
-	faults  faults
+	once        sync.Once
+	mux         *http.ServeMux
+	mu          sync.Mutex
+	boot        string
+	bootCount   int
+	served      int
+	downUntil   time.Time // when it answers again after falling over
+	dropCount   int
+	loopRunning bool
+	queue       []*stream
+	batch       []*stream
+	streams     map[string]*stream
+	ended       []string
+	cache       prefixCache
+	reports     reportLog
+	orders      orderLog
+	faults      faultState
 }
 
-// Ask is what a caller sends to an engine.
-type Ask struct {
+// ChatRequest is what a caller sends to an engine.
+type ChatRequest struct {
 	// Prompt is the history in tokens.
 	Prompt int `json:"prompt"`
 	// Output is how many tokens to generate.
@@ -103,25 +103,25 @@
 	if e.Slots == 0 {
 		e.Slots = defaultSlots
 	}
-	if e.Cache == 0 {
-		e.Cache = defaultCache
+	if e.CacheTokens == 0 {
+		e.CacheTokens = defaultCache
 	}
-	if e.KV == 0 {
-		e.KV = defaultKV
+	if e.KVBytesPerToken == 0 {
+		e.KVBytesPerToken = defaultKV
 	}
 	if e.Rand == nil {
 		e.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	e.cache.most = e.Cache
+	e.cache.maxTokens = e.CacheTokens
 	e.streams = map[string]*stream{}
-	e.reports.lag = e.Lag
+	e.reports.lag = e.ReportLag
 	e.reboot()
 	e.routes()
 }
 
 // reboot draws a new boot id. The caller holds the lock or is the first.
 func (e *Engine) reboot() {
-	e.boots++
+	e.bootCount++
 	e.boot = strconv.FormatUint(e.Rand.Uint64(), 16)
 	e.served = 0
 	e.cache.clear()
@@ -144,13 +144,13 @@
 		http.Error(w, "fault", f.Status)
 		return
 	}
-	var ask Ask
-	if err := json.Unmarshal(body, &ask); err != nil {
+	var chat ChatRequest
+	if err := json.Unmarshal(body, &chat); err != nil {
 		http.Error(w, "the body is not JSON: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	time.Sleep(f.Delay.Std())
-	s, ok := e.admit(r, body, ask, f)
+	s, ok := e.admit(r, body, chat, f)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
@@ -159,13 +159,13 @@
 }
 
 // admit takes a request in, or lets the engine fall over.
-func (e *Engine) admit(r *http.Request, body []byte, ask Ask, f Fault) (*stream, bool) {
+func (e *Engine) admit(r *http.Request, body []byte, chat ChatRequest, f Fault) (*stream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.since) {
+	if time.Now().Before(e.downUntil) {
 		return nil, false
 	}
-	s := e.newStream(r, body, ask, f)
+	s := e.newStream(r, body, chat, f)
 	e.streams[s.request] = s
 	if f.Hang {
 		return s, true
@@ -176,58 +176,58 @@
 		e.crash()
 		return nil, false
 	}
-	if !e.looping {
-		e.looping = true
+	if !e.loopRunning {
+		e.loopRunning = true
 		go e.loop()
 	}
 	return s, true
 }
 
-func (e *Engine) newStream(r *http.Request, body []byte, ask Ask, f Fault) *stream {
+func (e *Engine) newStream(r *http.Request, body []byte, chat ChatRequest, f Fault) *stream {
 	key := chatKey{r.Header.Get(HeaderWorkspace), r.Header.Get(chestnutstep.HeaderChat)}
-	cached := e.cache.hit(key, ask.Prompt)
+	cached := e.cache.cachedTokens(key, chat.Prompt)
 	s := &stream{
 		request:  r.Header.Get(chestnutstep.HeaderRequestID),
 		key:      key,
 		seed:     Seed(key.chat, body),
-		prompt:   ask.Prompt,
-		output:   max(ask.Output, 1),
+		prompt:   chat.Prompt,
+		output:   max(chat.Output, 1),
 		cached:   cached,
-		uncached: ask.Prompt - cached,
-		pace:     max(ask.Pace, 1),
+		uncached: chat.Prompt - cached,
+		pace:     max(chat.Pace, 1),
 		fault:    f,
 		boot:     e.boot,
 		sum:      xxhash.New(),
 		change:   make(chan struct{}),
 	}
-	s.class, _ = strconv.Atoi(r.Header.Get(chestnutstep.HeaderPriority))
+	s.priority, _ = strconv.Atoi(r.Header.Get(chestnutstep.HeaderPriority))
 	if f.Crossed {
 		s.request += "-other"
 		s.seed++
 	}
-	s.log = e.Journal.start(Execution{
+	s.execution = e.Journal.start(Execution{
 		Request:   r.Header.Get(chestnutstep.HeaderRequestID),
 		Workspace: key.workspace,
 		Chat:      key.chat,
 		Path:      r.URL.Path,
 		Boot:      e.boot,
-		Prompt:    ask.Prompt,
+		Prompt:    chat.Prompt,
 		Cached:    cached,
 	})
 	return s
 }
 
 func (e *Engine) cold() bool {
-	return e.Cold > 0 && e.served < e.Warm
+	return e.ColdCapacity > 0 && e.served < e.WarmupRequests
 }
 
-// carried counts what the engine has taken in and not ended. A canceled answer
+// inFlight counts what the engine has taken in and not ended. A canceled answer
 // stays in the batch until its next step, but costs nothing any more: its
 // cancel was confirmed, and who asked for it takes the place for free.
-func (e *Engine) carried() int {
+func (e *Engine) inFlight() int {
 	n := len(e.queue)
 	for _, s := range e.batch {
-		if !s.over {
+		if !s.finished {
 			n++
 		}
 	}
@@ -235,11 +235,11 @@
 }
 
 func (e *Engine) overloaded() bool {
-	n := e.carried()
-	if e.cold() && n > e.Cold {
+	n := e.inFlight()
+	if e.cold() && n > e.ColdCapacity {
 		return true
 	}
-	return e.Hard > 0 && n > e.Hard
+	return e.CrashLoad > 0 && n > e.CrashLoad
 }
 
 // crash cuts every running answer, loses the cache and draws a new boot id.
@@ -250,14 +250,14 @@
 	}
 	e.queue, e.batch = nil, nil
 	for id, s := range e.streams {
-		if !s.over {
+		if !s.finished {
 			s.aborted = true
 			e.finish(s, OutcomeCrashed)
 		}
 		delete(e.streams, id)
 	}
 	e.ended = nil
-	e.since = time.Now().Add(e.Restart)
+	e.downUntil = time.Now().Add(e.RestartTime)
 	e.reboot()
 	e.reports.add(time.Now(), e.load())
 }
@@ -265,35 +265,35 @@
 // copy writes the answer to a connection from an offset on as it grows.
 func (e *Engine) copy(w http.ResponseWriter, r *http.Request, s *stream, offset int, linger time.Duration) {
 	c := http.NewResponseController(w)
-	began := false
+	headSent := false
 	sent := 0
-	drops := e.dropped()
+	drops := e.currentDrops()
 	for {
 		data, aborted, over, change := e.peek(s, offset)
-		if e.dropped() != drops {
-			e.leave(s, linger)
+		if e.currentDrops() != drops {
+			e.cancelAfter(s, linger)
 			panic(http.ErrAbortHandler)
 		}
 		if aborted && len(data) == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		if !began && (len(data) > 0 || over) {
-			began = true
+		if !headSent && (len(data) > 0 || over) {
+			headSent = true
 			s.head(w.Header())
 		}
 		if r.URL.Path != resumePath {
-			data = s.fault.upToClose(data, sent)
+			data = s.fault.untilClose(data, sent)
 		}
 		if len(data) > 0 {
 			if _, err := w.Write(data); err != nil {
-				e.leave(s, linger)
+				e.cancelAfter(s, linger)
 				return
 			}
 			_ = c.Flush()
 			offset += len(data)
 			sent += bytes.Count(data, []byte(eventEnd))
 			if r.URL.Path != resumePath && s.fault.closes(sent) {
-				e.leave(s, linger)
+				e.cancelAfter(s, linger)
 				panic(http.ErrAbortHandler)
 			}
 			continue
@@ -304,7 +304,7 @@
 		select {
 		case <-change:
 		case <-r.Context().Done():
-			e.leave(s, linger)
+			e.cancelAfter(s, linger)
 			return
 		}
 	}
@@ -329,19 +329,19 @@
 	if offset < len(s.data) {
 		data = s.data[offset:]
 	}
-	return data, s.aborted, s.over, s.change
+	return data, s.aborted, s.finished, s.change
 }
 
-// dropped counts how often all connections were closed.
-func (e *Engine) dropped() int {
+// currentDrops counts how often all connections were closed.
+func (e *Engine) currentDrops() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.drops
+	return e.dropCount
 }
 
-// leave is called when a connection broke: the answer is cancelled, at once or
+// cancelAfter is called when a connection broke: the answer is cancelled, at once or
 // after the time that the request asked for.
-func (e *Engine) leave(s *stream, linger time.Duration) {
+func (e *Engine) cancelAfter(s *stream, linger time.Duration) {
 	if linger <= 0 {
 		e.cancel(s)
 		return
@@ -352,7 +352,7 @@
 func (e *Engine) cancel(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.over {
+	if s.finished {
 		return
 	}
 	e.queue = without(e.queue, s)
@@ -375,5 +375,5 @@
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.boots-1, 0)
+	return max(e.bootCount-1, 0)
 }
--- a/fake/fault.go
+++ b/fake/fault.go
@@ -40,49 +40,49 @@
 	Count int `json:"count,omitempty"`
 }
 
-// faults is the fault in force.
-type faults struct {
-	mu  sync.Mutex
-	now Fault
+// faultState is the fault in force.
+type faultState struct {
+	mu      sync.Mutex
+	current Fault
 }
 
-func (f *faults) set(v Fault) {
+func (f *faultState) set(v Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = v
+	f.current = v
 }
 
 // take returns the fault for one request and counts it.
-func (f *faults) take() Fault {
+func (f *faultState) take() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := f.now
+	v := f.current
 	if v.Count > 0 {
-		f.now.Count--
-		if f.now.Count == 0 {
-			f.now = Fault{}
+		f.current.Count--
+		if f.current.Count == 0 {
+			f.current = Fault{}
 		}
 	}
 	return v
 }
 
-func (f *faults) slow() float64 {
+func (f *faultState) slowdown() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.now.Slow <= 0 {
+	if f.current.Slow <= 0 {
 		return 1
 	}
-	return f.now.Slow
+	return f.current.Slow
 }
 
 func (f Fault) poisons(body []byte) bool {
 	return f.Poison != "" && bytes.Contains(body, []byte(f.Poison))
 }
 
-// upToClose is the part of the data that goes out before the connection is dropped.
+// untilClose is the part of the data that goes out before the connection is dropped.
 // On a busy machine an answer may be whole before any of it was sent: cut only between
 // two writes, it would arrive whole.
-func (f Fault) upToClose(data []byte, sent int) []byte {
+func (f Fault) untilClose(data []byte, sent int) []byte {
 	if f.Close <= 0 {
 		return data
 	}
--- a/fake/fault_test.go
+++ b/fake/fault_test.go
@@ -13,9 +13,9 @@
 func TestCloseInsideOneWrite(t *testing.T) {
 	five := strings.Repeat("data: x"+eventEnd, 5)
 	f := Fault{Close: 3}
-	assert.Equal(t, strings.Count(string(f.upToClose([]byte(five), 0)), eventEnd), 3)
-	assert.Equal(t, strings.Count(string(f.upToClose([]byte(five), 2)), eventEnd), 1)
-	assert.Equal(t, len(f.upToClose([]byte(five), 3)), 0)
-	assert.Equal(t, string(f.upToClose([]byte("data: x"), 0)), "data: x")
-	assert.Equal(t, string(Fault{}.upToClose([]byte(five), 0)), five)
+	assert.Equal(t, strings.Count(string(f.untilClose([]byte(five), 0)), eventEnd), 3)
+	assert.Equal(t, strings.Count(string(f.untilClose([]byte(five), 2)), eventEnd), 1)
+	assert.Equal(t, len(f.untilClose([]byte(five), 3)), 0)
+	assert.Equal(t, string(f.untilClose([]byte("data: x"), 0)), "data: x")
+	assert.Equal(t, string(Fault{}.untilClose([]byte(five), 0)), five)
 }
--- a/fake/order.go
+++ b/fake/order.go
@@ -14,27 +14,27 @@
 	Fence uint64 `json:"fence"`
 }
 
-// orders is what an engine was told and obeyed.
-type orders struct {
-	mu   sync.Mutex
-	high uint64
-	all  []Order
+// orderLog is what an engine was told and obeyed.
+type orderLog struct {
+	mu           sync.Mutex
+	highestFence uint64
+	all          []Order
 }
 
-// take obeys an order unless the engine checks fencing numbers and this one is
+// accept obeys an order unless the engine checks fencing numbers and this one is
 // older than one seen before.
-func (o *orders) take(v Order, fenced bool) bool {
+func (o *orderLog) accept(v Order, fenced bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if fenced && v.Fence < o.high {
+	if fenced && v.Fence < o.highestFence {
 		return false
 	}
-	o.high = max(o.high, v.Fence)
+	o.highestFence = max(o.highestFence, v.Fence)
 	o.all = append(o.all, v)
 	return true
 }
 
-func (o *orders) list() []Order {
+func (o *orderLog) list() []Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.all)
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// valueMax is the platform's limit for one value, in bytes.
-	valueMax = 1 << 20
-	// waitMax bounds one long poll.
-	waitMax = 30 * time.Second
-	// historyMax is how many revisions of a value can be served while stale.
-	historyMax = 64
+	// maxValueBytes is the platform's limit for one value, in bytes.
+	maxValueBytes = 1 << 20
+	// maxWatchWait bounds one long poll.
+	maxWatchWait = 30 * time.Second
+	// maxHistory is how many revisions of a value can be served while stale.
+	maxHistory = 64
 )
 
 // States of a host in the platform's list.
@@ -69,14 +69,14 @@
 // use GET; everything under /control/ and the methods are for the test's side.
 // The zero value is an empty service, ready for use.
 type Platform struct {
-	mu      sync.Mutex
-	mode    Mode
-	calls   Calls
-	last    uint64
-	values  map[string][]revision
-	hosts   []HostState
-	pending []hostChange
-	changed chan struct{}
+	mu           sync.Mutex
+	mode         Mode
+	calls        Calls
+	lastRevision uint64
+	values       map[string][]revision
+	hosts        []HostState
+	pending      []hostChange
+	changed      chan struct{}
 }
 
 // Put sets a value and returns its revision. Revisions count over all names.
@@ -86,19 +86,19 @@
 	if p.values == nil {
 		p.values = make(map[string][]revision)
 	}
-	p.last++
-	list := append(p.values[name], revision{p.last, value})
-	p.values[name] = list[max(0, len(list)-historyMax):]
-	p.wake()
-	return p.last
+	p.lastRevision++
+	list := append(p.values[name], revision{p.lastRevision, value})
+	p.values[name] = list[max(0, len(list)-maxHistory):]
+	p.notifyWatchers()
+	return p.lastRevision
 }
 
-// Misbehave sets how the platform misbehaves from now on.
-func (p *Platform) Misbehave(m Mode) {
+// SetMode sets how the platform misbehaves from now on.
+func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	p.wake()
+	p.notifyWatchers()
 }
 
 // SetHost sets a host's state; readers see it once the lag has passed. An empty
@@ -116,8 +116,8 @@
 	return p.calls
 }
 
-// wake lets waiting watches look again.
-func (p *Platform) wake() {
+// notifyWatchers lets waiting watches look again.
+func (p *Platform) notifyWatchers() {
 	if p.changed != nil {
 		close(p.changed)
 		p.changed = nil
@@ -134,7 +134,7 @@
 		http.Error(w, "the service can only be read", http.StatusMethodNotAllowed)
 		return
 	}
-	if !p.admit(r) {
+	if !p.countCall(r) {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
@@ -148,8 +148,8 @@
 	}
 }
 
-// admit counts a call, delays it, and says whether the service is up.
-func (p *Platform) admit(r *http.Request) bool {
+// countCall counts a call, delays it, and says whether the service is up.
+func (p *Platform) countCall(r *http.Request) bool {
 	p.mu.Lock()
 	mode := p.mode
 	switch {
@@ -181,7 +181,7 @@
 func (p *Platform) serveValue(w http.ResponseWriter, r *http.Request, name string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	end := time.After(min(wait, waitMax))
+	end := time.After(min(wait, maxWatchWait))
 	for {
 		rev, changed := p.current(name)
 		if rev.number > after {
@@ -226,29 +226,29 @@
 func (p *Platform) list(now time.Time) []HostState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var later []hostChange
+	var notYetVisible []hostChange
 	for _, c := range p.pending {
 		if c.visible.After(now) {
-			later = append(later, c)
+			notYetVisible = append(notYetVisible, c)
 			continue
 		}
 		p.apply(c.state)
 	}
-	p.pending = later
+	p.pending = notYetVisible
 	return append([]HostState{}, p.hosts...)
 }
 
 func (p *Platform) apply(s HostState) {
-	var kept []HostState
+	var others []HostState
 	for _, h := range p.hosts {
 		if h.Host != s.Host {
-			kept = append(kept, h)
+			others = append(others, h)
 		}
 	}
 	if s.State != "" {
-		kept = append(kept, s)
+		others = append(others, s)
 	}
-	p.hosts = kept
+	p.hosts = others
 }
 
 // serveControl is the test's side over HTTP:
@@ -258,8 +258,8 @@
 //	POST /control/hosts     a list of HostState
 //	GET  /control/calls     the counts
 func (p *Platform) serveControl(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, valueMax+1))
-	if err != nil || len(body) > valueMax {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxValueBytes+1))
+	if err != nil || len(body) > maxValueBytes {
 		http.Error(w, "a value is at most 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -270,7 +270,7 @@
 	case r.URL.Path == "/control/mode":
 		var m Mode
 		if read(w, body, &m) {
-			p.Misbehave(m)
+			p.SetMode(m)
 		}
 	case r.URL.Path == "/control/hosts":
 		var list []HostState
--- a/fake/platform_test.go
+++ b/fake/platform_test.go
@@ -48,18 +48,18 @@
 	p.Put("chestnut/root", []byte("two"))
 	assert.Equal(t, <-done, "2 two")
 
-	p.Misbehave(Mode{Stale: 1})
+	p.SetMode(Mode{Stale: 1})
 	want("/v/chestnut/root", 200, "1 one")
 	want("/v/chestnut/root?after=2&wait=1ms", 304, "1 ")
-	p.Misbehave(Mode{Down: true})
+	p.SetMode(Mode{Down: true})
 	want("/v/chestnut/root", 503, "")
-	p.Misbehave(Mode{})
+	p.SetMode(Mode{})
 
 	p.SetHost("a1", HostLive)
 	p.SetHost("a2", HostLive)
 	p.SetHost("a1", HostLeaving)
 	want("/hosts", 200, " [{\"host\":\"a2\",\"state\":\"live\"},{\"host\":\"a1\",\"state\":\"leaving\"}]\n")
-	p.Misbehave(Mode{Lag: 1 << 60})
+	p.SetMode(Mode{Lag: 1 << 60})
 	p.SetHost("a2", "")
 	want("/hosts", 200, " [{\"host\":\"a2\",\"state\":\"live\"},{\"host\":\"a1\",\"state\":\"leaving\"}]\n")
 
--- a/fake/report.go
+++ b/fake/report.go
@@ -19,19 +19,19 @@
 	load Load
 }
 
-// reports answers with what was true a lag ago.
-type reports struct {
+// reportLog answers with what was true a lag ago.
+type reportLog struct {
 	lag time.Duration
 	all []report
 }
 
-func (r *reports) add(now time.Time, l Load) {
+func (r *reportLog) add(now time.Time, l Load) {
 	r.all = append(r.all, report{now, l})
 	r.trim(now)
 }
 
 // trim keeps the newest report that is old enough to be shown, and all after.
-func (r *reports) trim(now time.Time) {
+func (r *reportLog) trim(now time.Time) {
 	n := 0
 	for n+1 < len(r.all) && now.Sub(r.all[n+1].at) >= r.lag {
 		n++
@@ -39,7 +39,7 @@
 	r.all = r.all[n:]
 }
 
-func (r *reports) at(now time.Time) Load {
+func (r *reportLog) at(now time.Time) Load {
 	r.trim(now)
 	if len(r.all) == 0 || now.Sub(r.all[0].at) < r.lag {
 		return Load{}
@@ -54,7 +54,7 @@
 		Running: len(e.batch),
 		Waiting: len(e.queue),
 		Cold:    e.cold(),
-		Lag:     e.Lag.Seconds(),
-		Crashes: e.boots - 1,
+		Lag:     e.ReportLag.Seconds(),
+		Crashes: e.bootCount - 1,
 	}
 }
--- a/fake/service.go
+++ b/fake/service.go
@@ -18,23 +18,23 @@
 type Service struct {
 	// Delay between a request's arrival and its effect.
 	Delay time.Duration
-	// Restart is how long it drops every connection after a crash.
-	Restart time.Duration
+	// RestartTime is how long it drops every connection after a crash.
+	RestartTime time.Duration
 	// Rand draws boot ids.
 	Rand *rand.Rand
 	// Journal is the log of executions.
 	Journal Journal
 
-	once    sync.Once
-	mux     *http.ServeMux
-	mu      sync.Mutex
-	boot    string
-	boots   int
-	running int
-	since   time.Time
-	down    chan struct{} // closed by a crash
-	effects map[string]int
-	faults  faults
+	once      sync.Once
+	mux       *http.ServeMux
+	mu        sync.Mutex
+	boot      string
+	bootCount int
+	running   int
+	downUntil time.Time
+	down      chan struct{} // closed by a crash
+	effects   map[string]int
+	faults    faultState
 }
 
 // Action is the body of a booking or a map edit.
@@ -74,7 +74,7 @@
 }
 
 func (s *Service) reboot() {
-	s.boots++
+	s.bootCount++
 	s.boot = strconv.FormatUint(s.Rand.Uint64(), 16)
 	s.down = make(chan struct{})
 }
@@ -85,12 +85,12 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// up returns the boot id and the channel that a crash closes; it drops the
+// requireUp returns the boot id and the channel that a crash closes; it drops the
 // connection while the service is down.
-func (s *Service) up() (string, <-chan struct{}) {
+func (s *Service) requireUp() (string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.since) {
+	if time.Now().Before(s.downUntil) {
 		panic(http.ErrAbortHandler)
 	}
 	return s.boot, s.down
@@ -101,7 +101,7 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	boot, down := s.up()
+	boot, down := s.requireUp()
 	f := s.faults.take()
 	id := r.Header.Get(chestnutstep.HeaderRequestID)
 	if f.Crossed {
@@ -118,11 +118,11 @@
 		http.Error(w, "want a JSON body with an action", http.StatusBadRequest)
 		return
 	}
-	e := s.begin(r, a, boot)
-	s.act(w, a, e, f, body, down)
+	e := s.startExecution(r, a, boot)
+	s.runAction(w, a, e, f, body, down)
 }
 
-func (s *Service) begin(r *http.Request, a Action, boot string) *Execution {
+func (s *Service) startExecution(r *http.Request, a Action, boot string) *Execution {
 	s.mu.Lock()
 	s.running++
 	s.mu.Unlock()
@@ -136,13 +136,13 @@
 	})
 }
 
-// act waits, takes effect and answers, each of which a fault may prevent.
-func (s *Service) act(w http.ResponseWriter, a Action, e *Execution, f Fault, body []byte, down <-chan struct{}) {
-	defer s.leave()
+// runAction waits, takes effect and answers, each of which a fault may prevent.
+func (s *Service) runAction(w http.ResponseWriter, a Action, e *Execution, f Fault, body []byte, down <-chan struct{}) {
+	defer s.finishRequest()
 	if f.poisons(body) {
-		s.Misbehave(Fault{Crash: true, Poison: f.Poison})
+		s.SetFault(Fault{Crash: true, Poison: f.Poison})
 	}
-	if !wait(s.Delay+f.Delay.Std(), s.faults.slow(), down) {
+	if !waitSlowed(s.Delay+f.Delay.Std(), s.faults.slowdown(), down) {
 		s.Journal.end(e, OutcomeCrashed)
 		panic(http.ErrAbortHandler)
 	}
@@ -151,7 +151,7 @@
 		s.Journal.end(e, OutcomeCrashed)
 		panic(http.ErrAbortHandler)
 	}
-	raw, _ := json.Marshal(s.effect(a))
+	raw, _ := json.Marshal(s.applyEffect(a))
 	s.Journal.end(e, OutcomeDone)
 	if f.Close > 0 {
 		panic(http.ErrAbortHandler)
@@ -163,14 +163,14 @@
 	_, _ = w.Write(raw)
 }
 
-func (s *Service) leave() {
+func (s *Service) finishRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-// wait says false when the service went down meanwhile.
-func wait(d time.Duration, slow float64, down <-chan struct{}) bool {
+// waitSlowed says false when the service went down meanwhile.
+func waitSlowed(d time.Duration, slow float64, down <-chan struct{}) bool {
 	t := time.NewTimer(time.Duration(float64(d) * slow))
 	defer t.Stop()
 	select {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (s *Service) effect(a Action) Effect {
+func (s *Service) applyEffect(a Action) Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.effects[a.Action]++
@@ -193,7 +193,7 @@
 }
 
 func (s *Service) getSlots(w http.ResponseWriter, r *http.Request) {
-	boot, down := s.up()
+	boot, down := s.requireUp()
 	f := s.faults.take()
 	w.Header().Set(chestnutstep.HeaderRequestID, r.Header.Get(chestnutstep.HeaderRequestID))
 	w.Header().Set(chestnutstep.HeaderBootID, boot)
@@ -201,9 +201,9 @@
 		http.Error(w, "fault", f.Status)
 		return
 	}
-	e := s.begin(r, Action{}, boot)
-	defer s.leave()
-	if !wait(f.Delay.Std(), s.faults.slow(), down) {
+	e := s.startExecution(r, Action{}, boot)
+	defer s.finishRequest()
+	if !waitSlowed(f.Delay.Std(), s.faults.slowdown(), down) {
 		s.Journal.end(e, OutcomeCrashed)
 		panic(http.ErrAbortHandler)
 	}
@@ -212,9 +212,9 @@
 }
 
 func (s *Service) getLoad(w http.ResponseWriter, _ *http.Request) {
-	s.up()
+	s.requireUp()
 	s.mu.Lock()
-	l := Load{Boot: s.boot, Running: s.running, Crashes: s.boots - 1}
+	l := Load{Boot: s.boot, Running: s.running, Crashes: s.bootCount - 1}
 	s.mu.Unlock()
 	writeJSON(w, l)
 }
@@ -222,20 +222,20 @@
 func (s *Service) postFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if readJSON(w, r, &f) {
-		s.Misbehave(f)
+		s.SetFault(f)
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// Misbehave puts a fault in force from now on. A crash stops all running
+// SetFault puts a fault in force from now on. A crash stops all running
 // actions before their effect.
-func (s *Service) Misbehave(f Fault) {
+func (s *Service) SetFault(f Fault) {
 	s.once.Do(s.start)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.Crash {
 		close(s.down)
-		s.since = time.Now().Add(s.Restart)
+		s.downUntil = time.Now().Add(s.RestartTime)
 		s.reboot()
 	}
 	f.Crash = false
--- a/fake/sizes.go
+++ b/fake/sizes.go
@@ -9,30 +9,30 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Size of a made-up fleet, for measurements.
-type Size struct {
+// FleetSize of a made-up fleet, for measurements.
+type FleetSize struct {
 	Regions, Domains, Targets, Models, Workspaces, Entries int
 }
 
-// Planned is the size that the project designs for.
-var Planned = Size{Regions: 4, Domains: 14, Targets: 2700, Models: 5, Workspaces: 560, Entries: 350}
+// PlannedSize is the size that the project designs for.
+var PlannedSize = FleetSize{Regions: 4, Domains: 14, Targets: 2700, Models: 5, Workspaces: 560, Entries: 350}
 
 // Publication returns a valid publication of this size, the same each time.
-func (s Size) Publication(version uint64) *chestnutstep.Publication {
+func (s FleetSize) Publication(version uint64) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Version: version,
 		Budget:  chestnutstep.Budget{ReadRate: 200, LoadRate: 2, RetryRatio: 0.1, ExportRate: 100 << 20},
 	}
-	s.addPlaces(p)
+	s.addHosts(p)
 	s.addModels(p)
 	s.addTargets(p)
 	s.addWorkspaces(p)
 	return p
 }
 
-func (s Size) domain(i int) string { return fmt.Sprintf("domain-%d", i%s.Domains) }
+func (s FleetSize) domain(i int) string { return fmt.Sprintf("domain-%d", i%s.Domains) }
 
-func (s Size) addPlaces(p *chestnutstep.Publication) {
+func (s FleetSize) addHosts(p *chestnutstep.Publication) {
 	for i := range s.Domains {
 		p.Domains = append(p.Domains, chestnutstep.Domain{
 			Name: s.domain(i), Region: fmt.Sprintf("region-%d", i%s.Regions),
@@ -46,7 +46,7 @@
 	}
 }
 
-func (s Size) addModels(p *chestnutstep.Publication) {
+func (s FleetSize) addModels(p *chestnutstep.Publication) {
 	for i := range s.Models {
 		name := fmt.Sprintf("model-%d", i)
 		p.Models = append(p.Models, chestnutstep.Model{
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s Size) addTargets(p *chestnutstep.Publication) {
+func (s FleetSize) addTargets(p *chestnutstep.Publication) {
 	for i := range s.Targets {
 		p.Targets = append(p.Targets, chestnutstep.Target{
 			Name: fmt.Sprintf("target-%d", i), Host: fmt.Sprintf("host-%d", i), Model: fmt.Sprintf("model-%d", i%s.Models),
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s Size) addWorkspaces(p *chestnutstep.Publication) {
+func (s FleetSize) addWorkspaces(p *chestnutstep.Publication) {
 	for i := range s.Workspaces {
 		sum := sha256.Sum256(fmt.Appendf(nil, "key-%d", i))
 		p.Workspaces = append(p.Workspaces, chestnutstep.Workspace{
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -9,34 +9,34 @@
 // stream is one running answer of an engine. The batch appends to it, and the
 // connections that read it wait on its changes. The engine's lock guards it.
 type stream struct {
-	request  string
-	key      chatKey
-	class    int
-	seed     uint64
-	prompt   int
-	output   int
-	cached   int
-	pace     int
-	steps    int
-	fault    Fault
-	boot     string
-	log      *Execution
-	uncached int // prompt tokens still to be computed
-	tokens   int
-	sum      *xxhash.Digest
-	data     []byte
-	over     bool
-	aborted  bool // the connection is to be cut, not ended
-	change   chan struct{}
+	request   string
+	key       chatKey
+	priority  int
+	seed      uint64
+	prompt    int
+	output    int
+	cached    int
+	pace      int
+	steps     int
+	fault     Fault
+	boot      string
+	execution *Execution
+	uncached  int // prompt tokens still to be computed
+	tokens    int
+	sum       *xxhash.Digest
+	data      []byte
+	finished  bool
+	aborted   bool // the connection is to be cut, not ended
+	change    chan struct{}
 }
 
-func (s *stream) wake() {
+func (s *stream) notify() {
 	close(s.change)
 	s.change = make(chan struct{})
 }
 
-// due says whether this step gives the answer a token.
-func (s *stream) due() bool {
+// advance says whether this step gives the answer a token.
+func (s *stream) advance() bool {
 	s.steps++
 	return s.uncached == 0 && (s.steps-1)%s.pace == 0
 }
@@ -69,7 +69,7 @@
 	return OutcomeDone
 }
 
-// whole says that the last event stands in the data.
-func (s *stream) whole() bool {
-	return s.over && !s.aborted
+// isComplete says that the last event stands in the data.
+func (s *stream) isComplete() bool {
+	return s.finished && !s.aborted
 }
--- a/fake/target_test.go
+++ b/fake/target_test.go
@@ -18,8 +18,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// bench drives one stand-in target from a script.
-type bench struct {
+// testTarget drives one stand-in target from a script.
+type testTarget struct {
 	t      *testing.T
 	target http.Handler
 	srv    *httptest.Server
@@ -47,19 +47,19 @@
 // well, cold, crashing, or answering wrongly.
 func TestTargets(t *testing.T) {
 	datadriven.Walk(t, "testdata/target", func(t *testing.T, path string) {
-		b := &bench{t: t, boots: map[string]string{}, calls: map[string]*call{}}
+		b := &testTarget{t: t, boots: map[string]string{}, calls: map[string]*call{}}
 		datadriven.RunTest(t, path, b.step)
 	})
 }
 
-func (b *bench) step(t *testing.T, d *datadriven.TestData) string {
+func (b *testTarget) step(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "engine":
-		e := &Engine{Base: 100 * time.Microsecond, Rand: rand.New(rand.NewPCG(1, 2))}
+		e := &Engine{BaseStep: 100 * time.Microsecond, Rand: rand.New(rand.NewPCG(1, 2))}
 		d.MaybeScanArgs(t, "slots", &e.Slots)
-		d.MaybeScanArgs(t, "cache", &e.Cache)
-		d.MaybeScanArgs(t, "cold", &e.Cold)
-		d.MaybeScanArgs(t, "warm", &e.Warm)
+		d.MaybeScanArgs(t, "cache", &e.CacheTokens)
+		d.MaybeScanArgs(t, "cold", &e.ColdCapacity)
+		d.MaybeScanArgs(t, "warm", &e.WarmupRequests)
 		d.MaybeScanArgs(t, "fenced", &e.Fenced)
 		return b.serve(e)
 	case "service":
@@ -83,7 +83,7 @@
 	return ""
 }
 
-func (b *bench) serve(h http.Handler) string {
+func (b *testTarget) serve(h http.Handler) string {
 	b.target = h
 	b.srv = httptest.NewServer(h)
 	b.t.Cleanup(b.srv.CloseClientConnections)
@@ -91,7 +91,7 @@
 }
 
 // start sends a request: NAME METHOD PATH chat=C, with the body as input.
-func (b *bench) start(d *datadriven.TestData) string {
+func (b *testTarget) start(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	ctx, cancel := context.WithCancel(b.t.Context())
 	r, err := http.NewRequestWithContext(ctx, d.CmdArgs[1].Key, b.srv.URL+d.CmdArgs[2].Key, strings.NewReader(d.Input))
@@ -108,7 +108,7 @@
 }
 
 // finish reads an answer to its end and says what its caller can tell.
-func (b *bench) finish(d *datadriven.TestData) string {
+func (b *testTarget) finish(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	<-b.calls[name].done
 	w := b.calls[name].answer
@@ -125,12 +125,12 @@
 	d.MaybeScanArgs(b.t, chestnutstep.HeaderChat, &chat)
 	c := Checker{Seed: Seed(chat, []byte(d.Input))}
 	_, foreign := c.Write(raw)
-	return fmt.Sprintf("%s, %s cached: %s\n", out, w.Header.Get(chestnutstep.HeaderCachedTokens), verdict(&c, foreign, err))
+	return fmt.Sprintf("%s, %s cached: %s\n", out, w.Header.Get(chestnutstep.HeaderCachedTokens), resultText(&c, foreign, err))
 }
 
-func verdict(c *Checker, foreign, err error) string {
+func resultText(c *Checker, foreign, err error) string {
 	switch {
-	case IsErrForeign(foreign):
+	case IsErrMisdelivered(foreign):
 		return "another's answer"
 	case c.Done != nil:
 		return "whole, " + strconv.Itoa(c.Tokens) + " tokens"
@@ -141,7 +141,7 @@
 }
 
 // boot names boot ids by the order in which the script saw them.
-func (b *bench) boot(id string) string {
+func (b *testTarget) boot(id string) string {
 	if id == "" {
 		return "none"
 	}
@@ -161,7 +161,7 @@
 	return path
 }
 
-func (b *bench) control(d *datadriven.TestData) string {
+func (b *testTarget) control(d *datadriven.TestData) string {
 	r, err := http.NewRequest(d.CmdArgs[0].Key, b.srv.URL+"/control/"+controlPath(b.t, d), strings.NewReader(d.Input))
 	assert.NilError(b.t, err)
 	for _, a := range d.CmdArgs[2:] {
@@ -183,7 +183,7 @@
 }
 
 // wait waits until an execution has the outcome: wait REQUEST OUTCOME.
-func (b *bench) wait(d *datadriven.TestData) string {
+func (b *testTarget) wait(d *datadriven.TestData) string {
 	for range 5000 {
 		for _, e := range b.executions() {
 			if e.Request == d.CmdArgs[0].Key && e.Outcome == d.CmdArgs[1].Key {
@@ -195,7 +195,7 @@
 	return fmt.Sprintf("not seen: %+v\n", b.executions())
 }
 
-func (b *bench) executions() []Execution {
+func (b *testTarget) executions() []Execution {
 	if e, ok := b.target.(*Engine); ok {
 		return e.Journal.Executions()
 	}
--- a/faults/faults_test.go
+++ b/faults/faults_test.go
@@ -47,6 +47,6 @@
 
 func walk(t *testing.T, dir string) {
 	datadriven.Walk(t, dir, func(t *testing.T, path string) {
-		play(t, filepath.Clean(path))
+		runScenario(t, filepath.Clean(path))
 	})
 }
--- a/faults/stage_test.go
+++ b/faults/stage_test.go
@@ -21,33 +21,33 @@
 
 // call is one request of a script and what became of it.
 type call struct {
-	caller *fake.Caller
-	ask    fake.Request
-	action string
-	// insist comes back as long as the answer is 503, as Retry-After says.
-	insist bool
-	res    fake.Result
-	tokens atomic.Int64
-	done   chan struct{}
+	caller  *fake.Caller
+	request fake.Request
+	action  string
+	// retryRefused comes back as long as the answer is 503, as Retry-After says.
+	retryRefused bool
+	res          fake.Result
+	tokens       atomic.Int64
+	done         chan struct{}
 }
 
 func (c *call) run(ctx context.Context) {
 	defer close(c.done)
-	end := time.Now().Add(insistLimit)
+	end := time.Now().Add(retryTimeout)
 	for {
-		c.res = c.caller.Do(ctx, c.ask)
-		if !c.insist || c.res.Status != http.StatusServiceUnavailable || time.Now().After(end) {
+		c.res = c.caller.Do(ctx, c.request)
+		if !c.retryRefused || c.res.Status != http.StatusServiceUnavailable || time.Now().After(end) {
 			return
 		}
-		time.Sleep(c.res.Retry)
+		time.Sleep(c.res.RetryAfter)
 	}
 }
 
-// insistLimit is generous: a slow machine must not fail a test.
-const insistLimit = time.Minute
+// retryTimeout is generous: a slow machine must not fail a test.
+const retryTimeout = time.Minute
 
-// stage is the state of one script.
-type stage struct {
+// scenario is the state of one script.
+type scenario struct {
 	t       *testing.T
 	ctx     context.Context
 	fleet   *fleet.Fleet
@@ -56,42 +56,42 @@
 	marks   map[string]int
 }
 
-// verbs are the commands of the scripts.
-var verbs = map[string]func(*stage, *datadriven.TestData) string{
-	"fleet":    (*stage).start,
-	"chat":     (*stage).chat,
-	"ticket":   (*stage).ticket,
-	"book":     (*stage).book,
-	"repeat":   (*stage).repeat,
-	"begun":    (*stage).begun,
-	"read":     (*stage).read,
-	"end":      (*stage).end,
-	"ran":      (*stage).ran,
-	"signal":   (*stage).signal,
-	"restart":  (*stage).restart,
-	"ended":    (*stage).ended,
-	"fault":    (*stage).fault,
-	"platform": (*stage).platform,
-	"domain":   (*stage).domain,
-	"mark":     (*stage).mark,
-	"fresh":    (*stage).fresh,
-	"many":     (*stage).many,
-	"sleep":    (*stage).sleep,
+// commands are the commands of the scripts.
+var commands = map[string]func(*scenario, *datadriven.TestData) string{
+	"fleet":    (*scenario).start,
+	"chat":     (*scenario).chat,
+	"ticket":   (*scenario).ticket,
+	"book":     (*scenario).book,
+	"repeat":   (*scenario).repeat,
+	"begun":    (*scenario).awaitStart,
+	"read":     (*scenario).awaitTokens,
+	"end":      (*scenario).awaitEnd,
+	"ran":      (*scenario).countRuns,
+	"signal":   (*scenario).signal,
+	"restart":  (*scenario).restart,
+	"ended":    (*scenario).awaitExit,
+	"fault":    (*scenario).fault,
+	"platform": (*scenario).platform,
+	"domain":   (*scenario).domain,
+	"mark":     (*scenario).mark,
+	"fresh":    (*scenario).startedSinceMark,
+	"many":     (*scenario).runMany,
+	"sleep":    (*scenario).sleep,
 }
 
-func play(t *testing.T, path string) {
-	s := &stage{t: t, ctx: t.Context(), calls: map[string]*call{}, tickets: map[string]string{}, marks: map[string]int{}}
+func runScenario(t *testing.T, path string) {
+	s := &scenario{t: t, ctx: t.Context(), calls: map[string]*call{}, tickets: map[string]string{}, marks: map[string]int{}}
 	defer s.close()
 	datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-		verb := verbs[d.Cmd]
-		if verb == nil {
+		command := commands[d.Cmd]
+		if command == nil {
 			t.Fatalf("%s: unknown command %s", d.Pos, d.Cmd)
 		}
-		return verb(s, d)
+		return command(s, d)
 	})
 }
 
-func (s *stage) close() {
+func (s *scenario) close() {
 	if s.fleet == nil {
 		return
 	}
@@ -101,18 +101,18 @@
 	}
 }
 
-func (s *stage) ok(err error) {
+func (s *scenario) noError(err error) {
 	s.t.Helper()
 	assert.NilError(s.t, err)
 }
 
 // fleet [domains=N] [engines=N] [services=N] [entries=N] [naive] [engine=FLAGS] [service=FLAGS] [drain=D]
-func (s *stage) start(d *datadriven.TestData) string {
-	f := &fleet.Fleet{Bin: programs, Dir: s.t.TempDir(), Domains: 1, Engines: 1, Entries: 1, Naive: d.HasArg("naive")}
-	d.MaybeScanArgs(s.t, "domains", &f.Domains)
-	d.MaybeScanArgs(s.t, "engines", &f.Engines)
-	d.MaybeScanArgs(s.t, "services", &f.Services)
-	d.MaybeScanArgs(s.t, "entries", &f.Entries)
+func (s *scenario) start(d *datadriven.TestData) string {
+	f := &fleet.Fleet{Bin: programs, Dir: s.t.TempDir(), DomainCount: 1, EnginesPerDomain: 1, EntryCount: 1, Naive: d.HasArg("naive")}
+	d.MaybeScanArgs(s.t, "domains", &f.DomainCount)
+	d.MaybeScanArgs(s.t, "engines", &f.EnginesPerDomain)
+	d.MaybeScanArgs(s.t, "services", &f.ServiceCount)
+	d.MaybeScanArgs(s.t, "entries", &f.EntryCount)
 	for _, a := range d.CmdArgs {
 		switch a.Key {
 		case "engine":
@@ -126,28 +126,28 @@
 		d.MaybeScanArgs(s.t, "linger", &v.Linger)
 	}
 	s.fleet = f
-	s.ok(f.Start(s.ctx))
+	s.noError(f.Start(s.ctx))
 	return ""
 }
 
 // process finds a process: by its name, or "target:CALL" and "agent:CALL" for
 // where a call runs.
-func (s *stage) process(name string) *fleet.Process {
-	for _, p := range s.fleet.Doors {
+func (s *scenario) process(name string) *fleet.Process {
+	for _, p := range s.fleet.Entries {
 		if p.Name == name {
 			return p
 		}
 	}
-	kind, of, found := strings.Cut(name, ":")
-	if found {
-		name = s.place(of).Name
+	kind, callName, byCall := strings.Cut(name, ":")
+	if byCall {
+		name = s.targetOf(callName).Name
 	}
 	for _, t := range s.fleet.Targets {
 		switch {
-		case found && t.Name == name && kind == "agent":
+		case byCall && t.Name == name && kind == "agent":
 			return t.Agent
 		case t.Name == name:
-			return t.Back
+			return t.Backend
 		case t.Agent.Name == name:
 			return t.Agent
 		}
@@ -156,13 +156,13 @@
 	return nil
 }
 
-// place is the target that a call runs at.
-func (s *stage) place(name string) *fleet.Target {
+// targetOf is the target that a call runs at.
+func (s *scenario) targetOf(name string) *fleet.Target {
 	for _, t := range s.fleet.Targets {
 		all, err := t.Executions(s.ctx)
-		s.ok(err)
+		s.noError(err)
 		for _, e := range all {
-			if s.calls[name].is(e) {
+			if s.calls[name].matches(e) {
 				return t
 			}
 		}
@@ -171,40 +171,40 @@
 	return nil
 }
 
-// is says whether an execution is of this call: an action counts by its name,
+// matches says whether an execution is of this call: an action counts by its name,
 // whatever request it came in.
-func (c *call) is(e fake.Execution) bool {
+func (c *call) matches(e fake.Execution) bool {
 	if c.action != "" {
 		return e.Action == c.action
 	}
-	return e.Request == c.ask.ID
+	return e.Request == c.request.IdempotencyKey
 }
 
-func (s *stage) entry(d *datadriven.TestData) int {
+func (s *scenario) entry(d *datadriven.TestData) int {
 	n := 1
 	d.MaybeScanArgs(s.t, "entry", &n)
 	return n - 1
 }
 
-func (s *stage) launch(name string, c *call) {
+func (s *scenario) launch(name string, c *call) {
 	c.caller = &fake.Caller{Entries: s.fleet.URLs(), Key: fleet.Keys["darkroom"], Client: fake.NewClient()}
 	c.done = make(chan struct{})
-	c.ask.Seen = func(n int) { c.tokens.Store(int64(n)) }
+	c.request.OnTokens = func(n int) { c.tokens.Store(int64(n)) }
 	s.calls[name] = c
 	go c.run(s.ctx)
 }
 
 // chat NAME [entry=N] [chat=C] [output=N] [text=T] [timeout=D]
-func (s *stage) chat(d *datadriven.TestData) string {
+func (s *scenario) chat(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
-	ask := fake.Ask{Prompt: 100, Output: 200, Note: name}
-	r := fake.Request{Entry: s.entry(d), Profile: fleet.ProfileChat, Chat: "chat-" + name, ID: "id-" + name}
-	d.MaybeScanArgs(s.t, "output", &ask.Output)
-	d.MaybeScanArgs(s.t, "text", &ask.Text)
+	chat := fake.ChatRequest{Prompt: 100, Output: 200, Note: name}
+	r := fake.Request{Entry: s.entry(d), Profile: fleet.ProfileChat, Chat: "chat-" + name, IdempotencyKey: "id-" + name}
+	d.MaybeScanArgs(s.t, "output", &chat.Output)
+	d.MaybeScanArgs(s.t, "text", &chat.Text)
 	d.MaybeScanArgs(s.t, "chat", &r.Chat)
 	r.Timeout = duration(s.t, d, "timeout")
-	r.Body, _ = json.Marshal(ask)
-	s.launch(name, &call{ask: r})
+	r.Body, _ = json.Marshal(chat)
+	s.launch(name, &call{request: r})
 	return ""
 }
 
@@ -220,47 +220,47 @@
 }
 
 // ticket NAME [entry=N]
-func (s *stage) ticket(d *datadriven.TestData) string {
+func (s *scenario) ticket(d *datadriven.TestData) string {
 	if s.fleet.Naive {
 		return ""
 	}
 	c := &fake.Caller{Entries: s.fleet.URLs(), Key: fleet.Keys["darkroom"]}
 	list, err := c.Tickets(s.ctx, s.entry(d), fleet.ProfileBook, 1)
-	s.ok(err)
+	s.noError(err)
 	s.tickets[d.CmdArgs[0].Key] = list[0]
 	return ""
 }
 
 // book NAME ticket=T [entry=N] [action=A] [timeout=D]
-func (s *stage) book(d *datadriven.TestData) string {
+func (s *scenario) book(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	c := &call{action: "act-" + name}
 	var t string
 	d.MaybeScanArgs(s.t, "ticket", &t)
 	d.MaybeScanArgs(s.t, "action", &c.action)
-	c.ask = fake.Request{
-		Entry: s.entry(d), Profile: fleet.ProfileBook, ID: "id-" + name, Ticket: s.tickets[t],
+	c.request = fake.Request{
+		Entry: s.entry(d), Profile: fleet.ProfileBook, IdempotencyKey: "id-" + name, Ticket: s.tickets[t],
 		Path: "/bookings", Timeout: duration(s.t, d, "timeout"),
 	}
-	c.ask.Body, _ = json.Marshal(fake.Action{Action: c.action})
+	c.request.Body, _ = json.Marshal(fake.Action{Action: c.action})
 	s.launch(name, c)
 	return ""
 }
 
 // repeat NAME of=CALL [entry=N] [id=ID] [insist]
-func (s *stage) repeat(d *datadriven.TestData) string {
-	var of string
-	d.ScanArgs(s.t, "of", &of)
-	old := s.calls[of]
-	c := &call{ask: old.ask, action: old.action, insist: d.HasArg("insist")}
-	d.MaybeScanArgs(s.t, "id", &c.ask.ID)
-	c.ask.Entry = s.entry(d)
+func (s *scenario) repeat(d *datadriven.TestData) string {
+	var callName string
+	d.ScanArgs(s.t, "of", &callName)
+	previous := s.calls[callName]
+	c := &call{request: previous.request, action: previous.action, retryRefused: d.HasArg("insist")}
+	d.MaybeScanArgs(s.t, "id", &c.request.IdempotencyKey)
+	c.request.Entry = s.entry(d)
 	s.launch(d.CmdArgs[0].Key, c)
 	return ""
 }
 
 // executions are those of a call at all targets, in no order between targets.
-func (s *stage) executions(name string) ([]fake.Execution, error) {
+func (s *scenario) executions(name string) ([]fake.Execution, error) {
 	var out []fake.Execution
 	for _, t := range s.fleet.Targets {
 		all, err := t.Executions(s.ctx)
@@ -268,7 +268,7 @@
 			return nil, err
 		}
 		for _, e := range all {
-			if s.calls[name].is(e) {
+			if s.calls[name].matches(e) {
 				out = append(out, e)
 			}
 		}
@@ -276,10 +276,10 @@
 	return out, nil
 }
 
-// begun CALL waits until a target runs it.
-func (s *stage) begun(d *datadriven.TestData) string {
+// awaitStart CALL waits until a target runs it.
+func (s *scenario) awaitStart(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
-	s.ok(fleet.Until(s.ctx, name+" begun", func() error {
+	s.noError(fleet.WaitFor(s.ctx, name+" begun", func() error {
 		all, err := s.executions(name)
 		if err == nil && len(all) == 0 {
 			return errors.New("no target ran it")
@@ -289,11 +289,11 @@
 	return ""
 }
 
-// read CALL waits until its caller has read a few tokens.
-func (s *stage) read(d *datadriven.TestData) string {
+// awaitTokens CALL waits until its caller has read a few tokens.
+func (s *scenario) awaitTokens(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
-	s.ok(fleet.Until(s.ctx, name+" read", func() error {
-		if n := s.calls[name].tokens.Load(); n < fewTokens {
+	s.noError(fleet.WaitFor(s.ctx, name+" read", func() error {
+		if n := s.calls[name].tokens.Load(); n < minTokens {
 			return errors.Newf("%d tokens", n)
 		}
 		return nil
@@ -301,12 +301,12 @@
 	return ""
 }
 
-// fewTokens is enough to be in the middle of an answer.
-const fewTokens = 5
+// minTokens is enough to be in the middle of an answer.
+const minTokens = 5
 
-// end CALL [brief] waits for the answer and says what the caller got; brief
+// awaitEnd CALL [brief] waits for the answer and says what the caller got; brief
 // leaves out what may be known or not, depending on who has heard what.
-func (s *stage) end(d *datadriven.TestData) string {
+func (s *scenario) awaitEnd(d *datadriven.TestData) string {
 	c := s.calls[d.CmdArgs[0].Key]
 	select {
 	case <-c.done:
@@ -319,7 +319,7 @@
 			return fmt.Sprintf("refused %d %s\n", c.res.Status, c.res.Code)
 		}
 		return fmt.Sprintf("refused %d %s, run %s\n", c.res.Status, c.res.Code, c.res.Run)
-	case fake.Whole:
+	case fake.Complete:
 		if c.action != "" {
 			return fmt.Sprintf("%d %s\n", c.res.Status, strings.TrimSpace(string(c.res.Data)))
 		}
@@ -331,10 +331,10 @@
 	return string(c.res.Kind) + "\n"
 }
 
-// ran CALL waits until no target runs it any more and says how often it ran.
-func (s *stage) ran(d *datadriven.TestData) string {
+// countRuns CALL waits until no target runs it any more and says how often it ran.
+func (s *scenario) countRuns(d *datadriven.TestData) string {
 	var all []fake.Execution
-	s.ok(fleet.Until(s.ctx, d.CmdArgs[0].Key+" over", func() error {
+	s.noError(fleet.WaitFor(s.ctx, d.CmdArgs[0].Key+" over", func() error {
 		var err error
 		all, err = s.executions(d.CmdArgs[0].Key)
 		for _, e := range all {
--- a/faults/verbs_test.go
+++ b/faults/verbs_test.go
@@ -16,7 +16,7 @@
 )
 
 // signal KIND PROCESS...: kill, stop, freeze or thaw.
-func (s *stage) signal(d *datadriven.TestData) string {
+func (s *scenario) signal(d *datadriven.TestData) string {
 	for _, a := range d.CmdArgs[1:] {
 		p := s.process(a.Key)
 		switch d.CmdArgs[0].Key {
@@ -25,28 +25,28 @@
 		case "stop":
 			p.Stop()
 		case "freeze":
-			p.Freeze()
+			p.Suspend()
 		case "thaw":
-			p.Thaw()
+			p.Resume()
 		}
 	}
 	return ""
 }
 
 // restart PROCESS... starts entries and agents that ended, and waits for them.
-func (s *stage) restart(d *datadriven.TestData) string {
+func (s *scenario) restart(d *datadriven.TestData) string {
 	for _, a := range d.CmdArgs {
 		p := s.process(a.Key)
-		<-p.Ended()
-		s.ok(s.begin(p))
+		<-p.Done()
+		s.noError(s.startProcess(p))
 	}
 	for _, a := range d.CmdArgs {
-		s.ok(s.process(a.Key).Ready(s.ctx))
+		s.noError(s.process(a.Key).WaitReady(s.ctx))
 	}
 	return ""
 }
 
-func (s *stage) begin(p *fleet.Process) error {
+func (s *scenario) startProcess(p *fleet.Process) error {
 	for _, t := range s.fleet.Targets {
 		if t.Agent == p {
 			return s.fleet.StartAgent(t)
@@ -55,11 +55,11 @@
 	return s.fleet.StartEntry(p)
 }
 
-// ended PROCESS waits for its end and says how it ended.
-func (s *stage) ended(d *datadriven.TestData) string {
+// awaitExit PROCESS waits for its end and says how it ended.
+func (s *scenario) awaitExit(d *datadriven.TestData) string {
 	p := s.process(d.CmdArgs[0].Key)
 	select {
-	case <-p.Ended():
+	case <-p.Done():
 	case <-time.After(time.Minute):
 		return "still running after a minute\n"
 	}
@@ -70,40 +70,40 @@
 }
 
 // fault TARGET..., with the fault as input.
-func (s *stage) fault(d *datadriven.TestData) string {
+func (s *scenario) fault(d *datadriven.TestData) string {
 	var f fake.Fault
 	assert.NilError(s.t, json.Unmarshal([]byte(d.Input), &f))
 	for _, a := range d.CmdArgs {
-		s.ok(s.fleet.Target(a.Key).Fault(s.ctx, f))
+		s.noError(s.fleet.Target(a.Key).SetFault(s.ctx, f))
 	}
 	return ""
 }
 
 // platform, with a mode as input.
-func (s *stage) platform(d *datadriven.TestData) string {
+func (s *scenario) platform(d *datadriven.TestData) string {
 	var m fake.Mode
 	assert.NilError(s.t, json.Unmarshal([]byte(d.Input), &m))
-	s.ok(s.fleet.Misbehave(s.ctx, m))
+	s.noError(s.fleet.SetPlatformMode(s.ctx, m))
 	return ""
 }
 
 // domain out|back NAME publishes it and waits until all know.
-func (s *stage) domain(d *datadriven.TestData) string {
-	s.ok(s.fleet.Out(s.ctx, d.CmdArgs[1].Key, d.CmdArgs[0].Key == "out"))
+func (s *scenario) domain(d *datadriven.TestData) string {
+	s.noError(s.fleet.SetDomainOut(s.ctx, d.CmdArgs[1].Key, d.CmdArgs[0].Key == "out"))
 	if s.fleet.Naive {
 		return ""
 	}
-	_, err := s.fleet.Settled(s.ctx)
-	s.ok(err)
+	_, err := s.fleet.WaitPublished(s.ctx)
+	s.noError(err)
 	return ""
 }
 
-func (s *stage) count(domain string) int {
+func (s *scenario) count(domain string) int {
 	n := 0
 	for _, t := range s.fleet.Targets {
 		if t.Domain == domain {
 			all, err := t.Executions(s.ctx)
-			s.ok(err)
+			s.noError(err)
 			n += len(all)
 		}
 	}
@@ -112,12 +112,12 @@
 
 // mark DOMAIN remembers how much its targets have run; fresh tells what came
 // since.
-func (s *stage) mark(d *datadriven.TestData) string {
+func (s *scenario) mark(d *datadriven.TestData) string {
 	s.marks[d.CmdArgs[0].Key] = s.count(d.CmdArgs[0].Key)
 	return ""
 }
 
-func (s *stage) fresh(d *datadriven.TestData) string {
+func (s *scenario) startedSinceMark(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	n := s.count(name) - s.marks[name]
 	if d.HasArg("some") {
@@ -126,17 +126,17 @@
 	return fmt.Sprintln(n)
 }
 
-// many PREFIX n=N [entry=N] makes that many chats, one after the other, and
+// runMany PREFIX n=N [entry=N] makes that many chats, one after the other, and
 // counts what callers got.
-func (s *stage) many(d *datadriven.TestData) string {
+func (s *scenario) runMany(d *datadriven.TestData) string {
 	n := 1
 	d.MaybeScanArgs(s.t, "n", &n)
 	kinds := map[string]int{}
 	for i := range n {
-		body, _ := json.Marshal(fake.Ask{Prompt: 20, Output: 3, Note: fmt.Sprint(d.CmdArgs[0].Key, i)})
-		c := &call{ask: fake.Request{
+		body, _ := json.Marshal(fake.ChatRequest{Prompt: 20, Output: 3, Note: fmt.Sprint(d.CmdArgs[0].Key, i)})
+		c := &call{request: fake.Request{
 			Entry: s.entry(d), Profile: fleet.ProfileChat, Body: body,
-			Chat: fmt.Sprint(d.CmdArgs[0].Key, i), ID: fmt.Sprint("id-", d.CmdArgs[0].Key, i),
+			Chat: fmt.Sprint(d.CmdArgs[0].Key, i), IdempotencyKey: fmt.Sprint("id-", d.CmdArgs[0].Key, i),
 		}}
 		s.launch(fmt.Sprint(d.CmdArgs[0].Key, i), c)
 		<-c.done
@@ -150,9 +150,9 @@
 }
 
 // sleep D lets time pass where time itself is the fault.
-func (s *stage) sleep(d *datadriven.TestData) string {
+func (s *scenario) sleep(d *datadriven.TestData) string {
 	v, err := time.ParseDuration(d.CmdArgs[0].Key)
-	s.ok(err)
+	s.noError(err)
 	time.Sleep(v)
 	return ""
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -47,7 +47,7 @@
 // entry holds the parts of an entry that read and serve facts.
 type entry struct {
 	id     netip.AddrPort
-	door   *stand.Door
+	door   *stand.StoreServer
 	roster *roster.Roster
 	feed   *feed.Server
 	server *httptest.Server
@@ -103,7 +103,7 @@
 	for i := range n {
 		e := &entry{
 			id:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i%250 + 1)}), 7000),
-			door: f.store.Open(), roster: &roster.Roster{},
+			door: f.store.NewServer(), roster: &roster.Roster{},
 		}
 		e.feed = &feed.Server{Roster: e.roster}
 		e.server = httptest.NewServer(e)
@@ -264,7 +264,7 @@
 	}
 	listed := 0
 	for _, e := range f.entries {
-		if e.door.Lists() > 0 {
+		if e.door.RangeCalls() > 0 {
 			listed++
 		}
 	}
@@ -320,8 +320,8 @@
 			e.server.CloseClientConnections()
 		},
 		"ended":   func(e *entry) { e.server.CloseClientConnections(); _ = e.server.Listener.Close() },
-		"cut off": func(e *entry) { e.door.Set(stand.Silent) },
-		"refused": func(e *entry) { e.door.Set(stand.Busy) },
+		"cut off": func(e *entry) { e.door.SetFailure(stand.Unresponsive) },
+		"refused": func(e *entry) { e.door.SetFailure(stand.Unavailable) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 12)
@@ -358,7 +358,7 @@
 func TestProofIsNeverNewerThanTheStoresAnswer(t *testing.T) {
 	f := newFleet(t, 8)
 	for _, e := range f.entries {
-		e.door.Set(stand.Silent)
+		e.door.SetFailure(stand.Unresponsive)
 	}
 	cut := clock.Now()
 	f.publish(2)
@@ -371,7 +371,7 @@
 		assert.Equal(t, e.roster.Version(), uint64(1))
 	}
 	for _, e := range f.entries {
-		e.door.Set(stand.None)
+		e.door.SetFailure(stand.NoFailure)
 	}
 	for _, e := range f.entries {
 		waitUntil(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
@@ -387,13 +387,13 @@
 	}
 	for _, e := range f.entries {
 		waitUntil(t, func() bool { return len(e.roster.View().ByID) == 2 }, "the targets are listed")
-		e.door.Set(stand.Reset)
+		e.door.SetFailure(stand.Reset)
 	}
 	f.store.Remove("servers/i-a")
 	f.publish(2)
-	f.store.Forget()
+	f.store.Compact()
 	for _, e := range f.entries {
-		e.door.Set(stand.None)
+		e.door.SetFailure(stand.NoFailure)
 	}
 	for _, e := range f.entries {
 		waitUntil(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
@@ -410,10 +410,10 @@
 func TestSomeEntriesAreRejectedByStore(t *testing.T) {
 	f := newFleet(t, 12)
 	readers := f.readers()
-	readers[0].door.Set(stand.Many)
+	readers[0].door.SetFailure(stand.TooManyRequests)
 	for _, e := range f.entries[:6] {
 		if e != readers[1] {
-			e.door.Set(stand.Many)
+			e.door.SetFailure(stand.TooManyRequests)
 		}
 	}
 	before := readers[0].door.Calls()
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -14,46 +14,46 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// ErrLate says that a condition did not come true in time.
-type ErrLate struct {
-	What  string
-	Limit time.Duration
-	// Last is what was seen last.
-	Last error
+// ErrTimeout says that a condition did not come true in time.
+type ErrTimeout struct {
+	Condition string
+	Limit     time.Duration
+	// Cause is what was seen last.
+	Cause error
 }
 
-func (e *ErrLate) Error() string {
-	out := e.What + ": not within " + e.Limit.String()
-	if e.Last != nil {
-		out += ": " + e.Last.Error()
+func (e *ErrTimeout) Error() string {
+	out := e.Condition + ": not within " + e.Limit.String()
+	if e.Cause != nil {
+		out += ": " + e.Cause.Error()
 	}
 	return out
 }
 
-// IsErrLate reports whether err says that a condition did not come true.
-func IsErrLate(err error) bool {
-	var e *ErrLate
+// IsErrTimeout reports whether err says that a condition did not come true.
+func IsErrTimeout(err error) bool {
+	var e *ErrTimeout
 	return errors.As(err, &e)
 }
 
-// limit is generous: a slow machine must not fail a test.
-const limit = 60 * time.Second
+// waitTimeout is generous: a slow machine must not fail a test.
+const waitTimeout = 60 * time.Second
 
-// poll is the time between two looks at a condition.
-const poll = 20 * time.Millisecond
+// pollInterval is the time between two looks at a condition.
+const pollInterval = 20 * time.Millisecond
 
-// Until looks at a condition until it holds.
-func Until(ctx context.Context, what string, holds func() error) error {
-	end := time.Now().Add(limit)
+// WaitFor looks at a condition until it holds.
+func WaitFor(ctx context.Context, condition string, check func() error) error {
+	end := time.Now().Add(waitTimeout)
 	for {
-		err := holds()
+		err := check()
 		if err == nil {
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return &ErrLate{what, limit, err}
+			return &ErrTimeout{condition, waitTimeout, err}
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -100,15 +100,15 @@
 	return errors.Wrap(json.Unmarshal(raw, v), r.URL.Path)
 }
 
-// Fault makes a target misbehave.
-func (t *Target) Fault(ctx context.Context, f fake.Fault) error {
-	return post(ctx, t.Back.Address, "/control/fault", f)
+// SetFault makes a target misbehave.
+func (t *Target) SetFault(ctx context.Context, f fake.Fault) error {
+	return post(ctx, t.Backend.Address, "/control/fault", f)
 }
 
 // Load reads a target's own report.
 func (t *Target) Load(ctx context.Context) (fake.Load, error) {
 	var l fake.Load
-	return l, get(ctx, t.Back.Address, "/control/load", &l)
+	return l, get(ctx, t.Backend.Address, "/control/load", &l)
 }
 
 // Status reads what a process says of itself.
@@ -117,19 +117,19 @@
 	return s, get(ctx, p.Admin, "/status", &s)
 }
 
-// Ready waits until every agent and entry that runs is ready.
-func (f *Fleet) Ready(ctx context.Context) error {
+// WaitReady waits until every agent and entry that runs is ready.
+func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, p := range f.processes() {
-		if err := p.Ready(ctx); err != nil {
+		if err := p.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Ready waits until the process says that it is ready.
-func (p *Process) Ready(ctx context.Context) error {
-	return Until(ctx, p.Name+" ready", func() error {
+// WaitReady waits until the process says that it is ready.
+func (p *Process) WaitReady(ctx context.Context) error {
+	return WaitFor(ctx, p.Name+" ready", func() error {
 		if !p.Running() {
 			return errors.Newf("it ended: %v", p.err)
 		}
@@ -137,12 +137,12 @@
 	})
 }
 
-// Settled waits until every agent and entry that runs has put the last
+// WaitPublished waits until every agent and entry that runs has put the last
 // publication in force, and returns how long that took.
-func (f *Fleet) Settled(ctx context.Context) (time.Duration, error) {
-	began := time.Now()
+func (f *Fleet) WaitPublished(ctx context.Context) (time.Duration, error) {
+	start := time.Now()
 	for _, p := range f.processes() {
-		err := Until(ctx, p.Name+" has the publication", func() error {
+		err := WaitFor(ctx, p.Name+" has the publication", func() error {
 			s, err := p.Status(ctx)
 			if err != nil {
 				return err
@@ -156,7 +156,7 @@
 			return 0, err
 		}
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
 
 // processes lists the agents and entries that run.
@@ -167,7 +167,7 @@
 			out = append(out, t.Agent)
 		}
 	}
-	for _, p := range f.Doors {
+	for _, p := range f.Entries {
 		if p.cmd != nil && p.Running() {
 			out = append(out, p)
 		}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -39,10 +39,10 @@
 	Bin string
 	// Dir takes settings and the processes' output.
 	Dir string
-	// Domains is the number of failure domains, each with Engines engines.
-	Domains, Engines int
-	// Services and Entries are spread over the failure domains.
-	Services, Entries int
+	// DomainCount is the number of failure domains, each with Engines engines.
+	DomainCount, EnginesPerDomain int
+	// ServiceCount and Entries are spread over the failure domains.
+	ServiceCount, EntryCount int
 	// EngineFlags and ServiceFlags are passed to the stand-ins.
 	EngineFlags, ServiceFlags []string
 	// Naive puts plain pass-throughs in the entries' place and starts no agents:
@@ -50,28 +50,28 @@
 	Naive bool
 	// Settings changes the settings of a process before it starts, if set.
 	Settings func(*Settings)
-	// Change changes the first publication, if set.
-	Change func(*chestnutstep.Publication)
+	// Customize changes the first publication, if set.
+	Customize func(*chestnutstep.Publication)
 
 	// Publication is what was published last.
 	Publication *chestnutstep.Publication
 	// Platform and what runs on the hosts, once started.
 	Platform *Process
 	Targets  []*Target
-	Doors    []*Process
+	Entries  []*Process
 	prefix   string
-	hosts    int
-	all      []*Process
+	lastHost int
+	started  []*Process
 }
 
 // Target is a back end and the agent beside it.
 type Target struct {
-	Name   string
-	Host   string
-	Domain string
-	Kind   string
-	Back   *Process
-	Agent  *Process
+	Name    string
+	Host    string
+	Domain  string
+	Kind    string
+	Backend *Process
+	Agent   *Process
 }
 
 // client talks to stand-ins and admin addresses. It has a limit, as the
@@ -80,13 +80,13 @@
 
 // Start starts everything, publishes, and waits until all are ready.
 func (f *Fleet) Start(ctx context.Context) error {
-	if err := f.claim(); err != nil {
+	if err := f.claimNetwork(); err != nil {
 		return err
 	}
 	if err := f.startPlatform(); err != nil {
 		return err
 	}
-	f.plan()
+	f.addProcesses()
 	for _, t := range f.Targets {
 		if err := f.startTarget(t); err != nil {
 			return err
@@ -103,35 +103,35 @@
 			return err
 		}
 	}
-	for _, d := range f.Doors {
+	for _, d := range f.Entries {
 		if err := f.StartEntry(d); err != nil {
 			return err
 		}
 	}
-	return f.Ready(ctx)
+	return f.WaitReady(ctx)
 }
 
 func (f *Fleet) startNaive(ctx context.Context) error {
-	for _, d := range f.Doors {
-		if err := f.startPass(ctx, d); err != nil {
+	for _, d := range f.Entries {
+		if err := f.startProxy(ctx, d); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// StartPass starts a naive pass-through to the same targets on a host of its
+// StartProxy starts a naive pass-through to the same targets on a host of its
 // own, beside the fleet's entries.
-func (f *Fleet) StartPass(ctx context.Context) (*Process, error) {
-	p := &Process{Name: "pass", Address: fmt.Sprintf("%s:%d", f.host(), portEntry)}
-	return p, f.startPass(ctx, p)
+func (f *Fleet) StartProxy(ctx context.Context) (*Process, error) {
+	p := &Process{Name: "pass", Address: fmt.Sprintf("%s:%d", f.nextIP(), portEntry)}
+	return p, f.startProxy(ctx, p)
 }
 
-func (f *Fleet) startPass(ctx context.Context, p *Process) error {
-	if err := f.start(p, "standin", f.passFlags(p)...); err != nil {
+func (f *Fleet) startProxy(ctx context.Context, p *Process) error {
+	if err := f.start(p, "standin", f.proxyFlags(p)...); err != nil {
 		return err
 	}
-	return Until(ctx, p.Name, func() error {
+	return WaitFor(ctx, p.Name, func() error {
 		c, err := net.Dial("tcp", p.Address)
 		if err != nil {
 			return err
@@ -140,53 +140,53 @@
 	})
 }
 
-func (f *Fleet) passFlags(p *Process) []string {
+func (f *Fleet) proxyFlags(p *Process) []string {
 	flags := []string{"pass", "--listen", p.Address}
 	for _, t := range f.Targets {
-		flags = append(flags, "--"+t.Kind, "http://"+t.Back.Address)
+		flags = append(flags, "--"+t.Kind, "http://"+t.Backend.Address)
 	}
 	return flags
 }
 
-// claim finds a loopback network that no other fleet uses: the platform's
+// claimNetwork finds a loopback network that no other fleet uses: the platform's
 // address is bound as long as the fleet runs.
-func (f *Fleet) claim() error {
+func (f *Fleet) claimNetwork() error {
 	for n := range 200 {
 		f.prefix = fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+n)%200, 1+(os.Getpid()/200+n)%250)
 		l, err := net.Listen("tcp", fmt.Sprintf("%s.1:%d", f.prefix, portPlatform))
 		if err == nil {
-			f.hosts = 1
+			f.lastHost = 1
 			return l.Close()
 		}
 	}
 	return errors.New("no free loopback network")
 }
 
-func (f *Fleet) host() string {
-	f.hosts++
-	return fmt.Sprintf("%s.%d", f.prefix, f.hosts)
+func (f *Fleet) nextIP() string {
+	f.lastHost++
+	return fmt.Sprintf("%s.%d", f.prefix, f.lastHost)
 }
 
-// domain names the n-th failure domain.
-func domain(n int) string {
+// domainName names the n-th failure domain.
+func domainName(n int) string {
 	return "domain-" + string(rune('a'+n))
 }
 
-// plan lays targets and entries out over hosts.
-func (f *Fleet) plan() {
-	for d := range f.Domains {
-		for i := range f.Engines {
-			f.addTarget(fmt.Sprintf("engine-%c%d", 'a'+d, i+1), domain(d), chestnutstep.KindEngine)
+// addProcesses lays targets and entries out over hosts.
+func (f *Fleet) addProcesses() {
+	for d := range f.DomainCount {
+		for i := range f.EnginesPerDomain {
+			f.addTarget(fmt.Sprintf("engine-%c%d", 'a'+d, i+1), domainName(d), chestnutstep.KindEngine)
 		}
 	}
-	for i := range f.Services {
-		f.addTarget(fmt.Sprintf("service-%d", i+1), domain(i%f.Domains), chestnutstep.KindService)
+	for i := range f.ServiceCount {
+		f.addTarget(fmt.Sprintf("service-%d", i+1), domainName(i%f.DomainCount), chestnutstep.KindService)
 	}
-	for i := range f.Entries {
-		ip := f.host()
-		f.Doors = append(f.Doors, &Process{
+	for i := range f.EntryCount {
+		ip := f.nextIP()
+		f.Entries = append(f.Entries, &Process{
 			Name:    fmt.Sprintf("entry-%d", i+1),
-			Domain:  domain(i % f.Domains),
+			Domain:  domainName(i % f.DomainCount),
 			IP:      ip,
 			Address: fmt.Sprintf("%s:%d", ip, portEntry),
 			Admin:   fmt.Sprintf("%s:%d", ip, portAdmin),
@@ -195,11 +195,11 @@
 }
 
 func (f *Fleet) addTarget(name, domain, kind string) {
-	ip := f.host()
+	ip := f.nextIP()
 	f.Targets = append(f.Targets, &Target{
 		Name: name, Host: "host-" + name, Domain: domain, Kind: kind,
-		Back:  &Process{Name: name, IP: ip, Address: fmt.Sprintf("%s:%d", ip, portTarget)},
-		Agent: &Process{Name: "agent-" + name, Domain: domain, IP: ip, Address: fmt.Sprintf("%s:%d", ip, portAgent), Admin: fmt.Sprintf("%s:%d", ip, portAdmin)},
+		Backend: &Process{Name: name, IP: ip, Address: fmt.Sprintf("%s:%d", ip, portTarget)},
+		Agent:   &Process{Name: "agent-" + name, Domain: domain, IP: ip, Address: fmt.Sprintf("%s:%d", ip, portAgent), Admin: fmt.Sprintf("%s:%d", ip, portAdmin)},
 	})
 }
 
@@ -213,7 +213,7 @@
 	if t.Kind == chestnutstep.KindService {
 		flags = f.ServiceFlags
 	}
-	return f.start(t.Back, "standin", append([]string{t.Kind, "--listen", t.Back.Address}, flags...)...)
+	return f.start(t.Backend, "standin", append([]string{t.Kind, "--listen", t.Backend.Address}, flags...)...)
 }
 
 // StartAgent starts the agent beside a target, also again after it ended.
@@ -223,7 +223,7 @@
 		Host:   t.Host,
 		Domain: t.Domain,
 		Listen: t.Agent.Address,
-		Target: &TargetSettings{Name: t.Name, URL: "http://" + t.Back.Address, Kind: t.Kind},
+		Target: &TargetSettings{Name: t.Name, URL: "http://" + t.Backend.Address, Kind: t.Kind},
 	}
 	return f.startWith(t.Agent, "agent", s)
 }
@@ -231,7 +231,7 @@
 // StartEntry starts an entry, also again after it ended.
 func (f *Fleet) StartEntry(p *Process) error {
 	if f.Naive {
-		return f.start(p, "standin", f.passFlags(p)...)
+		return f.start(p, "standin", f.proxyFlags(p)...)
 	}
 	s := &Settings{
 		Name:   p.Name,
@@ -247,7 +247,7 @@
 	s.Region = region
 	s.Admin = p.Admin
 	s.Platform = "http://" + f.Platform.Address
-	for _, t := range f.Targets[:min(peersMost, len(f.Targets))] {
+	for _, t := range f.Targets[:min(maxPeers, len(f.Targets))] {
 		s.Peers = append(s.Peers, t.Agent.Address)
 	}
 	if f.Settings != nil {
@@ -266,7 +266,7 @@
 
 // Close ends every process that the fleet started.
 func (f *Fleet) Close() {
-	for _, p := range f.all {
+	for _, p := range f.started {
 		p.Kill()
 	}
 }
@@ -274,7 +274,7 @@
 // URLs returns the entries' base URLs.
 func (f *Fleet) URLs() []string {
 	var out []string
-	for _, d := range f.Doors {
+	for _, d := range f.Entries {
 		out = append(out, "http://"+d.Address)
 	}
 	return out
@@ -293,5 +293,5 @@
 // Executions reads a target's own log.
 func (t *Target) Executions(ctx context.Context) ([]fake.Execution, error) {
 	var out []fake.Execution
-	return out, get(ctx, t.Back.Address, "/control/log", &out)
+	return out, get(ctx, t.Backend.Address, "/control/log", &out)
 }
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -46,7 +46,7 @@
 		return errors.Wrap(err, p.Name)
 	}
 	p.done = make(chan struct{})
-	f.all = append(f.all, p)
+	f.started = append(f.started, p)
 	go p.run()
 	return nil
 }
@@ -78,14 +78,14 @@
 // Stop asks the process to stop; Ended tells when it has.
 func (p *Process) Stop() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Freeze pauses the process.
-func (p *Process) Freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
+// Suspend pauses the process.
+func (p *Process) Suspend() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a paused process go on, as if it had slept.
-func (p *Process) Thaw() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
+// Resume lets a paused process go on, as if it had slept.
+func (p *Process) Resume() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Ended is closed when the process has ended.
-func (p *Process) Ended() <-chan struct{} { return p.done }
+// Done is closed when the process has ended.
+func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Err says how the process ended, once it has.
 func (p *Process) Err() error {
@@ -123,13 +123,13 @@
 	if err != nil {
 		return u, errors.Wrap(err, p.Name)
 	}
-	u.CPU = cpu(string(stat))
+	u.CPU = parseCPUTime(string(stat))
 	return u, nil
 }
 
-// cpu reads user and system time, fields 14 and 15 of /proc/PID/stat. They are
+// parseCPUTime reads user and system time, fields 14 and 15 of /proc/PID/stat. They are
 // counted from behind the command's name, which may hold spaces.
-func cpu(stat string) time.Duration {
+func parseCPUTime(stat string) time.Duration {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	const user, system = 14 - 3, 15 - 3
 	if len(fields) <= system {
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -35,8 +35,8 @@
 	"archive":  "key-of-archive",
 }
 
-// first builds the publication that the fleet starts with.
-func (f *Fleet) first() *chestnutstep.Publication {
+// initialPublication builds the publication that the fleet starts with.
+func (f *Fleet) initialPublication() *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Models: []chestnutstep.Model{
 			{Name: ModelChat, Kind: chestnutstep.KindEngine, Multiple: 1.5, Floor: 4, Slots: 32, QueueLimit: 64, ColdCap: 4, WarmupAnswers: 8, DoneMarker: "event: done", PrefillRate: 20000, CacheBytesPerToken: 64},
@@ -45,16 +45,16 @@
 		Profiles: profiles(),
 		Budget:   chestnutstep.Budget{ReadRate: 100, LoadRate: 1, RetryRatio: 0.1, ExportRate: 10 << 20},
 	}
-	for i := range f.Domains {
-		p.Domains = append(p.Domains, chestnutstep.Domain{Name: domain(i), Region: region})
+	for i := range f.DomainCount {
+		p.Domains = append(p.Domains, chestnutstep.Domain{Name: domainName(i), Region: region})
 	}
 	for _, t := range f.Targets {
 		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: t.Host, Domain: t.Domain})
 		p.Targets = append(p.Targets, chestnutstep.Target{
-			Name: t.Name, Host: t.Host, Model: model(t.Kind), Agent: t.Agent.Address, Weight: 1,
+			Name: t.Name, Host: t.Host, Model: modelFor(t.Kind), Agent: t.Agent.Address, Weight: 1,
 		})
 	}
-	for _, d := range f.Doors {
+	for _, d := range f.Entries {
 		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: "host-" + d.Name, Domain: d.Domain, HasEntry: true})
 	}
 	for _, name := range []string{"darkroom", "prairie", "archive"} {
@@ -63,13 +63,13 @@
 			Name: name, Keys: []string{hex.EncodeToString(sum[:])}, Weight: 1,
 		})
 	}
-	if f.Change != nil {
-		f.Change(p)
+	if f.Customize != nil {
+		f.Customize(p)
 	}
 	return p
 }
 
-func model(kind string) string {
+func modelFor(kind string) string {
 	if kind == chestnutstep.KindService {
 		return ModelBook
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// Out takes a failure domain out of service, or brings it back.
-func (f *Fleet) Out(ctx context.Context, name string, out bool) error {
+// SetDomainOut takes a failure domain out of service, or brings it back.
+func (f *Fleet) SetDomainOut(ctx context.Context, name string, out bool) error {
 	return f.Publish(ctx, func(p *chestnutstep.Publication) {
 		for i := range p.Domains {
 			if p.Domains[i].Name == name {
@@ -101,7 +101,7 @@
 // Publish changes the publication, raises its version and puts it on the
 // platform: the parts first, so that a reader of the root finds them.
 func (f *Fleet) Publish(ctx context.Context, change func(*chestnutstep.Publication)) error {
-	next := f.first()
+	next := f.initialPublication()
 	if f.Publication != nil {
 		raw, err := json.Marshal(f.Publication)
 		if err != nil {
@@ -119,11 +119,11 @@
 	}
 	root, parts := config.Pack(next)
 	for hash, raw := range parts {
-		if err := f.value(ctx, config.PartPrefix+hash, raw); err != nil {
+		if err := f.putValue(ctx, config.PartPrefix+hash, raw); err != nil {
 			return err
 		}
 	}
-	if err := f.value(ctx, config.RootName, root); err != nil {
+	if err := f.putValue(ctx, config.RootName, root); err != nil {
 		return err
 	}
 	f.Publication = next
@@ -140,14 +140,14 @@
 	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "publication")
 }
 
-// value puts a value on the platform, which may still be starting.
-func (f *Fleet) value(ctx context.Context, name string, raw []byte) error {
-	return Until(ctx, "publish "+name, func() error {
+// putValue puts a value on the platform, which may still be starting.
+func (f *Fleet) putValue(ctx context.Context, name string, raw []byte) error {
+	return WaitFor(ctx, "publish "+name, func() error {
 		return put(ctx, http.MethodPost, f.Platform.Address, "/control/v/"+name, raw)
 	})
 }
 
-// Misbehave makes the platform misbehave.
-func (f *Fleet) Misbehave(ctx context.Context, m fake.Mode) error {
+// SetPlatformMode makes the platform misbehave.
+func (f *Fleet) SetPlatformMode(ctx context.Context, m fake.Mode) error {
 	return post(ctx, f.Platform.Address, "/control/mode", m)
 }
--- a/fleet/settings.go
+++ b/fleet/settings.go
@@ -28,6 +28,6 @@
 // region is the only one of a fleet on loopback.
 const region = "region-1"
 
-// peersMost is how many agents a process is told of before it knows a
+// maxPeers is how many agents a process is told of before it knows a
 // publication: enough that one is up.
-const peersMost = 4
+const maxPeers = 4
--- a/gossip/bucket.go
+++ b/gossip/bucket.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// bucket bounds the reads of one process: a rate over time, and a few saved up.
-type bucket struct {
-	tokens float64
-	at     time.Time
+// tokenBucket bounds the reads of one process: a rate over time, and a few saved up.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
 // take spends one read, or says that none is left.
-func (b *bucket) take(now time.Time, p plan) bool {
-	if b.at.IsZero() {
-		b.tokens, b.at = p.Burst, now
+func (b *tokenBucket) take(now time.Time, p plan) bool {
+	if b.refilledAt.IsZero() {
+		b.tokens, b.refilledAt = p.Burst, now
 	}
-	if gap := now.Sub(b.at); gap > 0 {
+	if gap := now.Sub(b.refilledAt); gap > 0 {
 		b.tokens += gap.Seconds() * p.Rate
-		b.at = now
+		b.refilledAt = now
 	}
 	b.tokens = min(b.tokens, p.Burst)
 	if b.tokens < 1 {
--- a/gossip/carry_test.go
+++ b/gossip/carry_test.go
@@ -14,30 +14,32 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// direct is a connection to a node in the same process.
-type direct struct {
+// directConn is a connection to a node in the same process.
+type directConn struct {
 	grpc.ClientConnInterface
-	to *Node
+	node *Node
 }
 
-func (d direct) Invoke(ctx context.Context, _ string, args, reply any, _ ...grpc.CallOption) error {
-	m, err := d.to.Gossip(ctx, args.(*wire.GossipMessage))
+func (d directConn) Invoke(ctx context.Context, _ string, args, reply any, _ ...grpc.CallOption) error {
+	m, err := d.node.Gossip(ctx, args.(*wire.GossipMessage))
 	proto.Merge(reply.(*wire.GossipMessage), m)
 	return err
 }
 
-// listener keeps what it learns.
-type listener struct {
-	talker
-	heard    []chestnutstep.Sample
+// recordingSampler keeps what it learns.
+type recordingSampler struct {
+	stubSampler
+	merged   []chestnutstep.Sample
 	suspects []chestnutstep.Suspicion
 }
 
-func (l *listener) Merge(_ time.Time, s []chestnutstep.Sample) { l.heard = append(l.heard, s...) }
+func (l *recordingSampler) Merge(_ time.Time, s []chestnutstep.Sample) {
+	l.merged = append(l.merged, s...)
+}
 
 type detector struct {
 	chestnutstep.Detector
-	l *listener
+	l *recordingSampler
 }
 
 func (j detector) Suspicions(time.Time, int) []chestnutstep.Suspicion { return j.l.suspects }
@@ -46,28 +48,28 @@
 // Loads and suspicions cross from one process to another as ages, because no two
 // clocks are compared: sent as times, a host whose clock is a minute ahead would
 // make old samples look fresh, and its own load would outlive it everywhere.
-func TestCarries(t *testing.T) {
+func TestSamplesAndSuspicionsCarryAges(t *testing.T) {
 	now := time.Now()
-	var told, heard listener
-	told.samples = []chestnutstep.Sample{{Target: "t1", Model: "m", Load: 3, SeenAt: now.Add(-5 * time.Second)}}
-	told.suspects = []chestnutstep.Suspicion{{Fingerprint: 7, CrashedTargets: []string{"t1"}, SeenAt: now.Add(-time.Minute)}}
+	var sent, received recordingSampler
+	sent.samples = []chestnutstep.Sample{{Target: "t1", Model: "m", Load: 3, SeenAt: now.Add(-5 * time.Second)}}
+	sent.suspects = []chestnutstep.Suspicion{{Fingerprint: 7, CrashedTargets: []string{"t1"}, SeenAt: now.Add(-time.Minute)}}
 	weights := make(map[string]float64)
 	b := &Node{
-		Name: "b", Store: new(config.Store), Sampler: &heard, Detector: detector{l: &heard},
+		Name: "b", Store: new(config.Store), Sampler: &received, Detector: detector{l: &received},
 		OnWeight: func(target string, w float64) { weights[target] = w },
 	}
 	a := &Node{
-		Name: "a", Store: new(config.Store), Sampler: &told, Detector: detector{l: &told}, Weight: func() float64 { return 0.5 },
-		Dial: func(string) (grpc.ClientConnInterface, error) { return direct{to: b}, nil },
+		Name: "a", Store: new(config.Store), Sampler: &sent, Detector: detector{l: &sent}, Weight: func() float64 { return 0.5 },
+		Dial: func(string) (grpc.ClientConnInterface, error) { return directConn{node: b}, nil },
 	}
 	a.init()
 	a.exchange(t.Context(), "b", a.message(time.Now()))
 
-	assert.Equal(t, len(heard.heard), 1)
-	age := time.Since(heard.heard[0].SeenAt)
+	assert.Equal(t, len(received.merged), 1)
+	age := time.Since(received.merged[0].SeenAt)
 	assert.Assert(t, age >= 5*time.Second && age < 30*time.Second, "%v", age)
-	assert.Equal(t, heard.heard[0].Load, 3.0)
-	assert.DeepEqual(t, heard.suspects[0].CrashedTargets, []string{"t1"})
-	assert.Assert(t, time.Since(heard.suspects[0].SeenAt) >= time.Minute)
+	assert.Equal(t, received.merged[0].Load, 3.0)
+	assert.DeepEqual(t, received.suspects[0].CrashedTargets, []string{"t1"})
+	assert.Assert(t, time.Since(received.suspects[0].SeenAt) >= time.Minute)
 	assert.Equal(t, weights["a"], 0.5)
 }
--- a/gossip/exchange.go
+++ b/gossip/exchange.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// lonelyAfter is how long no exchange may go well until a process takes
+	// isolationTimeout is how long no exchange may go well until a process takes
 	// itself to be cut off from its peers and relies on the service.
-	lonelyAfter = 10 * time.Second
-	// newsPause is the least time between pushes of news of hosts. When a whole
+	isolationTimeout = 10 * time.Second
+	// eventPushInterval is the least time between pushes of news of hosts. When a whole
 	// failure domain leaves, its hosts are told together, and not hundreds of
 	// times to the same neighbours.
-	newsPause = time.Second
+	eventPushInterval = time.Second
 )
 
 // loop begins an exchange each interval.
 func (n *Node) loop(ctx context.Context) {
 	for {
-		if a := n.neighbour(time.Now()); a != "" {
+		if a := n.nextNeighbour(time.Now()); a != "" {
 			n.exchange(ctx, a, n.message(time.Now()))
 		}
 		if !clock.Sleep(ctx, n.jitter(n.Interval)) {
@@ -46,8 +46,8 @@
 	for {
 		select {
 		case <-changed:
-		case <-n.fresh:
-			n.gather(ctx, changed, newsPause-time.Since(last))
+		case <-n.eventsReady:
+			n.batchEvents(ctx, changed, eventPushInterval-time.Since(last))
 		case <-ctx.Done():
 			return
 		}
@@ -57,8 +57,8 @@
 	}
 }
 
-// gather lets more news of hosts come together, but no publication wait.
-func (n *Node) gather(ctx context.Context, changed <-chan struct{}, d time.Duration) {
+// batchEvents lets more news of hosts come together, but no publication wait.
+func (n *Node) batchEvents(ctx context.Context, changed <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -70,50 +70,50 @@
 
 func (n *Node) push(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, a := range n.circleNow(time.Now()) {
+	for _, a := range n.exchangePeers(time.Now()) {
 		wg.Add(1)
-		go n.run(ctx, &wg, func(ctx context.Context) { n.exchange(ctx, a, n.brief(time.Now())) })
+		go n.run(ctx, &wg, func(ctx context.Context) { n.exchange(ctx, a, n.shortMessage(time.Now())) })
 	}
 	wg.Wait()
 }
 
-// circleNow lists the neighbours and those who chose this process.
-func (n *Node) circleNow(now time.Time) []string {
-	n.neighbour(now)
+// exchangePeers lists the neighbours and those who chose this process.
+func (n *Node) exchangePeers(now time.Time) []string {
+	n.nextNeighbour(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	list := append(slices.Clone(n.circle.places), n.recent.list(now)...)
+	list := append(slices.Clone(n.neighbours.current), n.recent.list(now)...)
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// neighbour returns whom to exchange with next.
-func (n *Node) neighbour(now time.Time) string {
+// nextNeighbour returns whom to exchange with next.
+func (n *Node) nextNeighbour(now time.Time) string {
 	view := n.Store.View()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.circle.all) == 0 || n.chosen != view {
-		n.choose(view)
+	if len(n.neighbours.all) == 0 || n.neighboursView != view {
+		n.resetNeighbours(view)
 	}
-	return n.circle.next(now, n.rand)
+	return n.neighbours.next(now, n.rand)
 }
 
-// choose draws the circle from a new view. With the first one the neighbours
+// resetNeighbours draws the circle from a new view. With the first one the neighbours
 // from the settings are given up: all processes are given the same few, and
 // kept as neighbours those would answer most of the fleet's exchanges for
 // minutes, hundreds a second in a fleet of thousands.
-func (n *Node) choose(view *chestnutstep.View) {
-	if n.chosen == nil && view != nil {
-		n.circle.places = nil
+func (n *Node) resetNeighbours(view *chestnutstep.View) {
+	if n.neighboursView == nil && view != nil {
+		n.neighbours.current = nil
 	}
-	n.circle.set(n.candidates(view))
-	n.chosen = view
+	n.neighbours.setCandidates(n.candidates(view))
+	n.neighboursView = view
 }
 
 // candidates are the agents of the publication, in service or not: one that is
 // out still has to learn when it comes back. The settings' peers count as well,
 // as they may be the only way out of a cut.
-func (n *Node) candidates(view *chestnutstep.View) (near, all []string) {
+func (n *Node) candidates(view *chestnutstep.View) (sameModel, all []string) {
 	if view != nil {
 		model := n.model(view)
 		for i := range view.Publication.Targets {
@@ -123,7 +123,7 @@
 			}
 			all = append(all, t.Agent)
 			if model != "" && t.Model == model {
-				near = append(near, t.Agent)
+				sameModel = append(sameModel, t.Agent)
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 			all = append(all, a)
 		}
 	}
-	return near, all
+	return sameModel, all
 }
 
 // model is what the publication says that this agent's target serves.
@@ -146,17 +146,17 @@
 
 // exchange swaps messages with one peer.
 func (n *Node) exchange(ctx context.Context, address string, m *wire.GossipMessage) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeLimit)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	reply, err := n.call(ctx, address, m)
 	if err != nil {
-		n.missed(address, err)
+		n.recordFailure(address, err)
 		return
 	}
 	now := time.Now()
 	n.count(Traffic{In: proto.Size(reply), Out: proto.Size(m)})
-	n.met(now)
-	n.learn(now, reply, address)
+	n.recordExchange(now)
+	n.mergeMessage(now, reply, address)
 }
 
 func (n *Node) call(ctx context.Context, address string, m *wire.GossipMessage) (*wire.GossipMessage, error) {
@@ -167,37 +167,37 @@
 	return wire.NewPeerClient(conn).Gossip(ctx, m)
 }
 
-// met notes that a peer answered.
-func (n *Node) met(now time.Time) {
+// recordExchange notes that a peer answered.
+func (n *Node) recordExchange(now time.Time) {
 	n.mu.Lock()
-	n.last = now
-	found := n.lost
-	n.lost = false
+	n.lastExchange = now
+	reconnected := n.isolated
+	n.isolated = false
 	n.mu.Unlock()
-	if found {
-		n.notify(NoticeFound, "", nil)
+	if reconnected {
+		n.notify(NoticePeersFound, "", nil)
 	}
 }
 
-// missed notes that a peer did not answer, and says so once when none does.
-func (n *Node) missed(address string, err error) {
+// recordFailure notes that a peer did not answer, and says so once when none does.
+func (n *Node) recordFailure(address string, err error) {
 	n.mu.Lock()
-	n.circle.drop(address)
-	alone := n.lonely(time.Now()) && !n.lost
-	n.lost = n.lost || alone
+	n.neighbours.remove(address)
+	newlyIsolated := n.exchangeTimedOut(time.Now()) && !n.isolated
+	n.isolated = n.isolated || newlyIsolated
 	n.mu.Unlock()
 	n.count(Traffic{Failed: true})
 	n.notify(NoticeUnreachable, address, err)
-	if alone {
-		n.notify(NoticeLost, "", err)
+	if newlyIsolated {
+		n.notify(NoticePeersLost, "", err)
 	}
 }
 
-// lonely says whether no peer has answered for long; mu is held.
-func (n *Node) lonely(now time.Time) bool {
-	since := n.last
+// exchangeTimedOut says whether no peer has answered for long; mu is held.
+func (n *Node) exchangeTimedOut(now time.Time) bool {
+	since := n.lastExchange
 	if since.IsZero() {
-		since = n.began
+		since = n.startedAt
 	}
-	return now.Sub(since) > lonelyAfter
+	return now.Sub(since) > isolationTimeout
 }
--- a/gossip/fuzz_test.go
+++ b/gossip/fuzz_test.go
@@ -29,13 +29,13 @@
 		if proto.Unmarshal(raw, m) != nil {
 			return
 		}
-		n := &Node{Name: "n", Store: new(config.Store), Members: new(member.Tracker), Sampler: new(talker)}
+		n := &Node{Name: "n", Store: new(config.Store), Members: new(member.Tracker), Sampler: new(stubSampler)}
 		reply, err := n.Gossip(t.Context(), m)
 		assert.NilError(t, err)
 		assert.Equal(t, reply.GetVersion(), uint64(0))
-		assert.Assert(t, len(n.news.list) <= rumoursMax)
+		assert.Assert(t, len(n.hostEvents.list) <= maxSentEvents)
 		for _, s := range reply.GetHosts() {
-			assert.Assert(t, s.GetAge() >= 0 && s.GetAge() <= int64(rumourTime))
+			assert.Assert(t, s.GetAge() >= 0 && s.GetAge() <= int64(hostEventTTL))
 		}
 	})
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -28,11 +28,11 @@
 	// Changes don't wait for it, as they are pushed at once; it bounds how long
 	// a lost push goes unnoticed, and how old load samples grow.
 	DefaultInterval = time.Second
-	// exchangeLimit bounds one exchange, so that a frozen peer costs no more
+	// exchangeTimeout bounds one exchange, so that a frozen peer costs no more
 	// than one interval.
-	exchangeLimit = time.Second
-	// fetchLimit bounds one fetch of parts, a megabyte at most.
-	fetchLimit = 5 * time.Second
+	exchangeTimeout = time.Second
+	// fetchTimeout bounds one fetch of parts, a megabyte at most.
+	fetchTimeout = 5 * time.Second
 )
 
 // Node takes part in the gossip for one process. Set the exported fields before
@@ -71,30 +71,30 @@
 
 	// Interval between exchanges; DefaultInterval if 0.
 	Interval time.Duration
-	// Notify is told of what operators should see; it must not block.
-	Notify func(Notice)
-	// Count is told the bytes of each message; it must not block.
-	Count func(Traffic)
+	// OnNotice is told of what operators should see; it must not block.
+	OnNotice func(Notice)
+	// OnTraffic is told the bytes of each message; it must not block.
+	OnTraffic func(Traffic)
 	// Seed makes the random choices repeatable; drawn if 0.
 	Seed uint64
 
-	mu     sync.Mutex
-	rand   *rand.Rand
-	circle circle
-	chosen *chestnutstep.View // that the circle was chosen from
-	recent recent
-	news   rumours
-	fresh  chan struct{} // there is news to push
-	tells  chan member.Host
-	bucket bucket
-	last   time.Time // of the last exchange that went well
-	began  time.Time
-	lost   bool
-
-	puller  puller
-	begin   sync.Once
-	watcher bool
-	down    bool
+	mu             sync.Mutex
+	rand           *rand.Rand
+	neighbours     neighbourSet
+	neighboursView *chestnutstep.View // that the circle was chosen from
+	recent         recentPeers
+	hostEvents     hostEventLog
+	eventsReady    chan struct{} // there is news to push
+	hostPushes     chan member.Host
+	bucket         tokenBucket
+	lastExchange   time.Time // of the last exchange that went well
+	startedAt      time.Time
+	isolated       bool
+
+	puller       puller
+	initOnce     sync.Once
+	isWatcher    bool
+	platformDown bool
 }
 
 // NoticeKind names a notice.
@@ -102,17 +102,17 @@
 
 // The notices.
 const (
-	NoticeUnreachable NoticeKind = "unreachable" // a peer does not answer
-	NoticeLost        NoticeKind = "lost"        // no peer answers
-	NoticeFound       NoticeKind = "found"       // a peer answers again
-	NoticeLeaving     NoticeKind = "leaving"     // a host leaves
-	NoticeBack        NoticeKind = "back"        // a host no longer leaves
-	NoticeWatcher     NoticeKind = "watcher"     // this process began or ceased to watch the service
-	NoticeDown        NoticeKind = "down"        // the service does not answer
-	NoticeUp          NoticeKind = "up"          // the service answers again
-	NoticeStale       NoticeKind = "stale"       // the service went back
-	NoticePart        NoticeKind = "part"        // a part is not to be had
-	NoticeShort       NoticeKind = "short"       // a host list named too few hosts
+	NoticeUnreachable     NoticeKind = "unreachable" // a peer does not answer
+	NoticePeersLost       NoticeKind = "lost"        // no peer answers
+	NoticePeersFound      NoticeKind = "found"       // a peer answers again
+	NoticeHostLeaving     NoticeKind = "leaving"     // a host leaves
+	NoticeHostBack        NoticeKind = "back"        // a host no longer leaves
+	NoticeWatcher         NoticeKind = "watcher"     // this process began or ceased to watch the service
+	NoticePlatformDown    NoticeKind = "down"        // the service does not answer
+	NoticePlatformUp      NoticeKind = "up"          // the service answers again
+	NoticePlatformStale   NoticeKind = "stale"       // the service went back
+	NoticePartUnavailable NoticeKind = "part"        // a part is not to be had
+	NoticeShortList       NoticeKind = "short"       // a host list named too few hosts
 )
 
 // Notice is something an operator should see.
@@ -135,7 +135,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	n.init()
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){n.loop, n.pushLoop, n.tellLoop, n.pullLoop, n.readLoop, n.hostsLoop} {
+	for _, loop := range []func(context.Context){n.loop, n.pushLoop, n.hostPushLoop, n.pullLoop, n.readLoop, n.hostsLoop} {
 		wg.Add(1)
 		go n.run(ctx, &wg, loop)
 	}
@@ -150,15 +150,15 @@
 
 // init is called by Run and by the services, whichever comes first.
 func (n *Node) init() {
-	n.begin.Do(func() {
+	n.initOnce.Do(func() {
 		if n.Seed == 0 {
 			n.Seed = rand.Uint64()
 		}
 		n.rand = rand.New(rand.NewPCG(n.Seed, 0))
 		n.puller.wake = make(chan struct{}, 1)
-		n.fresh = make(chan struct{}, 1)
-		n.tells = make(chan member.Host, rumoursKept)
-		n.began = time.Now()
+		n.eventsReady = make(chan struct{}, 1)
+		n.hostPushes = make(chan member.Host, maxKeptEvents)
+		n.startedAt = time.Now()
 		if n.Interval == 0 {
 			n.Interval = DefaultInterval
 		}
@@ -172,14 +172,14 @@
 }
 
 func (n *Node) notify(kind NoticeKind, subject string, err error) {
-	if n.Notify != nil {
-		n.Notify(Notice{Kind: kind, Subject: subject, Err: err})
+	if n.OnNotice != nil {
+		n.OnNotice(Notice{Kind: kind, Subject: subject, Err: err})
 	}
 }
 
 func (n *Node) count(t Traffic) {
-	if n.Count != nil {
-		n.Count(t)
+	if n.OnTraffic != nil {
+		n.OnTraffic(t)
 	}
 }
 
--- a/gossip/hosts.go
+++ b/gossip/hosts.go
@@ -18,43 +18,43 @@
 )
 
 const (
-	// listMax bounds a host list in bytes.
-	listMax = 4 << 20
-	// tellPause is the time between two messages to the agents of leaving hosts.
+	// maxHostListBytes bounds a host list in bytes.
+	maxHostListBytes = 4 << 20
+	// hostPushInterval is the time between two messages to the agents of leaving hosts.
 	// At fifty a second and some 300 bytes each it stays within what a process
 	// may spend.
-	tellPause = 20 * time.Millisecond
-	// helpShare is one in how many processes tells the agents of a host when it
+	hostPushInterval = 20 * time.Millisecond
+	// forwarderDivisor is one in how many processes tells the agents of a host when it
 	// hears news of it: about a hundred of three thousand, some of whom hear it in
 	// the first second, and nine in a fleet of three hundred.
-	helpShare = 32
+	forwarderDivisor = 32
 )
 
 // hostsLoop reads the host list, from the first publication on: before it, the
 // few reads that a process may make go to the root.
 func (n *Node) hostsLoop(ctx context.Context) {
-	if n.Members == nil || n.Platform == "" || !n.known(ctx) {
+	if n.Members == nil || n.Platform == "" || !n.awaitPublication(ctx) {
 		return
 	}
 	size, failures := 0, 0
 	for ctx.Err() == nil {
-		p := n.planNow(time.Now(), size)
-		if n.spend(time.Now()) {
+		p := n.currentPlan(time.Now(), size)
+		if n.allowRead(time.Now()) {
 			list, read, err := n.readHosts(ctx)
 			if err != nil {
 				failures++
-				clock.Sleep(ctx, n.pauseAfter(failures))
+				clock.Sleep(ctx, n.nextBackoff(failures))
 				continue
 			}
 			failures, size = 0, read
-			n.learnList(list)
+			n.applyHostList(list)
 		}
-		clock.Sleep(ctx, n.jitter(p.Hosts))
+		clock.Sleep(ctx, n.jitter(p.HostsInterval))
 	}
 }
 
-// known waits for the first publication.
-func (n *Node) known(ctx context.Context) bool {
+// awaitPublication waits for the first publication.
+func (n *Node) awaitPublication(ctx context.Context) bool {
 	changed := n.Store.Changed()
 	if n.Store.View() != nil {
 		return true
@@ -68,7 +68,7 @@
 }
 
 func (n *Node) readHosts(ctx context.Context) ([]member.Host, int, error) {
-	ctx, cancel := context.WithTimeout(ctx, readLimit)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	res, err := n.request(ctx, n.Platform+"/hosts")
 	if err != nil {
@@ -78,7 +78,7 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, 0, ErrStatus{Name: "hosts", Status: res.StatusCode}
 	}
-	raw, err := io.ReadAll(io.LimitReader(res.Body, listMax))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxHostListBytes))
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "read hosts")
 	}
@@ -109,57 +109,57 @@
 	return list, nil
 }
 
-// learnList takes a host list and lets its news go round. Whoever reads news
+// applyHostList takes a host list and lets its news go round. Whoever reads news
 // tells the agents concerned, all of them in random order, as others who read
 // the same list do.
-func (n *Node) learnList(list []member.Host) {
+func (n *Node) applyHostList(list []member.Host) {
 	now := time.Now()
-	news, ok := n.Members.ApplyList(now, list)
+	events, ok := n.Members.ApplyList(now, list)
 	if !ok {
-		n.notify(NoticeShort, strconv.Itoa(len(list)), nil)
+		n.notify(NoticeShortList, strconv.Itoa(len(list)), nil)
 	}
 	n.mu.Lock()
-	n.rand.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
+	n.rand.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
 	n.mu.Unlock()
-	for _, h := range news {
-		if n.spread(now, h, 0) {
-			n.tell(h)
+	for _, h := range events {
+		if n.addHostEvent(now, h, 0) {
+			n.queueHostPush(h)
 		}
 	}
 }
 
-// tell queues news for the agents on the host itself. A full queue drops it: the
+// queueHostPush queues news for the agents on the host itself. A full queue drops it: the
 // news goes round as well.
-func (n *Node) tell(h member.Host) {
+func (n *Node) queueHostPush(h member.Host) {
 	select {
-	case n.tells <- h:
+	case n.hostPushes <- h:
 	default:
 	}
 }
 
-// helps says whether a process that hears news of a host tells its agents. One
+// isForwarder says whether a process that hears news of a host tells its agents. One
 // in helpShare does, chosen by hash, so that some who hear it early do and the
 // agents don't hear it from everyone.
-func helps(process, host string) bool {
-	return xxhash.Sum64String(process+"\x00"+host)%helpShare == 0
+func isForwarder(process, host string) bool {
+	return xxhash.Sum64String(process+"\x00"+host)%forwarderDivisor == 0
 }
 
-// tellLoop tells the agents on hosts with news. Most of them would hear it from
+// hostPushLoop tells the agents on hosts with news. Most of them would hear it from
 // their neighbours, but when hundreds of hosts leave together each message
 // carries only some of the news, and the last agents would hear of their own
 // host many seconds after the first.
-func (n *Node) tellLoop(ctx context.Context) {
+func (n *Node) hostPushLoop(ctx context.Context) {
 	for {
 		select {
-		case h := <-n.tells:
-			n.tellAgents(ctx, h)
+		case h := <-n.hostPushes:
+			n.pushHost(ctx, h)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (n *Node) tellAgents(ctx context.Context, h member.Host) {
+func (n *Node) pushHost(ctx context.Context, h member.Host) {
 	view := n.Store.View()
 	if view == nil {
 		return
@@ -168,10 +168,10 @@
 		if a == n.Address {
 			continue
 		}
-		m := n.brief(time.Now())
+		m := n.shortMessage(time.Now())
 		m.Hosts = []*wire.HostState{{Host: h.Name, Leaving: h.Leaving}}
 		n.exchange(ctx, a, m)
-		if !clock.Sleep(ctx, tellPause) {
+		if !clock.Sleep(ctx, hostPushInterval) {
 			return
 		}
 	}
