--- a/gossip/net_test.go
+++ b/gossip/net_test.go
@@ -27,24 +27,24 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// patience is how long a script waits for what must come about. It is no
+// waitTimeout is how long a script waits for what must come about. It is no
 // verdict on speed: what it waits for takes a fraction of a second.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// world is a small fleet over real sockets, with a platform that misbehaves.
-type world struct {
-	t        *testing.T
-	platform fake.Platform
-	srv      *httptest.Server
-	pubs     map[uint64]packed
-	reads    float64
+// testFleet is a small fleet over real sockets, with a platform that misbehaves.
+type testFleet struct {
+	t            *testing.T
+	platform     fake.Platform
+	srv          *httptest.Server
+	publications map[uint64]packed
+	readRate     float64
 
-	mu    sync.Mutex
-	cut   map[string]bool // by node name
-	split map[string]bool // those who can talk only to each other
-	lag   time.Duration   // of calls between processes
-	nodes []*process
-	notes []string
+	mu         sync.Mutex
+	cut        map[string]bool // by node name
+	split      map[string]bool // those who can talk only to each other
+	lag        time.Duration   // of calls between processes
+	nodes      []*process
+	refusalLog []string
 }
 
 type packed struct {
@@ -55,22 +55,22 @@
 // process is one node and what it said.
 type process struct {
 	*Node
-	w *world
+	fleet *testFleet
 	// name and address outlive the node, which is made anew at each start.
 	name, address string
 	listen        net.Listener
 	stop          func()
-	seen          []config.Stamp
+	stamps        []config.Stamp
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, pubs: make(map[uint64]packed), cut: make(map[string]bool)}
+func newTestFleet(t *testing.T) *testFleet {
+	w := &testFleet{t: t, publications: make(map[uint64]packed), cut: make(map[string]bool)}
 	w.srv = httptest.NewServer(&w.platform)
 	t.Cleanup(w.close)
 	return w
 }
 
-func (w *world) close() {
+func (w *testFleet) close() {
 	for _, p := range w.nodes {
 		p.stop()
 	}
@@ -78,10 +78,10 @@
 }
 
 // add makes a process whose address is known and that is not started yet.
-func (w *world) add(name string) {
+func (w *testFleet) add(name string) {
 	l, err := net.Listen("tcp", loopback())
 	assert.NilError(w.t, err)
-	p := &process{w: w, name: name, address: l.Addr().String(), listen: l, stop: func() {}}
+	p := &process{fleet: w, name: name, address: l.Addr().String(), listen: l, stop: func() {}}
 	w.nodes = append(w.nodes, p)
 }
 
@@ -92,7 +92,7 @@
 	return fmt.Sprintf("127.%d.%d.1:0", 64+pid>>8&63, pid&255)
 }
 
-func (w *world) find(name string) *process {
+func (w *testFleet) find(name string) *process {
 	for _, p := range w.nodes {
 		if p.name == name {
 			return p
@@ -106,13 +106,13 @@
 func (p *process) launch(peers []string) {
 	var conns []*grpc.ClientConn
 	p.Node = &Node{
-		Name: p.name, Address: p.address, Peers: peers, Platform: p.w.srv.URL,
+		Name: p.name, Address: p.address, Peers: peers, Platform: p.fleet.srv.URL,
 		Store: new(config.Store), Members: new(member.Tracker), Interval: 20 * time.Millisecond, Seed: 1 + uint64(len(p.name)),
 		HTTP: &http.Client{Transport: p},
 	}
-	p.seen = nil
-	p.Store.OnChange = []func(config.Change){func(c config.Change) { p.note(c) }}
-	p.Store.OnRefuse = []func(config.Refusal){func(r config.Refusal) { p.refused(r) }}
+	p.stamps = nil
+	p.Store.OnChange = []func(config.Change){func(c config.Change) { p.recordChange(c) }}
+	p.Store.OnRefuse = []func(config.Refusal){func(r config.Refusal) { p.recordRefusal(r) }}
 	open := make(map[string]grpc.ClientConnInterface)
 	var mu sync.Mutex
 	p.Dial = func(address string) (grpc.ClientConnInterface, error) {
@@ -146,19 +146,19 @@
 	}
 }
 
-// note checks on every change that a process never goes back.
-func (p *process) note(c config.Change) {
-	p.w.mu.Lock()
-	defer p.w.mu.Unlock()
-	if n := len(p.seen); n > 0 && p.seen[n-1].Compare(c.Stamp) >= 0 {
-		p.w.t.Errorf("%s went back from %s to %s", p.name, p.seen[n-1], c.Stamp)
+// recordChange checks on every change that a process never goes back.
+func (p *process) recordChange(c config.Change) {
+	p.fleet.mu.Lock()
+	defer p.fleet.mu.Unlock()
+	if n := len(p.stamps); n > 0 && p.stamps[n-1].Compare(c.Stamp) >= 0 {
+		p.fleet.t.Errorf("%s went back from %s to %s", p.name, p.stamps[n-1], c.Stamp)
 	}
-	p.seen = append(p.seen, c.Stamp)
+	p.stamps = append(p.stamps, c.Stamp)
 }
 
-func (p *process) refused(r config.Refusal) {
-	p.w.mu.Lock()
-	defer p.w.mu.Unlock()
+func (p *process) recordRefusal(r config.Refusal) {
+	p.fleet.mu.Lock()
+	defer p.fleet.mu.Unlock()
 	kind := "invalid"
 	switch {
 	case config.IsErrStale(r.Err):
@@ -166,7 +166,7 @@
 	case config.IsErrConflict(r.Err):
 		kind = "clash"
 	}
-	p.w.notes = append(p.w.notes, fmt.Sprintf("%s refused %d as %s", p.name, r.Stamp.Version, kind))
+	p.fleet.refusalLog = append(p.fleet.refusalLog, fmt.Sprintf("%s refused %d as %s", p.name, r.Stamp.Version, kind))
 }
 
 // link is a connection that a cut swallows.
@@ -177,34 +177,34 @@
 }
 
 func (l *link) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
-	if l.from.w.isCut(l.from.name, l.to) {
+	if l.from.fleet.isCut(l.from.name, l.to) {
 		return errors.New("cut")
 	}
-	clock.Sleep(ctx, l.from.w.delay())
+	clock.Sleep(ctx, l.from.fleet.delay())
 	return l.ClientConnInterface.Invoke(ctx, method, args, reply, opts...)
 }
 
 // RoundTrip reads the service unless the process is cut off from it. An answer
 // that comes after the cut, to a watch that waited, is lost as well.
 func (p *process) RoundTrip(r *http.Request) (*http.Response, error) {
-	if p.w.isCut(p.name, "platform") {
+	if p.fleet.isCut(p.name, "platform") {
 		return nil, errors.New("cut")
 	}
 	res, err := http.DefaultTransport.RoundTrip(r)
-	if err == nil && p.w.isCut(p.name, "platform") {
+	if err == nil && p.fleet.isCut(p.name, "platform") {
 		res.Body.Close()
 		return nil, errors.New("cut")
 	}
 	return res, err
 }
 
-func (w *world) delay() time.Duration {
+func (w *testFleet) delay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lag
 }
 
-func (w *world) isCut(from, to string) bool {
+func (w *testFleet) isCut(from, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.nodes {
@@ -217,12 +217,12 @@
 
 // publication lists the agents of this world; the domain that is out tells
 // contents apart.
-func (w *world) publication(version uint64, out bool) *chestnutstep.Publication {
+func (w *testFleet) publication(version uint64, out bool) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Version: version,
 		Domains: []chestnutstep.Domain{{Name: "a", Region: "r", Out: out}},
 		Models:  []chestnutstep.Model{{Name: "m", Kind: chestnutstep.KindEngine, Slots: 4, ColdCap: 1}},
-		Budget:  chestnutstep.Budget{ReadRate: w.reads},
+		Budget:  chestnutstep.Budget{ReadRate: w.readRate},
 	}
 	for _, n := range w.nodes {
 		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: "h" + n.name, Domain: "a"})
@@ -237,7 +237,7 @@
 // sockets through what may go wrong with publishing.
 func TestNet(t *testing.T) {
 	datadriven.Walk(t, "testdata/net", func(t *testing.T, path string) {
-		w := newWorld(t)
+		w := newTestFleet(t)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			w.t = t
 			return w.run(d)
@@ -245,11 +245,11 @@
 	})
 }
 
-func (w *world) run(d *datadriven.TestData) string {
+func (w *testFleet) run(d *datadriven.TestData) string {
 	names := keys(d)
 	switch d.Cmd {
 	case "fleet":
-		d.ScanArgs(w.t, "reads", &w.reads)
+		d.ScanArgs(w.t, "reads", &w.readRate)
 		for _, name := range strings.Fields(d.Input) {
 			w.add(name)
 		}
@@ -276,7 +276,7 @@
 	case "mode":
 		m := fake.Mode{Down: d.HasArg("down")}
 		d.MaybeScanArgs(w.t, "stale", &m.Stale)
-		w.platform.Misbehave(m)
+		w.platform.SetMode(m)
 	case "cut", "heal":
 		w.mu.Lock()
 		for _, name := range names {
@@ -311,11 +311,11 @@
 	case "refused":
 		return w.awaitRefused(d, names)
 	case "reads":
-		var most int64
-		d.ScanArgs(w.t, "most", &most)
+		var limit int64
+		d.ScanArgs(w.t, "most", &limit)
 		c := w.platform.Calls()
 		w.t.Logf("the service counted %d reads, %d watches, %d lists", c.Read, c.Watch, c.Hosts)
-		return fmt.Sprintf("within: %v\n", c.Read <= most)
+		return fmt.Sprintf("within: %v\n", c.Read <= limit)
 	case "held":
 		return w.held(names)
 	case "refusals":
@@ -325,13 +325,13 @@
 }
 
 // held lists the versions that each process had in force since it started.
-func (w *world) held(names []string) string {
+func (w *testFleet) held(names []string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var b strings.Builder
 	for _, name := range names {
 		fmt.Fprintf(&b, "%s held", name)
-		for _, st := range w.find(name).seen {
+		for _, st := range w.find(name).stamps {
 			fmt.Fprintf(&b, " %d", st.Version)
 		}
 		b.WriteByte('\n')
@@ -340,10 +340,10 @@
 }
 
 // awaitRefused waits until the processes refused a version.
-func (w *world) awaitRefused(d *datadriven.TestData, names []string) string {
+func (w *testFleet) awaitRefused(d *datadriven.TestData, names []string) string {
 	var version uint64
 	d.ScanArgs(w.t, "version", &version)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		all := w.refusals()
 		missing := slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 			return strings.Contains(all, fmt.Sprintf("%s refused %d ", name, version))
@@ -356,11 +356,11 @@
 }
 
 // refusals lists what processes refused, each once.
-func (w *world) refusals() string {
+func (w *testFleet) refusals() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	slices.Sort(w.notes)
-	return strings.Join(w.notes, "\n") + "\n"
+	slices.Sort(w.refusalLog)
+	return strings.Join(w.refusalLog, "\n") + "\n"
 }
 
 // keys are the arguments without a value.
@@ -375,7 +375,7 @@
 }
 
 // publish puts parts and then the root on the platform, or leaves some out.
-func (w *world) publish(d *datadriven.TestData) {
+func (w *testFleet) publish(d *datadriven.TestData) {
 	var version uint64
 	d.ScanArgs(w.t, "version", &version)
 	p := w.publication(version, d.HasArg("out"))
@@ -394,23 +394,23 @@
 }
 
 // await waits until the processes hold a version, or believe hosts to leave.
-func (w *world) await(d *datadriven.TestData, names []string) string {
+func (w *testFleet) await(d *datadriven.TestData, names []string) string {
 	var version uint64
 	var host string
 	d.MaybeScanArgs(w.t, "version", &version)
 	d.MaybeScanArgs(w.t, "leaving", &host)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		left := 0
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		pending := 0
 		for _, name := range names {
 			p := w.find(name)
 			if version > 0 && p.Store.Stamp().Version != version {
-				left++
+				pending++
 			}
 			if host != "" && !p.Members.IsLeaving(time.Now(), host) {
-				left++
+				pending++
 			}
 		}
-		if left == 0 && w.alike(names) {
+		if pending == 0 && w.haveSameStamp(names) {
 			return ""
 		}
 	}
@@ -421,7 +421,7 @@
 	return b.String()
 }
 
-func (w *world) alike(names []string) bool {
+func (w *testFleet) haveSameStamp(names []string) bool {
 	for _, name := range names {
 		if w.find(name).Store.Stamp() != w.find(names[0]).Store.Stamp() {
 			return false
--- a/gossip/news_test.go
+++ b/gossip/news_test.go
@@ -16,12 +16,12 @@
 // than fit into a message. If each process told the same ones first, the rest
 // would go round last or never, and a user would notice requests that fail on
 // hosts that are gone.
-func TestDomainLeaves(t *testing.T) {
-	for _, helping := range []bool{false, true} {
-		left := domainLeaves(t, helping)
+func TestHostsOfLeavingDomain(t *testing.T) {
+	for _, forwarding := range []bool{false, true} {
+		unawareAgents := unawareByRound(t, forwarding)
 		t.Logf("%d hosts, %d processes, helping %v: agents not aware of their own host after each %v: %v",
-			leaving, nodes, helping, newsPause, left)
-		assert.Equal(t, len(left) <= 6, helping)
+			leaving, nodes, forwarding, eventPushInterval, unawareAgents)
+		assert.Equal(t, len(unawareAgents) <= 6, forwarding)
 	}
 }
 
@@ -29,24 +29,24 @@
 	nodes    = 300
 	leaving  = 900
 	sources  = 3 // watchers that read the list first
-	perRound = int(newsPause / tellPause)
+	perRound = int(eventPushInterval / hostPushInterval)
 )
 
-// domainLeaves returns how many agents don't know that their host leaves, after
+// unawareByRound returns how many agents don't know that their host leaves, after
 // each round.
-func domainLeaves(t *testing.T, helping bool) []int {
+func unawareByRound(t *testing.T, forwarding bool) []int {
 	r := rand.New(rand.NewPCG(5, 5))
 	now := time.Unix(0, 0)
 	var names []string
 	for i := range nodes {
 		names = append(names, fmt.Sprint(i))
 	}
-	circles, news := make([]circle, nodes), make([]rumours, nodes)
+	neighbours, logs := make([]neighbourSet, nodes), make([]hostEventLog, nodes)
 	callers := make([][]int, nodes)
-	for i := range circles {
-		circles[i].set(nil, names)
-		circles[i].fill(r)
-		for _, a := range circles[i].places {
+	for i := range neighbours {
+		neighbours[i].setCandidates(nil, names)
+		neighbours[i].fill(r)
+		for _, a := range neighbours[i].current {
 			j := index(t, a)
 			callers[j] = append(callers[j], i)
 		}
@@ -57,26 +57,26 @@
 	for s := range sources {
 		orders[s] = r.Perm(leaving)
 		for i := range leaving {
-			news[s].add(now, host(i), 0)
+			logs[s].add(now, host(i), 0)
 		}
 	}
-	var left []int
-	for n := leaving; n > 0 && len(left) < 12; left = append(left, n) {
+	var unawareAgents []int
+	for n := leaving; n > 0 && len(unawareAgents) < 12; unawareAgents = append(unawareAgents, n) {
 		for s := range orders {
-			for _, i := range orders[s][len(left)*perRound : (len(left)+1)*perRound] {
-				news[i%nodes].add(now, host(i), 0)
+			for _, i := range orders[s][len(unawareAgents)*perRound : (len(unawareAgents)+1)*perRound] {
+				logs[i%nodes].add(now, host(i), 0)
 			}
 		}
-		now = now.Add(newsPause)
-		round(t, r, now, circles, callers, news, helping)
-		n = unaware(news)
+		now = now.Add(eventPushInterval)
+		exchangeRound(t, r, now, neighbours, callers, logs, forwarding)
+		n = countUnaware(logs)
 	}
-	return left
+	return unawareAgents
 }
 
-func unaware(news []rumours) (n int) {
+func countUnaware(logs []hostEventLog) (n int) {
 	for i := range leaving {
-		if _, ok := news[owner(host(i))].place[host(i).Name]; !ok {
+		if _, ok := logs[owner(host(i))].index[host(i).Name]; !ok {
 			n++
 		}
 	}
@@ -92,22 +92,22 @@
 
 func host(i int) member.Host { return member.Host{Name: fmt.Sprint("h", i), Leaving: true} }
 
-// round lets every process push to its neighbours once, all at the same time.
-func round(t *testing.T, r *rand.Rand, now time.Time, circles []circle, callers [][]int, news []rumours, helping bool) {
-	told := make([][]rumour, len(news))
-	for i := range news {
+// exchangeRound lets every process push to its neighbours once, all at the same time.
+func exchangeRound(t *testing.T, r *rand.Rand, now time.Time, neighbours []neighbourSet, callers [][]int, logs []hostEventLog, forwarding bool) {
+	received := make([][]hostEvent, len(logs))
+	for i := range logs {
 		to := slices.Clone(callers[i])
-		for _, a := range circles[i].places {
+		for _, a := range neighbours[i].current {
 			to = append(to, index(t, a))
 		}
 		for _, j := range to {
-			told[j] = append(told[j], news[i].tell(now, r)...)
+			received[j] = append(received[j], logs[i].sample(now, r)...)
 		}
 	}
-	for i, list := range told {
+	for i, list := range received {
 		for _, x := range list {
-			if news[i].add(now, x.host, now.Sub(x.said)) && helping && helps(fmt.Sprint(i), x.host.Name) {
-				news[owner(x.host)].add(now, x.host, now.Sub(x.said))
+			if logs[i].add(now, x.host, now.Sub(x.occurredAt)) && forwarding && isForwarder(fmt.Sprint(i), x.host.Name) {
+				logs[owner(x.host)].add(now, x.host, now.Sub(x.occurredAt))
 			}
 		}
 	}
--- a/gossip/pull.go
+++ b/gossip/pull.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// pullRounds is how often the root is asked for. A peer that names a version
+	// maxRootFailures is how often the root is asked for. A peer that names a version
 	// which nobody holds must not keep this process from lower ones for long.
-	pullRounds = 4
-	// pullPause is the time before the second round; within it some peer has
+	maxRootFailures = 4
+	// minPullPause is the time before the second round; within it some peer has
 	// often fetched what this one lacks. It doubles up to pullLast: while parts
 	// are not to be had, thousands of processes ask each other for them.
-	pullPause = 100 * time.Millisecond
-	pullLast  = 3 * time.Second
-	// pullPeers is how many peers are asked in a round.
-	pullPeers = 3
-	// sourcesMax bounds how many who told of a publication are remembered.
-	sourcesMax = 8
+	minPullPause = 100 * time.Millisecond
+	maxPullPause = 3 * time.Second
+	// maxPullPeers is how many peers are asked in a round.
+	maxPullPeers = 3
+	// maxSources bounds how many who told of a publication are remembered.
+	maxSources = 8
 )
 
-// want is a publication that this process heard of and does not hold.
-type want struct {
+// pullRequest is a publication that this process heard of and does not hold.
+type pullRequest struct {
 	stamp config.Stamp
 	// root is nil until it was fetched.
 	root []byte
@@ -41,20 +41,20 @@
 // puller holds the highest publication that is wanted. One is fetched at a
 // time; a higher one takes its place.
 type puller struct {
-	mu   sync.Mutex
-	next want
-	wake chan struct{}
+	mu      sync.Mutex
+	pending pullRequest
+	wake    chan struct{}
 }
 
-// want notes that a publication is to be had from somewhere.
-func (p *puller) want(w want) {
+// request notes that a publication is to be had from somewhere.
+func (p *puller) request(w pullRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	switch c := p.next.stamp.Compare(w.stamp); {
+	switch c := p.pending.stamp.Compare(w.stamp); {
 	case c > 0:
 		return
 	case c < 0:
-		p.next = w
+		p.pending = w
 	default:
 		p.merge(w)
 	}
@@ -64,13 +64,13 @@
 	}
 }
 
-func (p *puller) merge(w want) {
-	if p.next.root == nil {
-		p.next.root = w.root
+func (p *puller) merge(w pullRequest) {
+	if p.pending.root == nil {
+		p.pending.root = w.root
 	}
 	for _, a := range w.sources {
-		if len(p.next.sources) < sourcesMax && !slices.Contains(p.next.sources, a) {
-			p.next.sources = append(p.next.sources, a)
+		if len(p.pending.sources) < maxSources && !slices.Contains(p.pending.sources, a) {
+			p.pending.sources = append(p.pending.sources, a)
 		}
 	}
 }
@@ -79,20 +79,20 @@
 func (p *puller) drop(st config.Stamp) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.next.stamp == st && p.next.root == nil {
-		p.next = want{}
+	if p.pending.stamp == st && p.pending.root == nil {
+		p.pending = pullRequest{}
 	}
 }
 
-// pause sleeps, but not longer than until a higher publication or another
+// wait sleeps, but not longer than until a higher publication or another
 // source is heard of. It says whether ctx is still alive.
-func (p *puller) pause(ctx context.Context, d time.Duration, st config.Stamp) bool {
+func (p *puller) wait(ctx context.Context, d time.Duration, st config.Stamp) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 	case <-p.wake:
-		if p.take().stamp == st {
+		if p.current().stamp == st {
 			return clock.Sleep(ctx, d/4) // told again by the same peers, time after time
 		}
 	case <-ctx.Done():
@@ -100,10 +100,10 @@
 	return ctx.Err() == nil
 }
 
-func (p *puller) take() want {
+func (p *puller) current() pullRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := p.next
+	w := p.pending
 	w.sources = slices.Clone(w.sources)
 	return w
 }
@@ -125,29 +125,29 @@
 // again; one whose root is known is kept, as it may have come from the service,
 // which says so only once.
 func (n *Node) pull(ctx context.Context) {
-	pause := pullPause
-	rootless := 0
+	pause := minPullPause
+	rootFailures := 0
 	for {
-		w := n.puller.take()
-		if !n.Store.ShouldFetch(w.stamp) || n.round(ctx, w) {
+		w := n.puller.current()
+		if !n.Store.ShouldFetch(w.stamp) || n.pullOnce(ctx, w) {
 			return
 		}
 		if w.root == nil {
-			rootless++
+			rootFailures++
 		}
-		if rootless == pullRounds {
+		if rootFailures == maxRootFailures {
 			n.puller.drop(w.stamp)
 			return
 		}
-		if !n.puller.pause(ctx, n.jitter(pause), w.stamp) {
+		if !n.puller.wait(ctx, n.jitter(pause), w.stamp) {
 			return
 		}
-		pause = min(2*pause, pullLast)
+		pause = min(2*pause, maxPullPause)
 	}
 }
 
-// round asks for what is missing once and says whether the matter is settled.
-func (n *Node) round(ctx context.Context, w want) bool {
+// pullOnce asks for what is missing once and says whether the matter is settled.
+func (n *Node) pullOnce(ctx context.Context, w pullRequest) bool {
 	peers := n.pullPeers(w)
 	if w.root == nil {
 		w.root = n.fetchRoot(ctx, w, peers)
@@ -168,7 +168,7 @@
 	n.readParts(ctx, missing)
 	err = n.Store.Apply(time.Now(), w.root, nil)
 	if config.IsErrPart(err) {
-		n.notify(NoticePart, w.stamp.String(), err)
+		n.notify(NoticePartUnavailable, w.stamp.String(), err)
 		return false
 	}
 	return true
@@ -176,37 +176,37 @@
 
 // pullPeers are those who told of the publication, the last one first, and
 // neighbours, who may hold some of the parts.
-func (n *Node) pullPeers(w want) []string {
+func (n *Node) pullPeers(w pullRequest) []string {
 	list := slices.Clone(w.sources)
 	slices.Reverse(list)
-	near := n.circleNow(time.Now())
+	others := n.exchangePeers(time.Now())
 	n.mu.Lock()
-	n.rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
+	n.rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	n.mu.Unlock()
-	for _, a := range near {
+	for _, a := range others {
 		if !slices.Contains(list, a) {
 			list = append(list, a)
 		}
 	}
-	return first(list, pullPeers)
+	return firstN(list, maxPullPeers)
 }
 
 // fetchRoot gets the root from a peer and checks that it is the one wanted, or
 // one that replaces what is in force as well.
-func (n *Node) fetchRoot(ctx context.Context, w want, peers []string) []byte {
+func (n *Node) fetchRoot(ctx context.Context, w pullRequest, peers []string) []byte {
 	for _, a := range peers {
 		reply, err := n.fetch(ctx, a, &wire.FetchRequest{Version: w.stamp.Version})
 		if err != nil || len(reply.GetRoot()) == 0 {
 			continue
 		}
-		n.puller.want(want{stamp: w.stamp, root: keepIf(reply.GetRoot(), w.stamp.Digest)})
+		n.puller.request(pullRequest{stamp: w.stamp, root: verifiedRoot(reply.GetRoot(), w.stamp.Digest)})
 		return reply.GetRoot()
 	}
 	return nil
 }
 
-// keepIf returns the root if it has the digest.
-func keepIf(root []byte, digest string) []byte {
+// verifiedRoot returns the root if it has the digest.
+func verifiedRoot(root []byte, digest string) []byte {
 	if config.Hash(root) != digest {
 		return nil
 	}
@@ -216,35 +216,35 @@
 // fetchParts gets parts from a peer and returns those that are still missing.
 func (n *Node) fetchParts(ctx context.Context, address string, missing []string) []string {
 	for len(missing) > 0 {
-		reply, err := n.fetch(ctx, address, &wire.FetchRequest{Hashes: first(missing, fetchHashes)})
+		reply, err := n.fetch(ctx, address, &wire.FetchRequest{Hashes: firstN(missing, maxFetchHashes)})
 		if err != nil {
 			return missing
 		}
-		got := n.keep(reply.GetParts())
-		left := slices.DeleteFunc(slices.Clone(missing), func(h string) bool { return slices.Contains(got, h) })
-		if len(left) == len(missing) {
+		added := n.addParts(reply.GetParts())
+		remaining := slices.DeleteFunc(slices.Clone(missing), func(h string) bool { return slices.Contains(added, h) })
+		if len(remaining) == len(missing) {
 			return missing
 		}
-		missing = left
+		missing = remaining
 	}
 	return nil
 }
 
-// keep stores the parts that are what their hash says.
-func (n *Node) keep(parts []*wire.Part) []string {
-	var got []string
+// addParts stores the parts that are what their hash says.
+func (n *Node) addParts(parts []*wire.Part) []string {
+	var added []string
 	for _, p := range parts {
 		if err := n.Store.AddPart(p.GetHash(), p.GetData()); err != nil {
-			n.notify(NoticePart, p.GetHash(), err)
+			n.notify(NoticePartUnavailable, p.GetHash(), err)
 			continue
 		}
-		got = append(got, p.GetHash())
+		added = append(added, p.GetHash())
 	}
-	return got
+	return added
 }
 
 func (n *Node) fetch(ctx context.Context, address string, req *wire.FetchRequest) (*wire.FetchReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	conn, err := n.Dial(address)
 	if err != nil {
@@ -266,16 +266,16 @@
 	n.rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	n.mu.Unlock()
 	for _, hash := range missing {
-		if !n.spend(time.Now()) {
+		if !n.allowRead(time.Now()) {
 			return
 		}
-		v, err := n.get(ctx, config.PartPrefix+hash, 0, 0)
+		v, err := n.readValue(ctx, config.PartPrefix+hash, 0, 0)
 		if err != nil {
-			n.notify(NoticePart, hash, err)
+			n.notify(NoticePartUnavailable, hash, err)
 			return
 		}
 		if err := n.Store.AddPart(hash, v.content); err != nil {
-			n.notify(NoticePart, hash, err)
+			n.notify(NoticePartUnavailable, hash, err)
 		}
 	}
 }
--- a/gossip/reader.go
+++ b/gossip/reader.go
@@ -13,8 +13,8 @@
 	"chestnutstep.example/chestnutstep/config"
 )
 
-// readLimit bounds one read beyond the time that a watch waits.
-const readLimit = 5 * time.Second
+// readTimeout bounds one read beyond the time that a watch waits.
+const readTimeout = 5 * time.Second
 
 // ErrStatus says that the service answered with an unexpected status.
 type ErrStatus struct {
@@ -36,14 +36,14 @@
 type value struct {
 	content  []byte
 	revision uint64
-	// same says that nothing above the revision asked for is there.
-	same bool
+	// notModified says that nothing above the revision asked for is there.
+	notModified bool
 }
 
-// get reads a value. With a revision it returns only what is newer, and waits
+// readValue reads a value. With a revision it returns only what is newer, and waits
 // for it.
-func (n *Node) get(ctx context.Context, name string, after uint64, wait time.Duration) (value, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readLimit)
+func (n *Node) readValue(ctx context.Context, name string, after uint64, wait time.Duration) (value, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	url := n.Platform + "/v/" + name
 	if after > 0 {
@@ -58,7 +58,7 @@
 	v.revision, _ = strconv.ParseUint(res.Header.Get("Version"), 10, 64)
 	switch res.StatusCode {
 	case http.StatusNotModified:
-		v.same = true
+		v.notModified = true
 		return v, nil
 	case http.StatusOK:
 	default:
--- a/gossip/recent.go
+++ b/gossip/recent.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// recentMax bounds how many callers are remembered; a process is chosen by
+	// maxRecentPeers bounds how many callers are remembered; a process is chosen by
 	// about circleSize others.
-	recentMax = 32
-	// recentTime is several turns of a caller's circle.
-	recentTime = 3 * circleSize * time.Second
+	maxRecentPeers = 32
+	// recentPeerTTL is several turns of a caller's circle.
+	recentPeerTTL = 3 * maxNeighbours * time.Second
 )
 
-// recent remembers who began an exchange with this process. News is pushed to
+// recentPeers remembers who began an exchange with this process. News is pushed to
 // them too: nobody can choose an entry as neighbour, as no publication lists
 // it, but an entry chooses agents.
-type recent struct {
+type recentPeers struct {
 	seen map[string]time.Time
 }
 
-func (rc *recent) add(now time.Time, address string) {
+func (rc *recentPeers) add(now time.Time, address string) {
 	if rc.seen == nil {
 		rc.seen = make(map[string]time.Time)
 	}
 	rc.expire(now)
-	if _, known := rc.seen[address]; known || len(rc.seen) < recentMax {
+	if _, known := rc.seen[address]; known || len(rc.seen) < maxRecentPeers {
 		rc.seen[address] = now
 	}
 }
 
-func (rc *recent) list(now time.Time) []string {
+func (rc *recentPeers) list(now time.Time) []string {
 	rc.expire(now)
 	addresses := make([]string, 0, len(rc.seen))
 	for a := range rc.seen {
@@ -36,9 +36,9 @@
 	return addresses
 }
 
-func (rc *recent) expire(now time.Time) {
+func (rc *recentPeers) expire(now time.Time) {
 	for a, at := range rc.seen {
-		if now.Sub(at) > recentTime {
+		if now.Sub(at) > recentPeerTTL {
 			delete(rc.seen, a)
 		}
 	}
--- a/gossip/serve.go
+++ b/gossip/serve.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// fetchBytes bounds the parts of one reply. It stays clear of gRPC's limit
+	// maxFetchBytes bounds the parts of one reply. It stays clear of gRPC's limit
 	// for a message, and lets a process answer while it serves requests.
-	fetchBytes = 1 << 20
-	// fetchHashes bounds the parts that one request may name.
-	fetchHashes = 256
+	maxFetchBytes = 1 << 20
+	// maxFetchHashes bounds the parts that one request may name.
+	maxFetchHashes = 256
 )
 
 // Gossip answers an exchange that another process began.
 func (n *Node) Gossip(_ context.Context, m *wire.GossipMessage) (*wire.GossipMessage, error) {
 	n.init()
 	now := time.Now()
-	n.learn(now, m, m.GetAddress())
+	n.mergeMessage(now, m, m.GetAddress())
 	if a := m.GetAddress(); a != "" {
 		n.mu.Lock()
 		n.recent.add(now, a)
@@ -42,12 +42,12 @@
 		reply.Root = n.Store.Root()
 	}
 	size := 0
-	for _, hash := range first(req.GetHashes(), fetchHashes) {
+	for _, hash := range firstN(req.GetHashes(), maxFetchHashes) {
 		raw, ok := n.Store.Part(hash)
 		if !ok {
 			continue
 		}
-		if size > 0 && size+len(raw) > fetchBytes {
+		if size > 0 && size+len(raw) > maxFetchBytes {
 			break
 		}
 		size += len(raw)
--- a/gossip/share.go
+++ b/gossip/share.go
@@ -9,41 +9,41 @@
 	"chestnutstep.example/chestnutstep/config"
 )
 
-// planNow derives this process's share of reads from the publication in force,
+// currentPlan derives this process's share of reads from the publication in force,
 // or from the root that is being fetched.
-func (n *Node) planNow(now time.Time, list int) plan {
-	f := fleet{List: list}
+func (n *Node) currentPlan(now time.Time, list int) plan {
+	f := planInput{HostListBytes: list}
 	if view := n.Store.View(); view != nil {
-		f.Reads, f.Nodes = view.Publication.Budget.ReadRate, config.CountNodes(view.Publication)
-		f.Watches = n.watching(now, view)
-	} else if r, err := config.ParseRoot(n.puller.take().root); err == nil {
-		f.Reads, f.Nodes = r.ReadRate, r.Nodes
+		f.ReadRate, f.Nodes = view.Publication.Budget.ReadRate, config.CountNodes(view.Publication)
+		f.IsWatcher = n.updateWatcher(now, view)
+	} else if r, err := config.ParseRoot(n.puller.current().root); err == nil {
+		f.ReadRate, f.Nodes = r.ReadRate, r.Nodes
 	}
 	n.mu.Lock()
-	f.Lonely = n.lonely(now)
+	f.IsIsolated = n.exchangeTimedOut(now)
 	n.mu.Unlock()
 	return makePlan(f)
 }
 
-// spend takes one read from this process's share.
-func (n *Node) spend(now time.Time) bool {
-	p := n.planNow(now, 0)
+// allowRead takes one read from this process's share.
+func (n *Node) allowRead(now time.Time) bool {
+	p := n.currentPlan(now, 0)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bucket.take(now, p)
 }
 
-// watching says whether this process is among the watchers, by its own view.
-func (n *Node) watching(now time.Time, view *chestnutstep.View) bool {
-	is := slices.Contains(n.watchers(now, view), n.Name)
+// updateWatcher says whether this process is among the watchers, by its own view.
+func (n *Node) updateWatcher(now time.Time, view *chestnutstep.View) bool {
+	isWatcher := slices.Contains(n.watchers(now, view), n.Name)
 	n.mu.Lock()
-	was := n.watcher
-	n.watcher = is
+	wasWatcher := n.isWatcher
+	n.isWatcher = isWatcher
 	n.mu.Unlock()
-	if is != was {
-		n.notify(NoticeWatcher, strconv.FormatBool(is), nil)
+	if isWatcher != wasWatcher {
+		n.notify(NoticeWatcher, strconv.FormatBool(isWatcher), nil)
 	}
-	return is
+	return isWatcher
 }
 
 // watchers lists who watches, by this process's view. Agents that are out of
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -26,11 +26,11 @@
 	agents    = 2700
 	entries   = 350
 	processes = agents + entries
-	// changes a second: 11,000 a day.
-	changes = 11000.0 / 86400
-	// hop is the time from one process's having a publication in force to the
+	// changesPerSecond a second: 11,000 a day.
+	changesPerSecond = 11000.0 / 86400
+	// hopDelay is the time from one process's having a publication in force to the
 	// next one's, who was told: a message, two fetches and putting it in force.
-	hop = 30 * time.Millisecond
+	hopDelay = 30 * time.Millisecond
 )
 
 // event is something that happens to a process of the model.
@@ -41,37 +41,37 @@
 	from int
 }
 
-type agenda []event
+type eventHeap []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventHeap) Len() int           { return len(a) }
+func (a eventHeap) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)        { *a = append(*a, x.(event)) }
+func (a *eventHeap) Pop() any {
 	old := *a
 	e := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return e
 }
 
-// model plays the spread of one change with the real choice of neighbours and
+// simulation plays the spread of one change with the real choice of neighbours and
 // watchers, and a clock of its own.
-type model struct {
-	r      *rand.Rand
-	agenda agenda
-	circle [processes]circle
-	recent [processes]recent
-	knows  [processes]time.Time
+type simulation struct {
+	r          *rand.Rand
+	events     eventHeap
+	neighbours [processes]neighbourSet
+	recent     [processes]recentPeers
+	learnedAt  [processes]time.Time
 	// push switches the telling at once; lost is the share of calls that fail.
-	push bool
-	lost float64
+	push     bool
+	lossRate float64
 
 	exchanges, pushes int
 }
 
 // run returns when half and all of the processes held the change, after the
 // watchers among the agents did.
-func (m *model) run(t *testing.T) (half, all time.Duration) {
+func (m *simulation) run(t *testing.T) (half, all time.Duration) {
 	names := make([]string, agents)
 	for i := range names {
 		names[i] = fmt.Sprintf("%d", i)
@@ -79,18 +79,18 @@
 	start := time.Unix(0, 0)
 	warm := start.Add(20 * time.Second) // neighbours know each other by then
 	for i := range processes {
-		m.circle[i].set(nil, names)
-		heap.Push(&m.agenda, event{at: start.Add(time.Duration(m.r.Int64N(int64(time.Second)))), node: i, kind: "tick"})
+		m.neighbours[i].setCandidates(nil, names)
+		heap.Push(&m.events, event{at: start.Add(time.Duration(m.r.Int64N(int64(time.Second)))), node: i, kind: "tick"})
 	}
 	for _, w := range chooseWatchers(names, nil, watcherCount(50)) {
 		var i int
 		_, err := fmt.Sscan(w, &i)
 		assert.NilError(t, err)
-		heap.Push(&m.agenda, event{at: warm, node: i, kind: "learn"})
+		heap.Push(&m.events, event{at: warm, node: i, kind: "learn"})
 	}
 	var times []time.Duration
 	for len(times) < processes {
-		e := heap.Pop(&m.agenda).(event)
+		e := heap.Pop(&m.events).(event)
 		if e.at.After(warm.Add(time.Minute)) {
 			t.Fatalf("only %d of %d processes heard within a minute", len(times), processes)
 		}
@@ -98,10 +98,10 @@
 		case "tick":
 			m.tick(e, warm)
 		case "learn":
-			if m.knows[e.node].IsZero() {
-				m.knows[e.node] = e.at
+			if m.learnedAt[e.node].IsZero() {
+				m.learnedAt[e.node] = e.at
 				times = append(times, e.at.Sub(warm))
-				m.tell(e)
+				m.pushToNeighbours(e)
 			}
 		}
 	}
@@ -109,92 +109,92 @@
 }
 
 // tick is a regular exchange: whoever knows more tells the other.
-func (m *model) tick(e event, warm time.Time) {
-	heap.Push(&m.agenda, event{at: e.at.Add(time.Duration((0.8 + 0.4*m.r.Float64()) * float64(time.Second))), node: e.node, kind: "tick"})
+func (m *simulation) tick(e event, warm time.Time) {
+	heap.Push(&m.events, event{at: e.at.Add(time.Duration((0.8 + 0.4*m.r.Float64()) * float64(time.Second))), node: e.node, kind: "tick"})
 	var peer int
-	_, _ = fmt.Sscan(m.circle[e.node].next(e.at, m.r), &peer)
+	_, _ = fmt.Sscan(m.neighbours[e.node].next(e.at, m.r), &peer)
 	if e.at.After(warm) {
 		m.exchanges++
 	}
 	m.recent[peer].add(e.at, fmt.Sprintf("%d", e.node))
-	if m.r.Float64() < m.lost {
+	if m.r.Float64() < m.lossRate {
 		return
 	}
-	switch mine, theirs := m.knows[e.node].IsZero(), m.knows[peer].IsZero(); {
-	case mine && !theirs:
-		heap.Push(&m.agenda, event{at: e.at.Add(hop), node: e.node, kind: "learn"})
-	case !mine && theirs:
-		heap.Push(&m.agenda, event{at: e.at.Add(hop), node: peer, kind: "learn"})
+	switch unaware, peerUnaware := m.learnedAt[e.node].IsZero(), m.learnedAt[peer].IsZero(); {
+	case unaware && !peerUnaware:
+		heap.Push(&m.events, event{at: e.at.Add(hopDelay), node: e.node, kind: "learn"})
+	case !unaware && peerUnaware:
+		heap.Push(&m.events, event{at: e.at.Add(hopDelay), node: peer, kind: "learn"})
 	}
 }
 
-func (m *model) tell(e event) {
+func (m *simulation) pushToNeighbours(e event) {
 	if !m.push {
 		return
 	}
-	m.circle[e.node].fill(m.r)
-	list := append(slices.Clone(m.circle[e.node].places), m.recent[e.node].list(e.at)...)
+	m.neighbours[e.node].fill(m.r)
+	list := append(slices.Clone(m.neighbours[e.node].current), m.recent[e.node].list(e.at)...)
 	slices.Sort(list)
 	for _, a := range slices.Compact(list) {
 		m.pushes++
-		if m.r.Float64() < m.lost {
+		if m.r.Float64() < m.lossRate {
 			continue
 		}
 		var peer int
 		_, _ = fmt.Sscan(a, &peer)
-		heap.Push(&m.agenda, event{at: e.at.Add(hop), node: peer, kind: "learn"})
+		heap.Push(&m.events, event{at: e.at.Add(hopDelay), node: peer, kind: "learn"})
 	}
 }
 
 // A change has to reach 3,050 processes well within 15 seconds, also when a
 // fifth of the calls fail. Told only in regular exchanges it takes several
 // rounds; a user would notice a domain that was taken out being served on.
-func TestSpread(t *testing.T) {
+func TestSpreadTime(t *testing.T) {
 	for _, c := range []struct {
-		push bool
-		lost float64
-		most time.Duration
+		push  bool
+		lost  float64
+		limit time.Duration
 	}{
 		{false, 0, 15 * time.Second},
 		{false, 0.2, 15 * time.Second},
 		{true, 0, 2 * time.Second},
 		{true, 0.2, 2 * time.Second},
 	} {
-		m := model{r: rand.New(rand.NewPCG(7, 7)), push: c.push, lost: c.lost}
+		m := simulation{r: rand.New(rand.NewPCG(7, 7)), push: c.push, lossRate: c.lost}
 		half, all := m.run(t)
 		t.Logf("push %v, %2.0f%% of calls lost: half after %v, all after %v; %.1f pushes a process",
 			c.push, 100*c.lost, half.Round(time.Millisecond), all.Round(time.Millisecond), float64(m.pushes)/processes)
-		assert.Assert(t, all < c.most)
+		assert.Assert(t, all < c.limit)
 	}
 }
 
-// counted counts the bytes on a connection, both ways.
-type counted struct {
+// countingConn counts the bytes on a connection, both ways.
+type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Add(int64(n))
 	return n, err
 }
 
-type talker struct {
+type stubSampler struct {
 	chestnutstep.Sampler
 	samples []chestnutstep.Sample
 }
 
-func (s *talker) Merge(time.Time, []chestnutstep.Sample)       {}
-func (s *talker) Samples(time.Time, int) []chestnutstep.Sample { return s.samples }
-func (s *talker) SetLocal(time.Time, chestnutstep.Sample)      {}
-func (s *talker) Mean(time.Time) (m chestnutstep.Mean)         { return m }
+func (s *stubSampler) Merge(time.Time, []chestnutstep.Sample)       {}
+func (s *stubSampler) Samples(time.Time, int) []chestnutstep.Sample { return s.samples }
+func (s *stubSampler) SetLocal(time.Time, chestnutstep.Sample)      {}
+func (s *stubSampler) Mean(time.Time) (m chestnutstep.Mean)         { return m }
 
 // The bytes that a process spends on gossip, from real messages on real
 // connections with the interval of the default, have to stay far below 26 KB a
@@ -202,8 +202,8 @@
 func TestControlBytes(t *testing.T) {
 	root, parts := config.Pack(bigFleet(1))
 	node := func(name string) *Node {
-		s := new(talker)
-		for i := range samplesMax {
+		s := new(stubSampler)
+		for i := range maxSamples {
 			s.samples = append(s.samples, chestnutstep.Sample{Target: fmt.Sprintf("target-%04d", i), Model: "model-a", Load: 8.25, SeenAt: time.Now()})
 		}
 		n := &Node{Name: name, Store: new(config.Store), Sampler: s, Address: "10.0.0.1:7000"}
@@ -220,25 +220,25 @@
 	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, a string) (net.Conn, error) {
 			c, err := new(net.Dialer).DialContext(ctx, "tcp", a)
-			return counted{c, &in, &out}, err
+			return countingConn{c, &in, &out}, err
 		}))
 	assert.NilError(t, err)
 	defer conn.Close()
 	a := node("a")
 	a.init()
 	a.Dial = func(string) (grpc.ClientConnInterface, error) { return conn, nil }
-	measure := func(what string, n int, call func()) float64 {
+	measure := func(name string, n int, call func()) float64 {
 		call() // the first opens the connection
 		before := in.Load() + out.Load()
 		for range n {
 			call()
 		}
 		each := float64(in.Load()+out.Load()-before) / float64(n)
-		t.Logf("%s: %.0f bytes, both ways", what, each)
+		t.Logf("%s: %.0f bytes, both ways", name, each)
 		return each
 	}
 	regular := measure("exchange with 8 samples", 100, func() { a.exchange(t.Context(), "b", a.message(time.Now())) })
-	brief := measure("push", 100, func() { a.exchange(t.Context(), "b", a.brief(time.Now())) })
+	brief := measure("push", 100, func() { a.exchange(t.Context(), "b", a.shortMessage(time.Now())) })
 	r, err := config.ParseRoot(root)
 	assert.NilError(t, err)
 	fetch := measure("fetch of the root", 20, func() { _, err = a.fetch(t.Context(), "b", &wire.FetchRequest{Version: 1}) })
@@ -249,11 +249,11 @@
 	// Each process begins one exchange a second and answers one. A change costs
 	// it about 17 pushes begun and answered (TestSpread), and the fetch, which
 	// it passes on to one other on average.
-	rest := 2 * regular
-	busy := rest + changes*(2*17*brief+2*fetch)
+	idle := 2 * regular
+	withChanges := idle + changesPerSecond*(2*17*brief+2*fetch)
 	t.Logf("%d parts of %d bytes; message of %d bytes; at rest %.0f bytes a second, with 11,000 changes a day %.0f",
-		len(parts), total(parts), proto.Size(a.message(time.Now())), rest, busy)
-	assert.Assert(t, busy < 26000/2)
+		len(parts), total(parts), proto.Size(a.message(time.Now())), idle, withChanges)
+	assert.Assert(t, withChanges < 26000/2)
 }
 
 func total(parts map[string][]byte) int {
@@ -288,19 +288,19 @@
 func TestPlanStaysWithinBudget(t *testing.T) {
 	for _, reads := range []float64{0.5, 1, 5, 50, 400, 2000} {
 		for _, nodes := range []int{1, 7, 300, processes} {
-			for _, lonely := range []bool{false, true} {
+			for _, isolated := range []bool{false, true} {
 				w := min(watcherCount(reads), nodes)
-				common := makePlan(fleet{Reads: reads, Nodes: nodes, Lonely: lonely})
-				watching := makePlan(fleet{Reads: reads, Nodes: nodes, Watches: true, Lonely: lonely, List: 120 << 10})
+				common := makePlan(planInput{ReadRate: reads, Nodes: nodes, IsIsolated: isolated})
+				watching := makePlan(planInput{ReadRate: reads, Nodes: nodes, IsWatcher: true, IsIsolated: isolated, HostListBytes: 120 << 10})
 				sum := float64(w)*watching.Rate + float64(nodes-w)*common.Rate
 				assert.Assert(t, sum <= reads*1.0001, "reads %v, nodes %d: %v", reads, nodes, sum)
 				if nodes == processes && reads == 50 {
 					t.Logf("50 reads, 3,050 processes, lonely %v: watcher %.2f a second, hosts each %v; others a direct read each %v; sum %.1f",
-						lonely, watching.Rate, watching.Hosts.Round(time.Millisecond), common.Spot.Round(time.Second), sum)
+						isolated, watching.Rate, watching.HostsInterval.Round(time.Millisecond), common.ReadInterval.Round(time.Second), sum)
 				}
 			}
 		}
 	}
-	unknown := makePlan(fleet{})
+	unknown := makePlan(planInput{})
 	assert.Assert(t, unknown.Rate*processes < 2000)
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -55,7 +55,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, got, fmt.Sprint("answer to ", i))
 	}
-	assert.Equal(t, x.Opened(), 1)
+	assert.Equal(t, x.Connections(), 1)
 	assert.Equal(t, p.Opened(), int64(1))
 }
 
@@ -63,12 +63,12 @@
 // entry that treats "maybe" as "no" sends a booking twice.
 func TestErrorsStateWhetherRequestCanHaveRun(t *testing.T) {
 	x, p := target(t), &link.Pool{}
-	for manner, want := range map[stand.Manner]string{stand.Resets: "link maybe", stand.Garbage: "link maybe"} {
-		x.Behave(stand.Fine, manner)
+	for manner, want := range map[stand.Behaviour]string{stand.Resets: "link maybe", stand.Garbage: "link maybe"} {
+		x.SetBehaviour(stand.Normal, manner)
 		_, err := send(context.Background(), p, x, "r", "b")
 		assert.Equal(t, reason(err), want, string(manner))
 	}
-	x.Behave(stand.Fine, stand.Hangs)
+	x.SetBehaviour(stand.Normal, stand.Hangs)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := send(ctx, p, x, "h", "b")
@@ -87,7 +87,7 @@
 // response.
 func TestUnsafeConnectionIsNotReused(t *testing.T) {
 	x, p := target(t), &link.Pool{}
-	x.Behave(stand.Fine, stand.Extra)
+	x.SetBehaviour(stand.Normal, stand.ExtraAnswer)
 	got, err := send(context.Background(), p, x, "one", "b")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "answer to one")
@@ -107,7 +107,7 @@
 // had read a long body. The rest of the body would be parsed as the next request.
 func TestEarlyAnswer(t *testing.T) {
 	x, p := target(t), &link.Pool{}
-	x.Behave(stand.Fine, stand.Early)
+	x.SetBehaviour(stand.Normal, stand.Early)
 	// More bytes than the socket buffers hold, so that the response arrives before the end of the
 	// body is sent.
 	_, err := send(context.Background(), p, x, "long", strings.Repeat("x", 64<<20))
@@ -117,7 +117,7 @@
 	got, err := send(context.Background(), p, x, "next", "b")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "answer to next")
-	assert.Equal(t, x.Opened(), 2)
+	assert.Equal(t, x.Connections(), 2)
 }
 
 // TestSweep guards against idle connections that are kept longer than the target keeps them.
@@ -128,14 +128,14 @@
 	p.Sweep(time.Now().Add(time.Minute))
 	_, err = send(context.Background(), p, x, "b", "b")
 	assert.NilError(t, err)
-	assert.Equal(t, x.Opened(), 2)
+	assert.Equal(t, x.Connections(), 2)
 }
 
 // TestCancel guards against a canceled call that leaves its connection open, so that the target
 // continues to work on the request.
 func TestCancel(t *testing.T) {
 	x, p := target(t), &link.Pool{}
-	x.Behave(stand.Hangs)
+	x.SetBehaviour(stand.Hangs)
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err := send(ctx, p, x, "c", "b")
--- a/load/action.go
+++ b/load/action.go
@@ -19,8 +19,8 @@
 	Path string
 }
 
-// Deed is one action and its repeat.
-type Deed struct {
+// ActionResult is one action and its repeat.
+type ActionResult struct {
 	Name   string
 	Ticket string
 	// First and Second are the answers through two entries.
@@ -28,14 +28,14 @@
 	// Times is how often the service says that the action took effect, by the
 	// second answer; 0 when that is not known.
 	Times int
-	// Same says that both answers were whole and alike.
-	Same bool
+	// SameAnswer says that both answers were whole and alike.
+	SameAnswer bool
 }
 
 // Do takes a ticket at an entry, acts through it, and repeats the action with
 // the same ticket through the next entry.
-func (a *Actor) Do(ctx context.Context, name string, entry int) (Deed, error) {
-	d := Deed{Name: name}
+func (a *Actor) Do(ctx context.Context, name string, entry int) (ActionResult, error) {
+	d := ActionResult{Name: name}
 	n := len(a.Caller.Entries)
 	tickets, err := a.Caller.Tickets(ctx, entry%n, a.Profile, 1)
 	if err != nil {
@@ -47,7 +47,7 @@
 	d.Ticket = tickets[0]
 	d.First = a.Send(ctx, name, d.Ticket, entry%n)
 	d.Second = a.Send(ctx, name, d.Ticket, (entry+1)%n)
-	d.judge()
+	d.compare()
 	return d, nil
 }
 
@@ -55,21 +55,21 @@
 func (a *Actor) Send(ctx context.Context, name, ticket string, entry int) fake.Result {
 	body, _ := json.Marshal(fake.Action{Action: name})
 	return a.Caller.Do(ctx, fake.Request{
-		Entry:   entry,
-		Profile: a.Profile,
-		Chat:    name,
-		ID:      "act-" + name,
-		Ticket:  ticket,
-		Path:    a.Path,
-		Body:    body,
+		Entry:          entry,
+		Profile:        a.Profile,
+		Chat:           name,
+		IdempotencyKey: "act-" + name,
+		Ticket:         ticket,
+		Path:           a.Path,
+		Body:           body,
 	})
 }
 
-func (d *Deed) judge() {
+func (d *ActionResult) compare() {
 	var e fake.Effect
-	if d.Second.Kind != fake.Whole || json.Unmarshal(d.Second.Data, &e) != nil {
+	if d.Second.Kind != fake.Complete || json.Unmarshal(d.Second.Data, &e) != nil {
 		return
 	}
 	d.Times = e.Times
-	d.Same = d.First.Kind == fake.Whole && bytes.Equal(d.First.Data, d.Second.Data)
+	d.SameAnswer = d.First.Kind == fake.Complete && bytes.Equal(d.First.Data, d.Second.Data)
 }
--- a/load/pass.go
+++ b/load/pass.go
@@ -11,36 +11,36 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// Pass is the naive version that chestnutstep is measured against: one hop to
+// Proxy is the naive version that chestnutstep is measured against: one hop to
 // a random target, no decisions, and plain retry if Tries is above 1. It
 // doubles actions and passes short answers on as whole; tests show that.
-type Pass struct {
+type Proxy struct {
 	// Targets are base URLs of engines, Services of plain services, which get
 	// the paths that the services know.
 	Targets, Services []string
-	// Tries bounds the targets that a request is sent to.
-	Tries int
+	// MaxTries bounds the targets that a request is sent to.
+	MaxTries int
 	// Client calls targets; nil is a default one.
 	Client *http.Client
-	// Pick chooses a target, in place of chance, when set.
-	Pick func(n int) int
+	// PickIndex chooses a target, in place of chance, when set.
+	PickIndex func(n int) int
 }
 
 // ServeHTTP passes one request on.
-func (p *Pass) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	for range max(p.Tries, 1) {
-		if p.try(w, r, body) {
+	for range max(p.MaxTries, 1) {
+		if p.forward(w, r, body) {
 			return
 		}
 	}
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-func (p *Pass) try(w http.ResponseWriter, r *http.Request, body []byte) bool {
+func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, body []byte) bool {
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, p.target(r.URL.Path)+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return false
@@ -58,19 +58,19 @@
 	return true
 }
 
-func (p *Pass) target(path string) string {
+func (p *Proxy) target(path string) string {
 	list := p.Targets
 	switch path {
 	case "/bookings", "/edits", "/slots":
 		list = p.Services
 	}
-	if p.Pick != nil {
-		return list[p.Pick(len(list))]
+	if p.PickIndex != nil {
+		return list[p.PickIndex(len(list))]
 	}
 	return list[rand.IntN(len(list))]
 }
 
-func (p *Pass) client() *http.Client {
+func (p *Proxy) client() *http.Client {
 	if p.Client != nil {
 		return p.Client
 	}
--- a/load/player.go
+++ b/load/player.go
@@ -20,19 +20,19 @@
 	Keys map[string]string
 	// Profile of all requests.
 	Profile string
-	// Tries bounds how often a request is sent when it was refused with a time
+	// MaxTries bounds how often a request is sent when it was refused with a time
 	// to come back, or its answer broke.
-	Tries int
+	MaxTries int
 	// Timeout of a request; 0 leaves it to the profile.
 	Timeout time.Duration
-	// Run goes before the names of requests. Two runs need two: a request whose
+	// IDPrefix goes before the names of requests. Two runs need two: a request whose
 	// name an agent still knows, with other content, is refused as spent.
-	Run string
+	IDPrefix string
 	// Report is where results go.
 	Report *Report
 
-	callers map[string]*fake.Caller
-	active  sync.WaitGroup
+	callers  map[string]*fake.Caller
+	sessions sync.WaitGroup
 }
 
 // session is one chat under way.
@@ -48,18 +48,18 @@
 func (p *Player) Play(ctx context.Context, chats []Chat) {
 	p.callers = map[string]*fake.Caller{}
 	for name, key := range p.Keys {
-		p.callers[name] = &fake.Caller{Entries: p.Entries, Key: key, Client: fake.NewClient(), Gap: p.Report.Gap.Add}
+		p.callers[name] = &fake.Caller{Entries: p.Entries, Key: key, Client: fake.NewClient(), OnGap: p.Report.EventGap.Add}
 	}
 	for i, c := range chats {
-		s := &session{player: p, chat: c, entry: i, history: c.History}
-		p.active.Add(1)
+		s := &session{player: p, chat: c, entry: i, history: c.HistoryTokens}
+		p.sessions.Add(1)
 		go s.run(ctx)
 	}
-	p.active.Wait()
+	p.sessions.Wait()
 }
 
 func (s *session) run(ctx context.Context) {
-	defer s.player.active.Done()
+	defer s.player.sessions.Done()
 	for i, t := range s.chat.Turns {
 		if !clock.Sleep(ctx, t.Pause) {
 			return
@@ -69,18 +69,18 @@
 }
 
 func (s *session) turn(ctx context.Context, n int, t Turn) {
-	prompt := s.history + t.Ask
-	body, _ := json.Marshal(fake.Ask{Prompt: prompt, Output: t.Output, Note: fmt.Sprintf("%s/%d", s.chat.Name, n)})
-	ask := fake.Request{
-		Profile: s.player.Profile,
-		Chat:    s.chat.Name,
-		ID:      fmt.Sprintf("%s%s-%d", s.player.Run, s.chat.Name, n),
-		Hint:    s.hint,
-		Timeout: s.player.Timeout,
-		Body:    body,
-		Cancel:  t.Cancel,
+	prompt := s.history + t.PromptTokens
+	body, _ := json.Marshal(fake.ChatRequest{Prompt: prompt, Output: t.OutputTokens, Note: fmt.Sprintf("%s/%d", s.chat.Name, n)})
+	req := fake.Request{
+		Profile:        s.player.Profile,
+		Chat:           s.chat.Name,
+		IdempotencyKey: fmt.Sprintf("%s%s-%d", s.player.IDPrefix, s.chat.Name, n),
+		Hint:           s.hint,
+		Timeout:        s.player.Timeout,
+		Body:           body,
+		CancelAfter:    t.CancelAfter,
 	}
-	res := s.try(ctx, ask, prompt)
+	res := s.try(ctx, req, prompt)
 	if res.Hint != "" {
 		s.hint = res.Hint
 	}
@@ -89,17 +89,17 @@
 
 // try sends a request until it has an answer that a caller would settle for.
 // Only the last result counts as the request's.
-func (s *session) try(ctx context.Context, ask fake.Request, prompt int) fake.Result {
+func (s *session) try(ctx context.Context, req fake.Request, prompt int) fake.Result {
 	c := s.player.callers[s.chat.Workspace]
 	var res fake.Result
-	for range max(s.player.Tries, 1) {
+	for range max(s.player.MaxTries, 1) {
 		s.entry++
-		ask.Entry = s.entry % len(c.Entries)
-		res = c.Do(ctx, ask)
+		req.Entry = s.entry % len(c.Entries)
+		res = c.Do(ctx, req)
 		if ctx.Err() != nil {
 			return res
 		}
-		if !again(res) || !clock.Sleep(ctx, res.Retry) {
+		if !shouldRetry(res) || !clock.Sleep(ctx, res.RetryAfter) {
 			break
 		}
 	}
@@ -107,12 +107,12 @@
 	return res
 }
 
-// again says whether a sensible caller sends the request once more.
-func again(res fake.Result) bool {
+// shouldRetry says whether a sensible caller sends the request once more.
+func shouldRetry(res fake.Result) bool {
 	switch res.Kind {
 	case fake.Refused:
-		return res.Retry > 0 && res.Run == chestnutstep.RunNo
-	case fake.Broken, fake.Absent:
+		return res.RetryAfter > 0 && res.Run == chestnutstep.RunNo
+	case fake.Broken, fake.Unreachable:
 		return true
 	}
 	return false
--- a/load/report.go
+++ b/load/report.go
@@ -20,14 +20,14 @@
 	histogramDigits = 3
 )
 
-// Times is a histogram of durations, safe for many goroutines.
-type Times struct {
+// Histogram is a histogram of durations, safe for many goroutines.
+type Histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
 // Add records one duration. Those over a minute count as a minute.
-func (t *Times) Add(d time.Duration) {
+func (t *Histogram) Add(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.h == nil {
@@ -37,7 +37,7 @@
 }
 
 // Quantile returns the duration below which a share q, from 0 to 1, lies.
-func (t *Times) Quantile(q float64) time.Duration {
+func (t *Histogram) Quantile(q float64) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.h == nil {
@@ -47,7 +47,7 @@
 }
 
 // Count returns how many durations were added.
-func (t *Times) Count() int64 {
+func (t *Histogram) Count() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.h == nil {
@@ -64,57 +64,57 @@
 
 // Report counts what callers got.
 type Report struct {
-	// First is the time to the first byte, Gap the time between pieces.
-	First, Gap Times
+	// FirstByte is the time to the first byte, Gap the time between pieces.
+	FirstByte, EventGap Histogram
 
-	mu     sync.Mutex
-	kinds  map[string]int
-	codes  map[string]int
-	shares map[string]int
-	prompt int
-	cached int
-	errs   []error
+	mu         sync.Mutex
+	kinds      map[string]int
+	codes      map[string]int
+	workspaces map[string]int
+	prompt     int
+	cached     int
+	errs       []error
 }
 
 // Add counts one result for a prompt of so many tokens.
 func (r *Report) Add(workspace string, prompt int, res fake.Result) {
-	if res.First > 0 {
-		r.First.Add(res.First)
+	if res.FirstByte > 0 {
+		r.FirstByte.Add(res.FirstByte)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.kinds == nil {
-		r.kinds, r.codes, r.shares = map[string]int{}, map[string]int{}, map[string]int{}
+		r.kinds, r.codes, r.workspaces = map[string]int{}, map[string]int{}, map[string]int{}
 	}
 	r.kinds[string(res.Kind)]++
-	r.shares[workspace]++
+	r.workspaces[workspace]++
 	switch res.Kind {
 	case fake.Refused:
 		r.codes[fmt.Sprintf("%d %s", res.Status, res.Code)]++
-	case fake.Whole:
+	case fake.Complete:
 		r.prompt += prompt
 		r.cached += res.Cached
-	case fake.Broken, fake.Foreign, fake.Short, fake.Absent:
-		r.errs = append(r.errs, fmt.Errorf("%s: %s %d: %w", res.Kind, res.Code, res.Status, orNil(res.Err)))
+	case fake.Broken, fake.Misdelivered, fake.Truncated, fake.Unreachable:
+		r.errs = append(r.errs, fmt.Errorf("%s: %s %d: %w", res.Kind, res.Code, res.Status, orUnknown(res.Err)))
 	}
 }
 
-func orNil(err error) error {
+func orUnknown(err error) error {
 	if err == nil {
 		return fmt.Errorf("no transport error")
 	}
 	return err
 }
 
-// Kind returns how many answers were of a kind.
-func (r *Report) Kind(k fake.Kind) int {
+// CountKind returns how many answers were of a kind.
+func (r *Report) CountKind(k fake.ResultKind) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.kinds[string(k)]
 }
 
-// Reuse is the share of the whole answers' prompts that was found in a cache.
-func (r *Report) Reuse() float64 {
+// ReuseRatio is the share of the whole answers' prompts that was found in a cache.
+func (r *Report) ReuseRatio() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.prompt == 0 {
@@ -127,7 +127,7 @@
 func (r *Report) Codes() []Count {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return sorted(r.codes)
+	return sortCounts(r.codes)
 }
 
 // Errors returns the first n errors of answers that were not whole.
@@ -137,7 +137,7 @@
 	return slices.Clone(r.errs[:min(n, len(r.errs))])
 }
 
-func sorted(m map[string]int) []Count {
+func sortCounts(m map[string]int) []Count {
 	out := make([]Count, 0, len(m))
 	for name, n := range m {
 		out = append(out, Count{name, n})
@@ -156,10 +156,10 @@
 
 // Summary is a report as it is printed.
 type Summary struct {
-	Kinds    []Count `json:"kinds"`
-	Refusals []Count `json:"refusals"`
-	Shares   []Count `json:"workspaces"`
-	Reuse    float64 `json:"reuse"`
+	Kinds      []Count `json:"kinds"`
+	Refusals   []Count `json:"refusals"`
+	Workspaces []Count `json:"workspaces"`
+	Reuse      float64 `json:"reuse"`
 	// Quantiles in milliseconds.
 	FirstP50 float64 `json:"first_p50"`
 	FirstP99 float64 `json:"first_p99"`
@@ -169,12 +169,12 @@
 
 // Summary returns the figures so far.
 func (r *Report) Summary() Summary {
-	s := Summary{Reuse: r.Reuse(), Refusals: r.Codes()}
-	s.FirstP50, s.FirstP99 = ms(r.First.Quantile(0.5)), ms(r.First.Quantile(0.99))
-	s.GapP50, s.GapP99 = ms(r.Gap.Quantile(0.5)), ms(r.Gap.Quantile(0.99))
+	s := Summary{Reuse: r.ReuseRatio(), Refusals: r.Codes()}
+	s.FirstP50, s.FirstP99 = ms(r.FirstByte.Quantile(0.5)), ms(r.FirstByte.Quantile(0.99))
+	s.GapP50, s.GapP99 = ms(r.EventGap.Quantile(0.5)), ms(r.EventGap.Quantile(0.99))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.Kinds, s.Shares = sorted(r.kinds), sorted(r.shares)
+	s.Kinds, s.Workspaces = sortCounts(r.kinds), sortCounts(r.workspaces)
 	return s
 }
 
@@ -190,7 +190,7 @@
 	for _, c := range s.Refusals {
 		fmt.Fprintf(w, "%-34s %d\n", "refusals "+c.Name, c.N)
 	}
-	for _, c := range s.Shares {
+	for _, c := range s.Workspaces {
 		fmt.Fprintf(w, "%-34s %d\n", "requests of "+c.Name, c.N)
 	}
 	fmt.Fprintf(w, "%-34s %.1f%%\n", "prompt tokens found in a cache", s.Reuse*100)
--- a/matrix/bench_test.go
+++ b/matrix/bench_test.go
@@ -26,14 +26,14 @@
 }
 
 func firstByte(b *testing.B, c *Caller) time.Duration {
-	began := time.Now()
-	c.Timeout = tryTime
+	start := time.Now()
+	c.Timeout = attemptTimeout
 	rs, err := c.send(context.Background(), 0, c.path(), c.body())
 	assert.NilError(b, err)
 	defer rs.Body.Close()
 	_, err = rs.Body.Read(make([]byte, 1))
 	assert.NilError(b, err)
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	_, _ = io.Copy(io.Discard, rs.Body)
-	return took
+	return elapsed
 }
--- a/matrix/caller.go
+++ b/matrix/caller.go
@@ -15,33 +15,33 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// Verdict is what a caller can tell of one answer.
-type Verdict string
+// ResultKind is what a caller can tell of one answer.
+type ResultKind string
 
 // The verdicts.
 const (
-	Whole    Verdict = "whole"    // all of the caller's own answer
-	Refused  Verdict = "refused"  // an answer that says why not
-	Broken   Verdict = "broken"   // no answer, or one that shows that it is not whole
-	Short    Verdict = "short"    // looks whole and is not: must never be
-	Mistaken Verdict = "mistaken" // another's answer: must never be
+	Complete     ResultKind = "whole"    // all of the caller's own answer
+	Refused      ResultKind = "refused"  // an answer that says why not
+	Broken       ResultKind = "broken"   // no answer, or one that shows that it is not whole
+	Truncated    ResultKind = "short"    // looks whole and is not: must never be
+	Misdelivered ResultKind = "mistaken" // another's answer: must never be
 )
 
 // Attempt is one try of a caller.
 type Attempt struct {
-	Verdict Verdict
-	Status  int
-	Run     chestnutstep.RunStatus
-	Code    string
+	Kind   ResultKind
+	Status int
+	Run    chestnutstep.RunStatus
+	Code   string
 	// Key names the request; a new ticket gets a new one.
 	Key string
-	// Ran says how often the key had run when the answer came.
-	Ran int
+	// Runs says how often the key had run when the answer came.
+	Runs int
 }
 
 // String is for messages of failed tests.
 func (a Attempt) String() string {
-	return fmt.Sprintf("%s %d run=%s code=%s key=%s ran=%d", a.Verdict, a.Status, a.Run, a.Code, a.Key, a.Ran)
+	return fmt.Sprintf("%s %d run=%s code=%s key=%s ran=%d", a.Kind, a.Status, a.Run, a.Code, a.Key, a.Runs)
 }
 
 // Caller sends one request until it has the answer or nothing more can be
@@ -57,42 +57,42 @@
 	Large bool
 	// Timeout is the time limit of each try.
 	Timeout time.Duration
-	// Tries is the most that are made.
-	Tries int
+	// MaxTries is the most that are made.
+	MaxTries int
 	// Pause between tries; as short as a target's restart when 0.
 	Pause time.Duration
-	// Tried is told of each try's end.
-	Tried func(int)
+	// OnAttempt is told of each try's end.
+	OnAttempt func(int)
 
 	ticket  string
 	tickets int
 }
 
 const (
-	// large does not fit an offer.
-	large = 40 << 10
-	// tokens of an answer: enough for a middle.
-	tokens = 12
-	// pause between tries; long enough for a target to restart.
-	pause = 100 * time.Millisecond
-	// slack is how much longer than its time limit a caller waits for the
+	// largeBodySize does not fit an offer.
+	largeBodySize = 40 << 10
+	// answerTokens of an answer: enough for a middle.
+	answerTokens = 12
+	// defaultPause between tries; long enough for a target to restart.
+	defaultPause = 100 * time.Millisecond
+	// timeoutSlack is how much longer than its time limit a caller waits for the
 	// entry to say so.
-	slack = time.Second
+	timeoutSlack = time.Second
 )
 
 // Run makes the tries.
 func (c *Caller) Run() []Attempt {
 	var list []Attempt
-	for i := range c.Tries {
+	for i := range c.MaxTries {
 		if i > 0 {
-			time.Sleep(cmp.Or(c.Pause, pause))
+			time.Sleep(cmp.Or(c.Pause, defaultPause))
 		}
 		a := c.try(min(i, Entries-1))
 		list = append(list, a)
-		if c.Tried != nil {
-			c.Tried(i)
+		if c.OnAttempt != nil {
+			c.OnAttempt(i)
 		}
-		if a.Verdict == Whole {
+		if a.Kind == Complete {
 			break
 		}
 	}
@@ -100,23 +100,23 @@
 }
 
 func (c *Caller) try(entry int) Attempt {
-	if c.once() && c.ticket == "" {
+	if c.needsTicket() && c.ticket == "" {
 		if a, ok := c.mint(entry); !ok {
 			return a
 		}
 	}
-	a := Attempt{Verdict: Broken, Key: c.key()}
-	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+slack)
+	a := Attempt{Kind: Broken, Key: c.key()}
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+timeoutSlack)
 	defer cancel()
 	rs, err := c.send(ctx, entry, c.path(), c.body())
 	if err == nil {
 		c.read(rs, &a)
 	}
-	a.Ran = c.ran(a.Key)
+	a.Runs = c.countRuns(a.Key)
 	return a
 }
 
-func (c *Caller) once() bool { return c.Profile == ProfileBook && !c.Stack.Naive }
+func (c *Caller) needsTicket() bool { return c.Profile == ProfileBook && !c.Stack.Naive }
 
 // key is the request's name. It changes with the ticket: a new ticket is
 // another permission to run.
@@ -132,9 +132,9 @@
 func (c *Caller) body() []byte {
 	text := ""
 	if c.Large {
-		text = strings.Repeat("x", large)
+		text = strings.Repeat("x", largeBodySize)
 	}
-	var v any = fake.Ask{Prompt: 20, Output: tokens, Note: c.Name, Text: text}
+	var v any = fake.ChatRequest{Prompt: 20, Output: answerTokens, Note: c.Name, Text: text}
 	if c.Profile == ProfileBook {
 		v = fake.Action{Action: c.Name, Text: text}
 	}
@@ -143,7 +143,7 @@
 }
 
 func (c *Caller) send(ctx context.Context, entry int, path string, body []byte) (*http.Response, error) {
-	url := "http://" + c.Stack.Fronts[entry].Addr() + path
+	url := "http://" + c.Stack.EntryRelays[entry].Addr() + path
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -164,8 +164,8 @@
 
 // mint asks for a ticket.
 func (c *Caller) mint(entry int) (Attempt, bool) {
-	a := Attempt{Verdict: Broken, Key: c.key()}
-	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+slack)
+	a := Attempt{Kind: Broken, Key: c.key()}
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+timeoutSlack)
 	defer cancel()
 	rs, err := c.send(ctx, entry, "/chestnut/tickets", []byte(`{"profile":"book","count":1}`))
 	if err != nil {
@@ -177,14 +177,14 @@
 		Tickets []string `json:"tickets"`
 	}
 	if json.NewDecoder(rs.Body).Decode(&out) != nil || len(out.Tickets) != 1 {
-		a.Verdict = Refused
+		a.Kind = Refused
 		return a, false
 	}
-	c.take(out.Tickets[0])
+	c.useTicket(out.Tickets[0])
 	return a, true
 }
 
-func (c *Caller) take(ticket string) {
+func (c *Caller) useTicket(ticket string) {
 	c.ticket = ticket
 	c.tickets++
 }
@@ -197,62 +197,62 @@
 	raw, err := io.ReadAll(rs.Body)
 	switch {
 	case rs.StatusCode != http.StatusOK:
-		c.refused(rs, raw, a)
+		c.readRefusal(rs, raw, a)
 	case c.Profile == ProfileBook:
-		a.Verdict = c.judgeEffect(raw, err)
+		a.Kind = c.checkEffect(raw, err)
 	default:
-		a.Verdict = c.judgeStream(raw, err)
+		a.Kind = c.checkStream(raw, err)
 	}
 }
 
-// refused keeps the ticket while the request may have run under it, and takes
+// readRefusal keeps the ticket while the request may have run under it, and takes
 // a fresh one only after a "not run".
-func (c *Caller) refused(rs *http.Response, raw []byte, a *Attempt) {
-	a.Verdict = Refused
+func (c *Caller) readRefusal(rs *http.Response, raw []byte, a *Attempt) {
+	a.Kind = Refused
 	var p struct {
 		Code string `json:"code"`
 	}
 	_ = json.Unmarshal(raw, &p)
 	a.Code = p.Code
-	if !c.once() || a.Run != chestnutstep.RunNo {
+	if !c.needsTicket() || a.Run != chestnutstep.RunNo {
 		return
 	}
 	c.ticket = ""
-	if fresh := rs.Header.Get(chestnutstep.HeaderTicket); fresh != "" {
-		c.take(fresh)
+	if ticket := rs.Header.Get(chestnutstep.HeaderTicket); ticket != "" {
+		c.useTicket(ticket)
 	}
 }
 
-func (c *Caller) judgeEffect(raw []byte, err error) Verdict {
+func (c *Caller) checkEffect(raw []byte, err error) ResultKind {
 	var e fake.Effect
 	switch {
 	case err != nil:
 		return Broken
 	case json.Unmarshal(raw, &e) != nil:
-		return Short
+		return Truncated
 	case e.Action != c.Name:
-		return Mistaken
+		return Misdelivered
 	}
-	return Whole
+	return Complete
 }
 
-func (c *Caller) judgeStream(raw []byte, err error) Verdict {
+func (c *Caller) checkStream(raw []byte, err error) ResultKind {
 	check := fake.Checker{Seed: fake.Seed(c.Chat, c.body())}
 	raw, failed := cutFailure(raw)
 	if _, foreign := check.Write(raw); foreign != nil {
-		return Mistaken
+		return Misdelivered
 	}
 	switch {
 	case check.Done != nil:
-		return Whole
+		return Complete
 	case err != nil || failed:
 		return Broken
 	}
-	return Short
+	return Truncated
 }
 
-// ran is how often a key has run, at all targets.
-func (c *Caller) ran(key string) int {
+// countRuns is how often a key has run, at all targets.
+func (c *Caller) countRuns(key string) int {
 	n := 0
 	for _, node := range c.Stack.Nodes {
 		for _, e := range node.Executions() {
--- a/matrix/caller_test.go
+++ b/matrix/caller_test.go
@@ -23,12 +23,12 @@
 		if raw != "" && !strings.HasSuffix(raw, "\n") {
 			raw += "\n"
 		}
-		assert.Equal(t, c.judgeStream([]byte(raw+broken), nil), Broken, "cut at byte %d", i)
+		assert.Equal(t, c.checkStream([]byte(raw+broken), nil), Broken, "cut at byte %d", i)
 	}
-	assert.Equal(t, c.judgeStream([]byte(whole), nil), Whole)
-	assert.Equal(t, c.judgeStream([]byte(whole[:len(whole)/2]), nil), Short)
+	assert.Equal(t, c.checkStream([]byte(whole), nil), Complete)
+	assert.Equal(t, c.checkStream([]byte(whole[:len(whole)/2]), nil), Truncated)
 	foreign := strings.Replace(whole, "data: ", "data: f", 1)
-	assert.Equal(t, c.judgeStream([]byte(foreign+broken), nil), Mistaken)
+	assert.Equal(t, c.checkStream([]byte(foreign+broken), nil), Misdelivered)
 }
 
 // engineAnswer is what an engine sends to the caller.
--- a/matrix/halt.go
+++ b/matrix/halt.go
@@ -9,22 +9,22 @@
 
 // The steps, in the order of a request's life.
 const (
-	StepMint   Step = "mint"   // tickets are minted, the caller has not seen them
-	StepOffer  Step = "offer"  // the offer was sent, the agent has not read it
-	StepAccept Step = "accept" // the agent accepted, the entry has not heard
-	StepBody   Step = "body"   // the body was sent, the agent has not read its end
-	StepStart  Step = "start"  // the target has the request and did nothing yet
-	StepSpent  Step = "spent"  // the action took effect, nobody has heard
-	StepFirst  Step = "first"  // the first byte left the agent
-	StepMiddle Step = "middle" // some of the answer left the agent
-	StepLast   Step = "last"   // all but the last frame left the agent
-	StepLost   Step = "lost"   // all left the agent, the caller has got nothing
-	StepOrder  Step = "order"  // an order was sent, the engine has not read it
-	StepDrain  Step = "drain"  // as middle, and the agent has just begun to drain
+	StepMint     Step = "mint"   // tickets are minted, the caller has not seen them
+	StepOffer    Step = "offer"  // the offer was sent, the agent has not read it
+	StepAccept   Step = "accept" // the agent accepted, the entry has not heard
+	StepBody     Step = "body"   // the body was sent, the agent has not read its end
+	StepStart    Step = "start"  // the target has the request and did nothing yet
+	StepExecuted Step = "spent"  // the action took effect, nobody has heard
+	StepFirst    Step = "first"  // the first byte left the agent
+	StepMiddle   Step = "middle" // some of the answer left the agent
+	StepLast     Step = "last"   // all but the last frame left the agent
+	StepLost     Step = "lost"   // all left the agent, the caller has got nothing
+	StepOrder    Step = "order"  // an order was sent, the engine has not read it
+	StepDrain    Step = "drain"  // as middle, and the agent has just begun to drain
 )
 
-// Halt stops the first request that comes to the armed step.
-type Halt struct {
+// Breakpoint stops the first request that comes to the armed step.
+type Breakpoint struct {
 	mu      sync.Mutex
 	at      Step
 	target  string
@@ -43,8 +43,8 @@
 	return true
 }
 
-// Arm makes the next request that comes to the step stop there.
-func (h *Halt) Arm(at Step) {
+// Set makes the next request that comes to the step stop there.
+func (h *Breakpoint) Set(at Step) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at = at
@@ -53,8 +53,8 @@
 	h.accepted = make(map[string]bool)
 }
 
-// Accept is called when an entry has read a target's accept.
-func (h *Halt) Accept(target string) {
+// MarkAccepted is called when an entry has read a target's accept.
+func (h *Breakpoint) MarkAccepted(target string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.accepted != nil {
@@ -62,15 +62,15 @@
 	}
 }
 
-// Accepted reports whether an entry has read the target's accept since Arm.
-func (h *Halt) Accepted(target string) bool {
+// IsAccepted reports whether an entry has read the target's accept since Arm.
+func (h *Breakpoint) IsAccepted(target string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.accepted[target]
 }
 
 // Reach is called where a step is; it blocks when the step is armed.
-func (h *Halt) Reach(at Step, target string) {
+func (h *Breakpoint) Reach(at Step, target string) {
 	h.mu.Lock()
 	if h.at != at {
 		h.mu.Unlock()
@@ -85,21 +85,21 @@
 }
 
 // Reached is closed once a request stands at the step.
-func (h *Halt) Reached() <-chan struct{} {
+func (h *Breakpoint) Reached() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reached
 }
 
 // Target is where the request stands.
-func (h *Halt) Target() string {
+func (h *Breakpoint) Target() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.target
 }
 
 // Release lets the request go on. Arm must have come before.
-func (h *Halt) Release() {
+func (h *Breakpoint) Release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at = ""
--- a/matrix/hook.go
+++ b/matrix/hook.go
@@ -19,8 +19,8 @@
 
 // hooks stops requests on their way through one agent.
 type hooks struct {
-	halt   *Halt
-	target string
+	breakpoint *Breakpoint
+	target     string
 	// acceptDelay keeps the agent's accepts back.
 	acceptDelay time.Duration
 	// joinDelay keeps those back that join a run.
@@ -29,8 +29,8 @@
 	endDelay time.Duration
 	// probes counts what the agent asked of the target's controls.
 	probes atomic.Int64
-	// busy counts the requests and orders that the target has not seen the end of.
-	busy atomic.Int64
+	// inFlight counts the requests and orders that the target has not seen the end of.
+	inFlight atomic.Int64
 }
 
 func (h *hooks) stream(srv any, st grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
@@ -40,7 +40,7 @@
 func (h *hooks) unary(ctx context.Context, rq any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	reply, err := next(ctx, rq)
 	if _, ok := reply.(*wire.MintReply); ok && err == nil {
-		h.halt.Reach(StepMint, h.target)
+		h.breakpoint.Reach(StepMint, h.target)
 	}
 	return reply, err
 }
@@ -59,10 +59,10 @@
 	}
 	up, _ := m.(*wire.Up)
 	if up.GetOffer() != nil {
-		s.halt.Reach(StepOffer, s.target)
+		s.breakpoint.Reach(StepOffer, s.target)
 	}
 	if up.GetBody().GetLast() {
-		s.halt.Reach(StepBody, s.target)
+		s.breakpoint.Reach(StepBody, s.target)
 	}
 	return nil
 }
@@ -75,10 +75,10 @@
 		if down.GetAccept().Joined {
 			time.Sleep(s.joinDelay)
 		}
-		s.halt.Reach(StepAccept, s.target)
+		s.breakpoint.Reach(StepAccept, s.target)
 	}
 	if down.GetLast() != nil {
-		s.halt.Reach(StepLast, s.target)
+		s.breakpoint.Reach(StepLast, s.target)
 	}
 	err := s.ServerStream.SendMsg(m)
 	s.sent(down)
@@ -88,16 +88,16 @@
 func (s *hookedStream) sent(down *wire.Down) {
 	switch {
 	case down.GetLast() != nil:
-		s.halt.Reach(StepLost, s.target)
+		s.breakpoint.Reach(StepLost, s.target)
 	case down.GetFrame() == nil:
 		return
 	}
 	n := s.frames.Add(1)
 	if n == 1 {
-		s.halt.Reach(StepFirst, s.target)
+		s.breakpoint.Reach(StepFirst, s.target)
 	}
 	if n == middleFrame {
-		s.halt.Reach(StepMiddle, s.target)
+		s.breakpoint.Reach(StepMiddle, s.target)
 	}
 }
 
@@ -105,11 +105,11 @@
 type hookedTarget struct {
 	http.Handler
 	*hooks
-	// plain says that no agent stands before the target: what would be an
+	// isNaive says that no agent stands before the target: what would be an
 	// offer, an accept and a body is then one step, the request's arrival.
-	plain bool
-	// whole says that the answer is held until the action took effect.
-	whole bool
+	isNaive bool
+	// holdsAnswer says that the answer is held until the action took effect.
+	holdsAnswer bool
 }
 
 // ServeHTTP passes on what comes; requests and orders stop where they should.
@@ -120,8 +120,8 @@
 		t.Handler.ServeHTTP(w, r)
 		return
 	}
-	t.busy.Add(1)
-	defer t.busy.Add(-1)
+	t.inFlight.Add(1)
+	defer t.inFlight.Add(-1)
 	if order {
 		t.order(w, r)
 		return
@@ -130,27 +130,27 @@
 }
 
 func (t *hookedTarget) order(w http.ResponseWriter, r *http.Request) {
-	arrive(r)
-	t.halt.Reach(StepOrder, t.target)
+	readBody(r)
+	t.breakpoint.Reach(StepOrder, t.target)
 	t.Handler.ServeHTTP(w, r)
 }
 
 func (t *hookedTarget) request(w http.ResponseWriter, r *http.Request) {
-	if t.plain {
-		arrive(r)
-		t.halt.Reach(StepOffer, t.target)
-		t.halt.Reach(StepAccept, t.target)
-		t.halt.Reach(StepBody, t.target)
+	if t.isNaive {
+		readBody(r)
+		t.breakpoint.Reach(StepOffer, t.target)
+		t.breakpoint.Reach(StepAccept, t.target)
+		t.breakpoint.Reach(StepBody, t.target)
 	}
-	t.halt.Reach(StepStart, t.target)
-	if !t.whole {
+	t.breakpoint.Reach(StepStart, t.target)
+	if !t.holdsAnswer {
 		t.Handler.ServeHTTP(w, r)
 		t.delayEnd(w)
 		return
 	}
 	held := &heldAnswer{ResponseWriter: w}
 	t.Handler.ServeHTTP(held, r)
-	t.halt.Reach(StepSpent, t.target)
+	t.breakpoint.Reach(StepExecuted, t.target)
 	_, _ = w.Write(held.body.Bytes())
 }
 
@@ -163,9 +163,9 @@
 	time.Sleep(t.endDelay)
 }
 
-// arrive waits for all of a request: one that is stopped here is late or its
+// readBody waits for all of a request: one that is stopped here is late or its
 // answer is lost, but it is not cut as well.
-func arrive(r *http.Request) {
+func readBody(r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
 }
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -20,8 +20,8 @@
 	profile string
 	step    string
 	faults  []string
-	// wanted lists how the caller's last try may end.
-	wanted []string
+	// expected lists how the caller's last try may end.
+	expected []string
 	// runs is the most that the request may have run at all targets together.
 	runs int
 	// naive says what the naive version does in this cell: broken, fine where it
@@ -64,8 +64,8 @@
 type tally struct {
 	mu                                sync.Mutex
 	passed, failed, elsewhere, notRun int
-	tried, broken                     int
-	signs                             map[string]string
+	naiveRuns, naiveFailures          int
+	results                           map[string]string
 }
 
 func (n *tally) add(counter *int) {
@@ -74,11 +74,11 @@
 	*counter++
 }
 
-// sign notes how a cell ended, for the printed matrix.
-func (n *tally) sign(c cell, sign string) {
+// setResult notes how a cell ended, for the printed matrix.
+func (n *tally) setResult(c cell, sign string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.signs[c.name()] = sign
+	n.results[c.name()] = sign
 }
 
 // print writes a table for each profile, a row for each fault, a column for
@@ -91,7 +91,7 @@
 		for _, f := range faults {
 			fmt.Fprint(w, f)
 			for _, step := range steps {
-				fmt.Fprint(w, "\t", n.signs[profile+"/"+step+"/"+f])
+				fmt.Fprint(w, "\t", n.results[profile+"/"+step+"/"+f])
 			}
 			fmt.Fprintln(w)
 		}
@@ -120,60 +120,60 @@
 // A cell passes when the far end agrees: what ran, how often, and what bytes
 // the caller got. The same cell shows what the naive version makes of it.
 func TestMatrix(t *testing.T) {
-	n := &tally{signs: make(map[string]string)}
+	n := &tally{results: make(map[string]string)}
 	cells := readCells(t)
 	t.Run("cell", func(t *testing.T) {
 		for _, c := range cells {
 			t.Run(c.name(), func(t *testing.T) {
 				t.Parallel()
-				n.cell(t, c)
+				n.runCell(t, c)
 			})
 		}
 	})
 	n.print(cells)
 	fmt.Printf("fault matrix: %d cells passed, %d failed, %d run elsewhere, %d not run; the naive version broke %d of %d\n",
-		n.passed, n.failed, n.elsewhere, n.notRun, n.broken, n.tried)
+		n.passed, n.failed, n.elsewhere, n.notRun, n.naiveFailures, n.naiveRuns)
 }
 
-func (n *tally) cell(t *testing.T, c cell) {
-	switch c.wanted[0] {
+func (n *tally) runCell(t *testing.T, c cell) {
+	switch c.expected[0] {
 	case elsewhere:
 		n.add(&n.elsewhere)
-		n.sign(c, "else")
+		n.setResult(c, "else")
 		t.Skip("run by package faults")
 	case notRun:
 		n.add(&n.notRun)
-		n.sign(c, "notrun")
+		n.setResult(c, "notrun")
 		t.Skip("not run")
 	}
-	if err := c.play(func() *Stack { return &Stack{} }); err != nil {
+	if err := c.runOn(func() *Stack { return &Stack{} }); err != nil {
 		n.add(&n.failed)
-		n.sign(c, "FAIL")
+		n.setResult(c, "FAIL")
 		t.Errorf("%s: %v", c.name(), err)
 	} else {
 		n.add(&n.passed)
-		n.sign(c, "ok")
+		n.setResult(c, "ok")
 	}
 	n.compare(t, c)
 }
 
-// stagings is how often a cell is staged until its step comes.
-const stagings = 5
+// maxScenarioTries is how often a cell is staged until its step comes.
+const maxScenarioTries = 5
 
-// play plays the cell. On a busy machine the pieces of an answer run together,
+// runOn plays the cell. On a busy machine the pieces of an answer run together,
 // and a request may pass a step in the middle without standing there: then the
 // fault has not happened, the play shows nothing either way, and the cell is
 // staged anew.
-func (c cell) play(stack func() *Stack) error {
-	return restage(func() *play { return &play{cell: c, stack: stack()} })
+func (c cell) runOn(stack func() *Stack) error {
+	return retryScenario(func() *scenario { return &scenario{cell: c, stack: stack()} })
 }
 
-// restage runs new plays until one comes to its step.
-func restage(stage func() *play) error {
+// retryScenario runs new plays until one comes to its step.
+func retryScenario(stage func() *scenario) error {
 	var err error
-	for range stagings {
+	for range maxScenarioTries {
 		err = stage().run()
-		var missed ErrStep
+		var missed ErrStepNotReached
 		if !errors.As(err, &missed) {
 			return err
 		}
@@ -188,10 +188,10 @@
 	if c.naive == "-" {
 		return
 	}
-	n.add(&n.tried)
-	err := c.play(func() *Stack { return &Stack{Naive: true} })
+	n.add(&n.naiveRuns)
+	err := c.runOn(func() *Stack { return &Stack{Naive: true} })
 	if err != nil {
-		n.add(&n.broken)
+		n.add(&n.naiveFailures)
 		t.Log("naive version:", err)
 	}
 	if c.naive == "broken" {
--- a/matrix/naive.go
+++ b/matrix/naive.go
@@ -10,10 +10,10 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// naive is what the fleet is compared with: a plain pass-through that spreads
+// naiveProxy is what the fleet is compared with: a plain pass-through that spreads
 // by hash and repeats at the next target when something went wrong.
-type naive struct {
-	halt *Halt
+type naiveProxy struct {
+	breakpoint *Breakpoint
 	// targets lists the addresses of each model's targets.
 	targets map[string][]address
 }
@@ -24,7 +24,7 @@
 }
 
 // ServeHTTP passes a request on.
-func (n *naive) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *naiveProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -42,7 +42,7 @@
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-func (n *naive) try(w http.ResponseWriter, r *http.Request, a address, body []byte) bool {
+func (n *naiveProxy) try(w http.ResponseWriter, r *http.Request, a address, body []byte) bool {
 	rq, err := http.NewRequestWithContext(r.Context(), r.Method, a.url+r.URL.Path, bytes.NewReader(body))
 	if err != nil {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-func (n *naive) copy(w http.ResponseWriter, body io.Reader, target string) {
+func (n *naiveProxy) copy(w http.ResponseWriter, body io.Reader, target string) {
 	piece := make([]byte, 1<<10)
 	var err error
 	for i := 1; err == nil; i++ {
@@ -71,12 +71,12 @@
 		_, _ = w.Write(piece[:k])
 		_ = http.NewResponseController(w).Flush()
 		if i == 1 {
-			n.halt.Reach(StepFirst, target)
+			n.breakpoint.Reach(StepFirst, target)
 		}
 		if i == middleFrame {
-			n.halt.Reach(StepMiddle, target)
+			n.breakpoint.Reach(StepMiddle, target)
 		}
 	}
-	n.halt.Reach(StepLast, target)
-	n.halt.Reach(StepLost, target)
+	n.breakpoint.Reach(StepLast, target)
+	n.breakpoint.Reach(StepLost, target)
 }
--- a/matrix/order_test.go
+++ b/matrix/order_test.go
@@ -23,7 +23,7 @@
 
 // runOrder stops an order right before the engine, lets the faults happen, and
 // lets it arrive once the agent has got through what it still has to say.
-func (p *play) runOrder() error {
+func (p *scenario) runOrder() error {
 	unfenced := p.stack.Naive
 	p.stack.Naive = false
 	if err := p.stack.Start(); err != nil {
@@ -32,15 +32,15 @@
 	defer p.stack.Close()
 	n := p.stack.node(orderNode)
 	n.Engine.Fenced = !unfenced
-	p.stack.Halt.Arm(StepOrder)
-	release := sync.OnceFunc(p.stack.Halt.Release)
+	p.stack.Breakpoint.Set(StepOrder)
+	release := sync.OnceFunc(p.stack.Breakpoint.Release)
 	defer release() // the stack can't be closed while an order stands at the step
-	if err := p.tell("first"); err != nil {
+	if err := p.publishOrder("first"); err != nil {
 		return err
 	}
 	select {
-	case <-p.stack.Halt.Reached():
-	case <-time.After(stepLimit):
+	case <-p.stack.Breakpoint.Reached():
+	case <-time.After(stepTimeout):
 		return errors.New("the order never came")
 	}
 	for _, f := range p.faults {
@@ -50,29 +50,29 @@
 	}
 	if slices.Contains(p.faults, "kill") {
 		// The next life speaks while the order of the former is on its way.
-		if err := until(func() bool { return len(p.obeyed(n)) > 0 }, "the next life's order"); err != nil {
+		if err := waitFor(func() bool { return len(p.executedOrders(n)) > 0 }, "the next life's order"); err != nil {
 			return err
 		}
 	}
 	release()
-	return p.judgeOrder(n)
+	return p.checkOrders(n)
 }
 
-// judgeOrder wants the newest published order to come last, and no older one
+// checkOrders wants the newest published order to come last, and no older one
 // after a newer.
-func (p *play) judgeOrder(n *Node) error {
+func (p *scenario) checkOrders(n *Node) error {
 	last := func() bool {
-		list := p.obeyed(n)
-		return len(list) > 0 && list[len(list)-1].Name == p.told.Name
+		list := p.executedOrders(n)
+		return len(list) > 0 && list[len(list)-1].Name == p.lastOrder.Name
 	}
-	if err := until(last, "the newest order is the last"); err != nil {
-		return errors.Wrapf(err, "%v", p.obeyed(n))
+	if err := waitFor(last, "the newest order is the last"); err != nil {
+		return errors.Wrapf(err, "%v", p.executedOrders(n))
 	}
 	// The order that was stopped has arrived when its handler has ended.
-	if err := until(func() bool { return n.hooks.busy.Load() == 0 }, "all orders arrive"); err != nil {
+	if err := waitFor(func() bool { return n.hooks.inFlight.Load() == 0 }, "all orders arrive"); err != nil {
 		return err
 	}
-	list := p.obeyed(n)
+	list := p.executedOrders(n)
 	for i := 1; i < len(list); i++ {
 		if list[i].Fence < list[i-1].Fence {
 			return errors.Newf("an older order came after a newer: %v", list)
@@ -81,9 +81,9 @@
 	return nil
 }
 
-// obeyed is the engine's own list of the orders that it followed.
-func (p *play) obeyed(n *Node) []fake.Order {
-	rs, err := http.Get(n.back.URL + "/control/orders")
+// executedOrders is the engine's own list of the orders that it followed.
+func (p *scenario) executedOrders(n *Node) []fake.Order {
+	rs, err := http.Get(n.targetServer.URL + "/control/orders")
 	if err != nil {
 		return nil
 	}
@@ -93,13 +93,13 @@
 	return list
 }
 
-// tell publishes what the engine shall have been told.
-func (p *play) tell(name string) error {
-	p.told = chestnutstep.Order{Kind: chestnutstep.OrderRole, Name: name}
+// publishOrder publishes what the engine shall have been told.
+func (p *scenario) publishOrder(name string) error {
+	p.lastOrder = chestnutstep.Order{Kind: chestnutstep.OrderRole, Name: name}
 	return p.stack.Publish(func(pub *chestnutstep.Publication) {
 		for i := range pub.Targets {
 			if t := &pub.Targets[i]; t.Name == orderNode {
-				t.Orders = []chestnutstep.Order{p.told}
+				t.Orders = []chestnutstep.Order{p.lastOrder}
 				t.Fenced = true
 			}
 		}
--- a/matrix/play_test.go
+++ b/matrix/play_test.go
@@ -14,50 +14,52 @@
 	"chestnutstep.example/chestnutstep/pipe"
 )
 
-// ErrStep says that the request was over before it came to the step.
-type ErrStep struct {
+// ErrStepNotReached says that the request was over before it came to the step.
+type ErrStepNotReached struct {
 	Step  Step
 	Tries []Attempt
 }
 
 // Error names the step.
-func (err ErrStep) Error() string { return fmt.Sprintf("step %s never came: %v", err.Step, err.Tries) }
+func (err ErrStepNotReached) Error() string {
+	return fmt.Sprintf("step %s never came: %v", err.Step, err.Tries)
+}
 
-// play is one run of a cell, by the fleet or by the naive version.
-type play struct {
+// scenario is one run of a cell, by the fleet or by the naive version.
+type scenario struct {
 	cell
-	stack  *Stack
-	caller *Caller
-	tries  []Attempt
+	stack    *Stack
+	caller   *Caller
+	attempts []Attempt
 	// awaitAccept keeps the faults back until the entry has read the accept.
 	awaitAccept bool
-	// limit is that of each of the caller's tries, tryTime when 0; pause is between them.
-	limit time.Duration
-	pause time.Duration
-	// late keeps the request at its step until the caller's first try is over.
-	late bool
-	// lossy says that links lost bytes and have to be broken at the end.
-	lossy bool
-	// thaw is done when the caller's first try is over.
-	thaw []func()
-	// gone is the failure domain that was taken out.
-	gone string
-	// before counts each target's executions when the domain was out.
-	before map[string]int
-	// later is done once the caller has finished.
-	later []func() error
-	// told is the order that was published last.
-	told chestnutstep.Order
+	// timeout is that of each of the caller's tries, tryTime when 0; pause is between them.
+	timeout time.Duration
+	pause   time.Duration
+	// untilFirstAttempt keeps the request at its step until the caller's first try is over.
+	untilFirstAttempt bool
+	// breaksLinks says that links lost bytes and have to be broken at the end.
+	breaksLinks bool
+	// heals is done when the caller's first try is over.
+	heals []func()
+	// domainOut is the failure domain that was taken out.
+	domainOut string
+	// startedBefore counts each target's executions when the domain was out.
+	startedBefore map[string]int
+	// followUps is done once the caller has finished.
+	followUps []func() error
+	// lastOrder is the order that was published last.
+	lastOrder chestnutstep.Order
 }
 
 const (
-	tryTime = 2 * time.Second
-	tries   = 5
-	// stepLimit bounds the wait for the step, and for the caller to finish.
-	stepLimit = 30 * time.Second
+	attemptTimeout = 2 * time.Second
+	maxTries       = 5
+	// stepTimeout bounds the wait for the step, and for the caller to finish.
+	stepTimeout = 30 * time.Second
 )
 
-func (p *play) run() error {
+func (p *scenario) run() error {
 	if p.profile == profileOrder {
 		return p.runOrder()
 	}
@@ -70,34 +72,34 @@
 			return err
 		}
 	}
-	if err := p.act(); err != nil {
+	if err := p.runCaller(); err != nil {
 		return err
 	}
-	for _, f := range p.later {
+	for _, f := range p.followUps {
 		if err := f(); err != nil {
 			return err
 		}
 	}
-	return p.judge()
+	return p.check()
 }
 
-// act sends the request, stops it at the step, lets the faults happen and
+// runCaller sends the request, stops it at the step, lets the faults happen and
 // waits for the caller to finish.
-func (p *play) act() error {
+func (p *scenario) runCaller() error {
 	at := Step(p.step)
 	if at == StepDrain {
 		p.faults = append([]string{"leave"}, p.faults...)
 		at = StepMiddle
 	}
-	p.stack.Halt.Arm(at)
+	p.stack.Breakpoint.Set(at)
 	if at == StepLost {
-		p.stack.Fronts[0].Hold(pipe.Down)
+		p.stack.EntryRelays[0].Hold(pipe.Down)
 	}
 	first := make(chan struct{})
 	p.caller = &Caller{
 		Stack: p.stack, Profile: p.profile, Chat: "c", Name: "n", Large: at == StepBody,
-		Timeout: cmp.Or(p.limit, tryTime), Tries: tries, Pause: p.pause,
-		Tried: func(i int) {
+		Timeout: cmp.Or(p.timeout, attemptTimeout), MaxTries: maxTries, Pause: p.pause,
+		OnAttempt: func(i int) {
 			if i == 0 {
 				close(first)
 			}
@@ -106,69 +108,69 @@
 	done := make(chan []Attempt, 1)
 	go func() { done <- p.caller.Run() }()
 	select {
-	case <-p.stack.Halt.Reached():
+	case <-p.stack.Breakpoint.Reached():
 	case tries := <-done:
-		return ErrStep{Step: at, Tries: tries}
-	case <-time.After(stepLimit):
+		return ErrStepNotReached{Step: at, Tries: tries}
+	case <-time.After(stepTimeout):
 		return errors.Newf("step %s never came: %v", at, <-done)
 	}
 	if p.awaitAccept && !p.accepted(at) {
-		p.stack.Halt.Release()
-		return ErrStep{Step: at, Tries: <-done}
+		p.stack.Breakpoint.Release()
+		return ErrStepNotReached{Step: at, Tries: <-done}
 	}
-	if err := p.strike(at, first); err != nil {
+	if err := p.injectFaults(at, first); err != nil {
 		return err
 	}
 	<-first
-	for _, f := range p.thaw {
+	for _, f := range p.heals {
 		f()
 	}
-	n := p.stack.Halted()
-	n.Links[0].Heal()
-	if p.lossy {
-		n.Links[0].CloseConnections()
+	n := p.stack.HaltedNode()
+	n.AgentRelays[0].Heal()
+	if p.breaksLinks {
+		n.AgentRelays[0].CloseConnections()
 	}
-	p.tries = <-done
+	p.attempts = <-done
 	return nil
 }
 
 // accepted waits until the entry has read the accept of the target where the
 // request stands, if the step comes after it.
-func (p *play) accepted(at Step) bool {
+func (p *scenario) accepted(at Step) bool {
 	if !at.afterAccept() {
 		return true
 	}
-	target := p.stack.Halt.Target()
-	return until(func() bool { return p.stack.Halt.Accepted(target) }, "the entry reads the accept") == nil
+	target := p.stack.Breakpoint.Target()
+	return waitFor(func() bool { return p.stack.Breakpoint.IsAccepted(target) }, "the entry reads the accept") == nil
 }
 
-// strike lets the faults happen and the request go on.
-func (p *play) strike(at Step, first <-chan struct{}) error {
-	defer p.stack.Halt.Release()
-	n := p.stack.Halted()
+// injectFaults lets the faults happen and the request go on.
+func (p *scenario) injectFaults(at Step, first <-chan struct{}) error {
+	defer p.stack.Breakpoint.Release()
+	n := p.stack.HaltedNode()
 	if slices.Contains(p.faults, "restart") && !slices.Contains(p.faults, "repeat") {
-		p.stack.CondemnEntries()
+		p.stack.FailEntryLinks()
 	}
 	for _, f := range p.faults {
 		if err := faults[f](p, n); err != nil {
 			return err
 		}
 	}
-	if p.gone != "" {
-		p.before = p.started()
+	if p.domainOut != "" {
+		p.startedBefore = p.countStarted()
 	}
 	if at == StepLost {
-		p.stack.Fronts[0].CloseConnections()
-		p.stack.Fronts[0].Heal()
+		p.stack.EntryRelays[0].CloseConnections()
+		p.stack.EntryRelays[0].Heal()
 	}
-	if p.late {
+	if p.untilFirstAttempt {
 		<-first
 	}
 	return nil
 }
 
-// started counts the executions at each target.
-func (p *play) started() map[string]int {
+// countStarted counts the executions at each target.
+func (p *scenario) countStarted() map[string]int {
 	m := make(map[string]int)
 	for _, n := range p.stack.Nodes {
 		m[n.Name] = len(n.Executions())
@@ -177,32 +179,32 @@
 }
 
 // warm serves engines until they and their agents count as warm.
-func (p *play) warm() error {
+func (p *scenario) warm() error {
 	for i := range 200 {
-		c := Caller{Stack: p.stack, Profile: ProfileChat, Chat: fmt.Sprint("warm-", i), Name: fmt.Sprint("warm", i), Timeout: tryTime, Tries: 1}
+		c := Caller{Stack: p.stack, Profile: ProfileChat, Chat: fmt.Sprint("warm-", i), Name: fmt.Sprint("warm", i), Timeout: attemptTimeout, MaxTries: 1}
 		c.Run()
-		if p.warmed() {
-			return p.probed()
+		if p.isWarm() {
+			return p.awaitProbes()
 		}
 	}
 	return errors.New("the engines never got warm")
 }
 
-// probed waits until each agent has read its warm target's report.
-func (p *play) probed() error {
+// awaitProbes waits until each agent has read its warm target's report.
+func (p *scenario) awaitProbes() error {
 	if p.stack.Naive {
 		return nil
 	}
 	for _, n := range p.stack.Nodes {
 		seen := n.Probes()
-		if err := until(func() bool { return n.Probes() > seen+1 }, "the agent probes"); err != nil {
+		if err := waitFor(func() bool { return n.Probes() > seen+1 }, "the agent probes"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *play) warmed() bool {
+func (p *scenario) isWarm() bool {
 	for _, n := range p.stack.Nodes {
 		if n.Engine == nil {
 			continue
@@ -214,23 +216,23 @@
 	return true
 }
 
-// judge compares what the caller got with what the far end logged.
-func (p *play) judge() error {
-	if err := until(p.rested, "all runs end"); err != nil {
+// check compares what the caller got with what the far end logged.
+func (p *scenario) check() error {
+	if err := waitFor(p.isIdle, "all runs end"); err != nil {
 		return err
 	}
-	if err := p.judgeTries(); err != nil {
+	if err := p.checkAttempts(); err != nil {
 		return err
 	}
-	if err := p.judgeRuns(); err != nil {
+	if err := p.checkRuns(); err != nil {
 		return err
 	}
-	return p.judgeDomain()
+	return p.checkDomain()
 }
 
-func (p *play) rested() bool {
+func (p *scenario) isIdle() bool {
 	for _, n := range p.stack.Nodes {
-		if n.hooks.busy.Load() > 0 {
+		if n.hooks.inFlight.Load() > 0 {
 			return false
 		}
 		for _, e := range n.Executions() {
@@ -242,40 +244,40 @@
 	return true
 }
 
-func (p *play) judgeTries() error {
+func (p *scenario) checkAttempts() error {
 	ran := 0
-	for _, a := range p.tries {
-		if a.Verdict == Short || a.Verdict == Mistaken {
-			return errors.Newf("the caller was given a wrong answer: %v", p.tries)
+	for _, a := range p.attempts {
+		if a.Kind == Truncated || a.Kind == Misdelivered {
+			return errors.Newf("the caller was given a wrong answer: %v", p.attempts)
 		}
-		if a.Run == chestnutstep.RunNo && a.Ran > ran {
-			return errors.Newf("\"not run\" was untrue: %v", p.tries)
+		if a.Run == chestnutstep.RunNo && a.Runs > ran {
+			return errors.Newf("\"not run\" was untrue: %v", p.attempts)
 		}
-		if a.Run == chestnutstep.RunNo && p.profile == ProfileBook && p.caller.ran(a.Key) > 0 {
-			return errors.Newf("\"not run\" did not stay true: %v", p.tries)
+		if a.Run == chestnutstep.RunNo && p.profile == ProfileBook && p.caller.countRuns(a.Key) > 0 {
+			return errors.Newf("\"not run\" did not stay true: %v", p.attempts)
 		}
-		ran = a.Ran
+		ran = a.Runs
 	}
-	if last := ended(p.tries[len(p.tries)-1]); !slices.Contains(p.wanted, last) {
-		return errors.Newf("ended %s, wanted %v: %v", last, p.wanted, p.tries)
+	if last := endOf(p.attempts[len(p.attempts)-1]); !slices.Contains(p.expected, last) {
+		return errors.Newf("ended %s, wanted %v: %v", last, p.expected, p.attempts)
 	}
 	return nil
 }
 
-// ended names how the last try left its caller.
-func ended(a Attempt) string {
+// endOf names how the last try left its caller.
+func endOf(a Attempt) string {
 	switch {
-	case a.Verdict == Whole:
+	case a.Kind == Complete:
 		return "whole"
-	case a.Verdict == Refused && a.Run == chestnutstep.RunNo:
+	case a.Kind == Refused && a.Run == chestnutstep.RunNo:
 		return "refused"
 	default:
 		return "unknown"
 	}
 }
 
-// judgeRuns counts the request's executions, under whatever key.
-func (p *play) judgeRuns() error {
+// checkRuns counts the request's executions, under whatever key.
+func (p *scenario) checkRuns() error {
 	n := 0
 	var trace []string
 	for _, node := range p.stack.Nodes {
@@ -287,25 +289,25 @@
 		}
 	}
 	if n > p.runs {
-		return errors.Newf("ran %d times, wanted %d at most: %v; %s", n, p.runs, p.tries, strings.Join(trace, "; "))
+		return errors.Newf("ran %d times, wanted %d at most: %v; %s", n, p.runs, p.attempts, strings.Join(trace, "; "))
 	}
 	return nil
 }
 
-// judgeDomain sends new work and looks where it went.
-func (p *play) judgeDomain() error {
-	if p.gone == "" {
+// checkDomain sends new work and looks where it went.
+func (p *scenario) checkDomain() error {
+	if p.domainOut == "" {
 		return nil
 	}
 	for i := range 8 {
-		c := Caller{Stack: p.stack, Profile: p.profile, Chat: fmt.Sprint("new-", i), Name: fmt.Sprint("new", i), Timeout: tryTime, Tries: 2}
+		c := Caller{Stack: p.stack, Profile: p.profile, Chat: fmt.Sprint("new-", i), Name: fmt.Sprint("new", i), Timeout: attemptTimeout, MaxTries: 2}
 		c.Run()
 	}
 	for _, n := range p.stack.Nodes {
-		if n.Domain != p.gone {
+		if n.Domain != p.domainOut {
 			continue
 		}
-		for _, e := range n.Executions()[p.before[n.Name]:] {
+		for _, e := range n.Executions()[p.startedBefore[n.Name]:] {
 			if strings.HasPrefix(e.Request, "new") {
 				return errors.Newf("new work went to the domain that is out: %v", e)
 			}
--- a/matrix/stack.go
+++ b/matrix/stack.go
@@ -52,27 +52,27 @@
 	Engine  *fake.Engine
 	Service *fake.Service
 	Agent   *agent.Agent
-	// Links are the ways from each entry to the agent, Back the one from the
+	// AgentRelays are the ways from each entry to the agent, Back the one from the
 	// agent to its target. In a naive stack the links end at the target.
-	Links [Entries]*pipe.Relay
-	Back  *pipe.Relay
+	AgentRelays [Entries]*pipe.Relay
+	TargetRelay *pipe.Relay
 
-	hooks *hooks
-	back  *httptest.Server
-	lives int
-	stop  func()
+	hooks        *hooks
+	targetServer *httptest.Server
+	incarnation  int
+	stop         func()
 }
 
 // Probes counts how often the agent has asked its target for a report.
 func (n *Node) Probes() int64 { return n.hooks.probes.Load() }
 
-// Misbehave puts a fault of the target in force.
-func (n *Node) Misbehave(f fake.Fault) {
+// SetFault puts a fault of the target in force.
+func (n *Node) SetFault(f fake.Fault) {
 	if n.Engine != nil {
-		n.Engine.Misbehave(f)
+		n.Engine.SetFault(f)
 		return
 	}
-	n.Service.Misbehave(f)
+	n.Service.SetFault(f)
 }
 
 // Executions is the target's own log.
@@ -100,23 +100,23 @@
 	// JoinDelay keeps back those that join a run.
 	JoinDelay time.Duration
 	// EndDelay keeps the end of each engine's answer back, behind its last byte.
-	EndDelay time.Duration
-	Halt     Halt
-	Nodes    []*Node
-	// Fronts are the ways from callers to each entry.
-	Fronts [Entries]*pipe.Relay
+	EndDelay   time.Duration
+	Breakpoint Breakpoint
+	Nodes      []*Node
+	// EntryRelays are the ways from callers to each entry.
+	EntryRelays [Entries]*pipe.Relay
 
 	// Store is what is in force at all processes.
 	Store config.Store
 
-	// began is when the host of all processes started.
-	began   time.Time
-	mu      sync.Mutex
-	pub     chestnutstep.Publication
-	views   [Entries + 1]*chestnutstep.View
-	entries [Entries]*httptest.Server
-	pools   [Entries]*mortal
-	closers []func()
+	// startedAt is when the host of all processes started.
+	startedAt time.Time
+	mu        sync.Mutex
+	pub       chestnutstep.Publication
+	views     [Entries + 1]*chestnutstep.View
+	entries   [Entries]*httptest.Server
+	pools     [Entries]*killablePool
+	closers   []func()
 }
 
 // agentView is the place in views of what agents see; entries see the
@@ -125,7 +125,7 @@
 
 // Start brings everything up.
 func (s *Stack) Start() error {
-	s.began = time.Now()
+	s.startedAt = time.Now()
 	s.pub = publication()
 	for _, n := range []*Node{
 		{Name: "chat-a", Model: ProfileChat, Domain: "a", Engine: newEngine()},
@@ -137,14 +137,14 @@
 			return err
 		}
 	}
-	s.Store.OnChange = append(s.Store.OnChange, s.changed)
+	s.Store.OnChange = append(s.Store.OnChange, s.applyChange)
 	if err := s.Publish(func(*chestnutstep.Publication) {}); err != nil {
 		return err
 	}
-	for i := range s.Fronts {
+	for i := range s.EntryRelays {
 		s.startEntry(i)
-		s.Fronts[i] = &pipe.Relay{Backend: s.entries[i].Listener.Addr().String()}
-		if err := s.startRelay(s.Fronts[i]); err != nil {
+		s.EntryRelays[i] = &pipe.Relay{Backend: s.entries[i].Listener.Addr().String()}
+		if err := s.startRelay(s.EntryRelays[i]); err != nil {
 			return err
 		}
 	}
@@ -161,7 +161,7 @@
 func (s *Stack) onClose(f func()) { s.closers = append(s.closers, f) }
 
 func newEngine() *fake.Engine {
-	return &fake.Engine{Base: 2 * time.Millisecond, Cold: coldLoad, Warm: warmAfter, Restart: 50 * time.Millisecond}
+	return &fake.Engine{BaseStep: 2 * time.Millisecond, ColdCapacity: coldLoad, WarmupRequests: warmAfter, RestartTime: 50 * time.Millisecond}
 }
 
 func publication() chestnutstep.Publication {
@@ -193,16 +193,16 @@
 }
 
 func (s *Stack) addNode(n *Node) error {
-	n.hooks = &hooks{halt: &s.Halt, target: n.Name, acceptDelay: s.AcceptDelay, joinDelay: s.JoinDelay, endDelay: s.EndDelay}
-	n.back = httptest.NewServer(&hookedTarget{Handler: n.handler(), hooks: n.hooks, plain: s.Naive, whole: n.Service != nil})
-	s.onClose(n.back.Close)
+	n.hooks = &hooks{breakpoint: &s.Breakpoint, target: n.Name, acceptDelay: s.AcceptDelay, joinDelay: s.JoinDelay, endDelay: s.EndDelay}
+	n.targetServer = httptest.NewServer(&hookedTarget{Handler: n.handler(), hooks: n.hooks, isNaive: s.Naive, holdsAnswer: n.Service != nil})
+	s.onClose(n.targetServer.Close)
 	addr, err := s.startAgent(n)
 	if err != nil {
 		return err
 	}
-	for i := range n.Links {
-		n.Links[i] = &pipe.Relay{Backend: addr}
-		if err := s.startRelay(n.Links[i]); err != nil {
+	for i := range n.AgentRelays {
+		n.AgentRelays[i] = &pipe.Relay{Backend: addr}
+		if err := s.startRelay(n.AgentRelays[i]); err != nil {
 			return err
 		}
 	}
@@ -214,21 +214,21 @@
 // startAgent starts the next life of an agent and returns its address. Each
 // life has a way to the target of its own, so that a killed one can't go on.
 func (s *Stack) startAgent(n *Node) (string, error) {
-	n.Back = &pipe.Relay{Backend: n.back.Listener.Addr().String()}
-	if err := s.startRelay(n.Back); err != nil {
+	n.TargetRelay = &pipe.Relay{Backend: n.targetServer.Listener.Addr().String()}
+	if err := s.startRelay(n.TargetRelay); err != nil {
 		return "", err
 	}
 	if s.Naive {
-		return n.Back.Addr(), nil
+		return n.TargetRelay.Addr(), nil
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	n.lives++
+	n.incarnation++
 	reuse, single := agent.Clients()
 	n.Agent = &agent.Agent{
-		Name: n.Name, URL: "http://" + n.Back.Addr(), Incarnation: strconv.Itoa(n.lives), HostUptime: time.Since(s.began),
+		Name: n.Name, URL: "http://" + n.TargetRelay.Addr(), Incarnation: strconv.Itoa(n.incarnation), HostUptime: time.Since(s.startedAt),
 		View: func() *chestnutstep.View { return s.View(agentView) },
 		Gate: &gate.Gate{}, Detector: &crash.Detector{Target: n.Name}, Issuer: &ticket.Issuer{Target: n.Name},
 		Answers: &answer.Store{}, PooledClient: reuse, UnpooledClient: single,
@@ -248,13 +248,13 @@
 // remembered. Its links and its call of the target break, as those of a killed
 // process do.
 func (s *Stack) KillAgent(n *Node) error {
-	n.Back.Stop()
+	n.TargetRelay.Stop()
 	n.stop()
 	addr, err := s.startAgent(n)
 	if err != nil {
 		return err
 	}
-	for _, l := range n.Links {
+	for _, l := range n.AgentRelays {
 		l.SetBackend(addr)
 		l.CloseConnections()
 	}
@@ -271,7 +271,7 @@
 	if s.Naive {
 		return s.newNaive(i)
 	}
-	s.pools[i] = &mortal{Pool: dial.Pool{Credentials: insecure.NewCredentials()}, accept: s.accept}
+	s.pools[i] = &killablePool{Pool: dial.Pool{Credentials: insecure.NewCredentials()}, accept: s.markAccepted}
 	return &entry.Entry{
 		Name: "e", Region: "r", Hosts: noHosts{},
 		View: func() *chestnutstep.View { return s.View(i) },
@@ -287,17 +287,17 @@
 }
 
 func (s *Stack) newNaive(i int) http.Handler {
-	n := &naive{halt: &s.Halt, targets: make(map[string][]address)}
+	n := &naiveProxy{breakpoint: &s.Breakpoint, targets: make(map[string][]address)}
 	for _, d := range s.Nodes {
-		n.targets[d.Model] = append(n.targets[d.Model], address{d.Name, "http://" + d.Links[i].Addr()})
+		n.targets[d.Model] = append(n.targets[d.Model], address{d.Name, "http://" + d.AgentRelays[i].Addr()})
 	}
 	return n
 }
 
-// CondemnEntries lets entries that are about to restart begin nothing new. What
+// FailEntryLinks lets entries that are about to restart begin nothing new. What
 // happens at one step happens at one moment: an entry that reacts to the first
 // fault before the second one strikes it is another play.
-func (s *Stack) CondemnEntries() {
+func (s *Stack) FailEntryLinks() {
 	for _, p := range s.pools {
 		if p != nil {
 			p.dead.Store(true)
@@ -308,12 +308,12 @@
 // RestartEntries kills all entries and starts them anew behind the same
 // addresses. A killed process says no word to anyone: its links just break.
 func (s *Stack) RestartEntries() {
-	for i, f := range s.Fronts {
+	for i, f := range s.EntryRelays {
 		if p := s.pools[i]; p != nil {
 			p.dead.Store(true)
 		}
 		for _, n := range s.Nodes {
-			n.Links[i].CloseConnections()
+			n.AgentRelays[i].CloseConnections()
 		}
 		f.CloseConnections()
 		s.startEntry(i)
@@ -321,8 +321,8 @@
 	}
 }
 
-// mortal is the links of an entry that may be killed.
-type mortal struct {
+// killablePool is the links of an entry that may be killed.
+type killablePool struct {
 	dial.Pool
 	dead atomic.Bool
 	// accept is called with the address of each agent whose accept was read.
@@ -330,7 +330,7 @@
 }
 
 // Conn implements entry.Links.
-func (m *mortal) Conn(addr string) (grpc.ClientConnInterface, error) {
+func (m *killablePool) Conn(addr string) (grpc.ClientConnInterface, error) {
 	if m.dead.Load() {
 		return nil, net.ErrClosed
 	}
@@ -370,12 +370,12 @@
 	return err
 }
 
-// accept notes that an entry has read the accept of the agent behind a link.
-func (s *Stack) accept(addr string) {
+// markAccepted notes that an entry has read the accept of the agent behind a link.
+func (s *Stack) markAccepted(addr string) {
 	for _, n := range s.Nodes {
-		for _, l := range n.Links {
+		for _, l := range n.AgentRelays {
 			if l.Addr() == addr {
-				s.Halt.Accept(n.Name)
+				s.Breakpoint.MarkAccepted(n.Name)
 			}
 		}
 	}
@@ -383,13 +383,13 @@
 
 // Publish puts a changed publication in force under the next version.
 func (s *Stack) Publish(change func(*chestnutstep.Publication)) error {
-	p := s.Next(1, change)
+	p := s.NextPublication(1, change)
 	root, parts := config.Pack(p)
 	return s.Store.Apply(time.Now(), root, parts)
 }
 
-// Next is the publication in force with a change, so many versions later.
-func (s *Stack) Next(versions int, change func(*chestnutstep.Publication)) *chestnutstep.Publication {
+// NextPublication is the publication in force with a change, so many versions later.
+func (s *Stack) NextPublication(versions int, change func(*chestnutstep.Publication)) *chestnutstep.Publication {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := clone(s.pub)
@@ -398,8 +398,8 @@
 	return &p
 }
 
-// changed builds what each process sees of a publication that came into force.
-func (s *Stack) changed(c config.Change) {
+// applyChange builds what each process sees of a publication that came into force.
+func (s *Stack) applyChange(c config.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pub = clone(*c.To.Publication)
@@ -407,7 +407,7 @@
 	for i := range Entries {
 		p := clone(s.pub)
 		for t := range p.Targets {
-			p.Targets[t].Agent = s.node(p.Targets[t].Name).Links[i].Addr()
+			p.Targets[t].Agent = s.node(p.Targets[t].Name).AgentRelays[i].Addr()
 		}
 		s.views[i] = chestnutstep.NewView(&p)
 	}
@@ -438,8 +438,8 @@
 	return nil
 }
 
-// Halted is the node where a request stands.
-func (s *Stack) Halted() *Node { return s.node(s.Halt.Target()) }
+// HaltedNode is the node where a request stands.
+func (s *Stack) HaltedNode() *Node { return s.node(s.Breakpoint.Target()) }
 
 // noHosts knows nothing of hosts: what an entry learns must not matter here.
 type noHosts struct{}
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -27,12 +27,12 @@
 func BenchmarkStore(b *testing.B) {
 	before := heapMB()
 	s := &config.Store{}
-	p := fake.Planned.Publication(1)
+	p := fake.PlannedSize.Publication(1)
 	root, parts := config.Pack(p)
 	assert.NilError(b, s.Apply(time.Now(), root, parts))
 	p, root, parts = nil, nil, nil
 	size := heapMB() - before
-	q := fake.Planned.Publication(1)
+	q := fake.PlannedSize.Publication(1)
 	for b.Loop() {
 		b.StopTimer()
 		q.Version++
@@ -49,7 +49,7 @@
 // BenchmarkTable rebuilds the ranking as an entry does when a publication or the state of hosts
 // changes.
 func BenchmarkTable(b *testing.B) {
-	v := chestnutstep.NewView(fake.Planned.Publication(1))
+	v := chestnutstep.NewView(fake.PlannedSize.Publication(1))
 	n := &Entry{}
 	var t *route.Table
 	for b.Loop() {
@@ -62,7 +62,7 @@
 func BenchmarkAway(b *testing.B) {
 	l := &member.Tracker{}
 	now := time.Now()
-	for _, h := range fake.Planned.Publication(1).Hosts {
+	for _, h := range fake.PlannedSize.Publication(1).Hosts {
 		l.RecordSuccess(now, h.Name)
 	}
 	for b.Loop() {
--- a/node/cacheindex_test.go
+++ b/node/cacheindex_test.go
@@ -38,7 +38,7 @@
 // own address.
 func launchJoining(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
-	d := &direct{door: store.Open(), out: &blockableLog{}, done: make(chan error, 1)}
+	d := &direct{door: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
 	t.Cleanup(d.door.Close)
 	d.settings = directSettings(t, d.door.Address(), seeds...)
 	d.settings.Bootstrap = false
@@ -77,7 +77,7 @@
 	t.Helper()
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publishEngine(store, x)
-	x.Holds("aa11")
+	x.SetCachedParts("aa11")
 	return store, x
 }
 
@@ -109,7 +109,7 @@
 	late := startJoining(t, store, old.settings.PeerAddr)
 	late.sendPrompt(t, "b")
 	assert.Assert(t, late.sentByCachedPrefix(), late.out.text())
-	assert.Equal(t, x.Listed(), 0)
+	assert.Equal(t, x.CacheLists(), 0)
 }
 
 // TestDirectLoadsCacheIndexFromTargets guards against missing cache indexes after all entries lost
@@ -117,13 +117,13 @@
 func TestDirectLoadsCacheIndexFromTargets(t *testing.T) {
 	store, x := newCachedPrefixStore(t)
 	first := startJoining(t, store)
-	assert.Equal(t, x.Listed(), 1)
+	assert.Equal(t, x.CacheLists(), 1)
 	second := startJoining(t, store, first.settings.PeerAddr)
 	first.sendPrompt(t, "a")
 	second.sendPrompt(t, "b")
 	assert.Assert(t, first.sentByCachedPrefix(), first.out.text())
 	assert.Assert(t, second.sentByCachedPrefix(), second.out.text())
-	assert.Equal(t, x.Listed(), 1, "the second entry copies from the first one")
+	assert.Equal(t, x.CacheLists(), 1, "the second entry copies from the first one")
 }
 
 // TestOnlySeedsListTargetCaches guards against every entry of a fleet that lost power listing the
@@ -141,7 +141,7 @@
 		d.sendPrompt(t, string(rune('a'+i)))
 		assert.Assert(t, d.sentByCachedPrefix(), d.out.text())
 	}
-	assert.Equal(t, x.Listed(), 1)
+	assert.Equal(t, x.CacheLists(), 1)
 }
 
 // TestTargetCachesAreListedWithoutSeeds guards against entries that wait indefinitely for a seed
@@ -151,7 +151,7 @@
 	d := startJoining(t, store, node.FreeAddr(t))
 	d.sendPrompt(t, "a")
 	assert.Assert(t, d.sentByCachedPrefix(), d.out.text())
-	assert.Equal(t, x.Listed(), 1)
+	assert.Equal(t, x.CacheLists(), 1)
 }
 
 // TestDeadTargetDoesNotDelayCacheIndex guards against entries without a cache index for seconds
@@ -172,7 +172,7 @@
 // before it has read the list of targets.
 func TestCacheIndexWaitsForTargetList(t *testing.T) {
 	store, x := newCachedPrefixStore(t)
-	door := store.Open()
+	door := store.NewServer()
 	t.Cleanup(door.Close)
 	source := platform.NewStore(door.Address(), link.Dial)
 	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), called: make(chan struct{}), release: make(chan struct{})}
@@ -191,5 +191,5 @@
 	assert.Assert(t, !known())
 	close(slow.release)
 	waitFor(t, known, "the cache index is loaded")
-	assert.Equal(t, x.Listed(), 1)
+	assert.Equal(t, x.CacheLists(), 1)
 }
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -20,7 +20,7 @@
 	var targets []*stand.Target
 	for i := range 6 {
 		x := newTarget(t, fmt.Sprint("i-", i))
-		x.Deadly = &stand.Deadly{Text: "body", Step: stand.AtHead}
+		x.KillRule = &stand.KillRule{Text: "body", Step: stand.AtHead}
 		targets = append(targets, x)
 	}
 	publish(store, 1, []string{"k"}, targets...)
@@ -30,7 +30,7 @@
 func countEndedTargets(targets []*stand.Target) int {
 	n := 0
 	for _, x := range targets {
-		if x.Dead() {
+		if x.IsDead() {
 			n++
 		}
 	}
--- a/node/direct_test.go
+++ b/node/direct_test.go
@@ -28,7 +28,7 @@
 // direct is an entry without agents that runs in the test process.
 type direct struct {
 	settings *config.DirectSettings
-	door     *stand.Door
+	door     *stand.StoreServer
 	out      *blockableLog
 	stop     context.CancelFunc
 	done     chan error
@@ -66,7 +66,7 @@
 
 func startDirect(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
-	d := &direct{door: store.Open(), out: &blockableLog{}, done: make(chan error, 1)}
+	d := &direct{door: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
 	t.Cleanup(d.door.Close)
 	d.settings = directSettings(t, d.door.Address(), seeds...)
 	d.run(t, nil)
@@ -156,7 +156,7 @@
 	publish(store, 1, []string{"k"}, x)
 	d := startDirect(t, store)
 	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
-	d.door.Set(stand.Silent)
+	d.door.SetFailure(stand.Unresponsive)
 	publish(store, 2, []string{"other"})
 	revoked := time.Now()
 	for time.Since(revoked) < 3*time.Second {
@@ -167,7 +167,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	assert.Equal(t, d.ready(), http.StatusServiceUnavailable)
-	d.door.Set(stand.None)
+	d.door.SetFailure(stand.NoFailure)
 	waitFor(t, func() bool { return status(d.post("/book/1", "k", "b")) == http.StatusUnauthorized }, "the key is rejected")
 	assert.Equal(t, status(d.post("/book/1", "other", "c")), http.StatusOK)
 	assert.Assert(t, strings.Contains(d.out.text(), `"source_lost"`))
@@ -183,7 +183,7 @@
 	first := startDirect(t, store)
 	second := startDirect(t, store, first.settings.PeerAddr)
 	waitFor(t, func() bool { return strings.Contains(second.out.text(), `"peers":1`) }, "the entries have found each other")
-	second.door.Set(stand.Busy)
+	second.door.SetFailure(stand.Unavailable)
 	for range 30 {
 		assert.Equal(t, status(second.post("/book/1", "k", fmt.Sprint("p", time.Now().UnixNano()))), http.StatusOK)
 		time.Sleep(100 * time.Millisecond)
@@ -199,7 +199,7 @@
 // connections before the balancer has noticed the stop.
 func TestDirectStops(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
-	x.Events, x.Pause = 100, 15*time.Millisecond
+	x.EventCount, x.EventInterval = 100, 15*time.Millisecond
 	publish(store, 1, []string{"k"}, x)
 	d := startDirect(t, store)
 	resp, err := d.post("/talk/stream/x", "k", "s")
@@ -244,7 +244,7 @@
 func TestDirectReloads(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
-	d := &direct{door: store.Open(), out: &blockableLog{}, done: make(chan error, 1)}
+	d := &direct{door: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
 	t.Cleanup(d.door.Close)
 	d.settings = directSettings(t, d.door.Address())
 	file := filepath.Join(t.TempDir(), "settings")
@@ -295,7 +295,7 @@
 func TestDirectIsNotReadyWithoutTargets(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
-	door := store.Open()
+	door := store.NewServer()
 	t.Cleanup(door.Close)
 	source := platform.NewStore(door.Address(), link.Dial)
 	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), called: make(chan struct{}), release: make(chan struct{})}
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -14,15 +14,15 @@
 // newGossip returns this process's gossip node; an agent adds its load and its suspicions.
 func (b *base) newGossip(name, address string) *gossip.Node {
 	return &gossip.Node{
-		Store:    b.store,
-		Name:     name,
-		Address:  address,
-		Peers:    b.settings.Peers,
-		Platform: b.settings.Platform,
-		Dial:     b.pool.Conn,
-		Members:  b.members,
-		Notify:   b.onGossipNotice,
-		Count:    b.countGossip,
+		Store:     b.store,
+		Name:      name,
+		Address:   address,
+		Peers:     b.settings.Peers,
+		Platform:  b.settings.Platform,
+		Dial:      b.pool.Conn,
+		Members:   b.members,
+		OnNotice:  b.onGossipNotice,
+		OnTraffic: b.countGossip,
 	}
 }
 
@@ -34,15 +34,15 @@
 
 // gossipEvents maps the notices of gossip to log events.
 var gossipEvents = map[gossip.NoticeKind]event.ID{
-	gossip.NoticeUnreachable: event.PeerUnreachable,
-	gossip.NoticeLost:        event.PeersLost,
-	gossip.NoticeFound:       event.PeersFound,
-	gossip.NoticeLeaving:     event.HostLeaving,
-	gossip.NoticeWatcher:     event.WatcherChosen,
-	gossip.NoticeDown:        event.PlatformDown,
-	gossip.NoticeUp:          event.PlatformUp,
-	gossip.NoticeStale:       event.PlatformBack,
-	gossip.NoticePart:        event.PublicationPart,
+	gossip.NoticeUnreachable:     event.PeerUnreachable,
+	gossip.NoticePeersLost:       event.PeersLost,
+	gossip.NoticePeersFound:      event.PeersFound,
+	gossip.NoticeHostLeaving:     event.HostLeaving,
+	gossip.NoticeWatcher:         event.WatcherChosen,
+	gossip.NoticePlatformDown:    event.PlatformDown,
+	gossip.NoticePlatformUp:      event.PlatformUp,
+	gossip.NoticePlatformStale:   event.PlatformBack,
+	gossip.NoticePartUnavailable: event.PublicationPart,
 }
 
 func (b *base) onGossipNotice(m gossip.Notice) {
--- a/node/publication.go
+++ b/node/publication.go
@@ -29,10 +29,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch kind {
-	case gossip.NoticeDown, gossip.NoticeUp:
-		s.serviceDown = kind == gossip.NoticeDown
-	case gossip.NoticeLost, gossip.NoticeFound:
-		s.isolated = kind == gossip.NoticeLost
+	case gossip.NoticePlatformDown, gossip.NoticePlatformUp:
+		s.serviceDown = kind == gossip.NoticePlatformDown
+	case gossip.NoticePeersLost, gossip.NoticePeersFound:
+		s.isolated = kind == gossip.NoticePeersLost
 	}
 }
 
--- a/node/tls_test.go
+++ b/node/tls_test.go
@@ -68,7 +68,7 @@
 	return f
 }
 
-func (f *testFleet) issue(name string) fake.Files {
+func (f *testFleet) issue(name string) fake.CertFiles {
 	files, err := f.ca.Issue(f.dir, name, ownHost)
 	assert.NilError(f.t, err)
 	return files
--- a/order/scheduler.go
+++ b/order/scheduler.go
@@ -15,7 +15,7 @@
 var chartText string
 
 // Chart is the state chart of an order. Every change of state goes through it.
-var Chart = chart.Must(chartText)
+var Chart = chart.MustParse(chartText)
 
 // State is a state of the chart.
 type State string
--- a/order/scheduler_test.go
+++ b/order/scheduler_test.go
@@ -21,7 +21,7 @@
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
 			p := &scriptRunner{now: script.Epoch, fences: map[string]Fence{}}
 			p.scheduler = &Scheduler{StartedAt: script.Epoch, HostUptime: time.Hour, Fenced: d.Cmd == "fenced"}
-			return script.Play(d.Input, &p.now, p.runCommand)
+			return script.RunLines(d.Input, &p.now, p.runCommand)
 		})
 	})
 }
--- a/price/price_test.go
+++ b/price/price_test.go
@@ -20,7 +20,7 @@
 // the load it represents.
 func TestChoose(t *testing.T) {
 	datadriven.RunTest(t, "testdata/choose", func(_ *testing.T, d *datadriven.TestData) string {
-		return script.Play(d.Input, nil, func(f []string) string {
+		return script.RunLines(d.Input, nil, func(f []string) string {
 			p := Choose(parseInputs(f))
 			choice := [...]string{"rebuild", "wait", "import", "late"}[p.Choice]
 			return fmt.Sprintf("%s after %v, stop at %v", choice, p.Delay.Round(time.Millisecond), p.ImportTimeout.Round(time.Millisecond))
--- a/relay/caller_test.go
+++ b/relay/caller_test.go
@@ -38,7 +38,7 @@
 func TestKeyIsCheckedBeforeEachSend(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
-		x.Behave(stand.Resets)
+		x.SetBehaviour(stand.Resets)
 	}
 	g.relay.Bounds = func() config.Bounds {
 		if arrived, _ := g.countRequests(); arrived > 0 {
@@ -92,7 +92,7 @@
 func TestCallerLeaves(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
-		x.Events, x.Pause = 1000, 5*time.Millisecond
+		x.EventCount, x.EventInterval = 1000, 5*time.Millisecond
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, g.server.URL+"/stream/stream/x", strings.NewReader("b"))
@@ -109,7 +109,7 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, x := range g.targets {
 			for _, run := range x.Runs() {
-				if run.Left {
+				if run.CallerLeft {
 					return poll.Success()
 				}
 			}
@@ -134,7 +134,7 @@
 func requestAfterSecondAnswers(t *testing.T, g *testRelay) {
 	t.Helper()
 	for _, x := range g.targets {
-		x.Behave(stand.Extra)
+		x.SetBehaviour(stand.ExtraAnswer)
 	}
 	for range 12 {
 		got := g.doRequest(t, "safe")
@@ -158,7 +158,7 @@
 		return resp.StatusCode
 	}
 	for _, x := range g.targets {
-		x.Deadly = &stand.Deadly{Text: "poison", Step: stand.AtAccept, Reset: true}
+		x.KillRule = &stand.KillRule{Text: "poison", Step: stand.AtAccept, Reset: true}
 	}
 	statuses := ""
 	for i := range 6 {
--- a/relay/deadly_test.go
+++ b/relay/deadly_test.go
@@ -139,10 +139,10 @@
 }
 
 // setDeadly makes the deadly content end every target at the given step.
-func (f *cluster) setDeadly(step stand.Step, byReset bool) {
+func (f *cluster) setDeadly(step stand.KillStep, byReset bool) {
 	for _, x := range f.targets {
-		x.Events = 8
-		x.Deadly = &stand.Deadly{Text: poison, Step: step, Reset: byReset}
+		x.EventCount = 8
+		x.KillRule = &stand.KillRule{Text: poison, Step: step, Reset: byReset}
 	}
 }
 
@@ -150,7 +150,7 @@
 func (f *cluster) lostTargets() int {
 	n := 0
 	for _, x := range f.targets {
-		if x.Dead() {
+		if x.IsDead() {
 			n++
 		}
 	}
@@ -168,7 +168,7 @@
 // regardless of how much of its answer was received.
 func TestDeadlyContentIsStopped(t *testing.T) {
 	for _, kind := range []string{"unsafe", "safe", "stream", "resume"} {
-		for _, step := range stand.Steps {
+		for _, step := range stand.KillSteps {
 			for _, byReset := range []bool{false, true} {
 				name := fmt.Sprintf("%s/%s/reset=%t", kind, step, byReset)
 				t.Run(name, func(t *testing.T) {
@@ -193,7 +193,7 @@
 // connections broke, although the targets did not end.
 func TestContentOfBrokenConnectionsIsServed(t *testing.T) {
 	for _, kind := range []string{"unsafe", "safe", "stream", "resume"} {
-		for _, manner := range []stand.Manner{stand.Resets, stand.Cuts} {
+		for _, manner := range []stand.Behaviour{stand.Resets, stand.Cuts} {
 			t.Run(fmt.Sprintf("%s/%s", kind, manner), func(t *testing.T) {
 				f := newCluster(t)
 				f.order.Set(manner, manner, manner, manner)
@@ -262,7 +262,7 @@
 			f := newCluster(t)
 			f.setDeadly(stand.AtFirst, true)
 			for _, x := range f.targets {
-				x.Events, x.Pause = 60, 10*time.Millisecond
+				x.EventCount, x.EventInterval = 60, 10*time.Millisecond
 			}
 			var wg sync.WaitGroup
 			list := make([]*bystander, contents)
@@ -293,7 +293,7 @@
 // TestDeadlyContentAtOnce guards against the loss of one target per entry when a caller retries a
 // deadly request immediately through each entry.
 func TestDeadlyContentAtOnce(t *testing.T) {
-	for _, step := range stand.Steps {
+	for _, step := range stand.KillSteps {
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
 			f := newPromptCluster(t)
@@ -342,7 +342,7 @@
 	for n := range maxLost {
 		f.send(t, 0, "unsafe", poison)
 		for i, x := range f.targets {
-			if x.Arrived() > 0 {
+			if x.Requests() > 0 {
 				f.publishTarget(i, int64(1+n), false)
 			}
 		}
@@ -355,7 +355,7 @@
 func TestPlannedEndProvesNothing(t *testing.T) {
 	f := newCluster(t)
 	for i, x := range f.targets {
-		x.Events, x.Pause = 100, 10*time.Millisecond
+		x.EventCount, x.EventInterval = 100, 10*time.Millisecond
 		if i > 1 {
 			f.publishTarget(i, 0, true)
 		}
@@ -369,9 +369,9 @@
 		}()
 		f.waitArrived(t, n+1)
 		for i, x := range f.targets {
-			if x.Arrived() > 0 && !x.Dead() {
+			if x.Requests() > 0 && !x.IsDead() {
 				f.publishTarget(i, 0, true)
-				x.Die(true)
+				x.Kill(true)
 			}
 		}
 		wg.Wait()
@@ -390,7 +390,7 @@
 	f := newPromptCluster(t)
 	f.setDeadly(stand.AtAccept, false)
 	for _, x := range f.targets {
-		x.Deadly.After = 3 * patience
+		x.KillRule.Delay = 3 * patience
 	}
 	late := 0
 	for n := range visits {
--- a/relay/full_test.go
+++ b/relay/full_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, got, "503 come-back")
 	assert.Assert(t, time.Since(began) < timeout, "held for %s", time.Since(began))
 	for _, x := range g.targets {
-		assert.Equal(t, x.Arrived(), 0, "a request that was refused reached a target")
+		assert.Equal(t, x.Requests(), 0, "a request that was refused reached a target")
 	}
 	for _, r := range runs {
 		r.End(clock.Now(), board.Served)
--- a/relay/listen_test.go
+++ b/relay/listen_test.go
@@ -99,7 +99,7 @@
 func TestActiveConnectionsAreNotEvicted(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
-		x.Behave(stand.Slow)
+		x.SetBehaviour(stand.Slow)
 	}
 	l := listen(t, g, 2)
 	first, second := dial(t, l.Addr().String()), dial(t, l.Addr().String())
@@ -157,7 +157,7 @@
 func TestFullListenerAcceptsAgain(t *testing.T) {
 	g := newTestRelay(t)
 	for _, x := range g.targets {
-		x.Behave(stand.Slow)
+		x.SetBehaviour(stand.Slow)
 	}
 	l := listen(t, g, 4)
 	var busy []*caller
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -40,7 +40,7 @@
 // testRelay is a relay with its targets, three unless a test needs others.
 type testRelay struct {
 	targets      []*stand.Target
-	order        *stand.Order
+	order        *stand.BehaviourQueue
 	roster       *roster.Roster
 	relay        *relay.Relay
 	server       *httptest.Server
@@ -62,11 +62,11 @@
 // newTestRelayOf returns a testRelay with the named targets.
 func newTestRelayOf(t *testing.T, limit time.Duration, names ...string) *testRelay {
 	t.Helper()
-	g := &testRelay{order: &stand.Order{}, roster: &roster.Roster{}, routeTimeout: limit}
+	g := &testRelay{order: &stand.BehaviourQueue{}, roster: &roster.Roster{}, routeTimeout: limit}
 	b := chestnutstep.Batch{Revision: 1}
 	for _, name := range names {
 		x := stand.NewTarget(name)
-		x.Order = g.order
+		x.Queue = g.order
 		t.Cleanup(x.Close)
 		g.targets = append(g.targets, x)
 		b.Facts = append(b.Facts, chestnutstep.Fact{
@@ -201,7 +201,7 @@
 // countRequests returns how many requests arrived at targets, and how many of them ran.
 func (g *testRelay) countRequests() (arrived, ran int) {
 	for _, x := range g.targets {
-		arrived += x.Arrived()
+		arrived += x.Requests()
 		ran += len(x.Runs())
 	}
 	return arrived, ran
@@ -219,10 +219,10 @@
 		if d.HasArg("order") {
 			d.ScanArgs(t, "order", &order)
 		}
-		var list []stand.Manner
+		var list []stand.Behaviour
 		for _, m := range strings.Split(order, "/") {
 			if m != "" {
-				list = append(list, stand.Manner(m))
+				list = append(list, stand.Behaviour(m))
 			}
 		}
 		g.order.Set(list...)
--- a/script/script.go
+++ b/script/script.go
@@ -42,19 +42,19 @@
 // Epoch is when tests begin: far from the zero time, which stands for "unset".
 var Epoch = time.Unix(1000, 0)
 
-// Play runs each line of a script as one command, split into words, and returns
+// RunLines runs each line of a script as one command, split into words, and returns
 // the lines with what came of them. It plays "pass DURATION" itself, by moving
 // the clock.
-func Play(lines string, now *time.Time, step func(words []string) string) string {
+func RunLines(lines string, now *time.Time, step func(words []string) string) string {
 	var out strings.Builder
 	for line := range strings.Lines(lines) {
 		words := strings.Fields(line)
-		fmt.Fprintf(&out, "%s: %s\n", strings.Join(words, " "), play(words, now, step))
+		fmt.Fprintf(&out, "%s: %s\n", strings.Join(words, " "), runLine(words, now, step))
 	}
 	return out.String()
 }
 
-func play(words []string, now *time.Time, step func(words []string) string) string {
+func runLine(words []string, now *time.Time, step func(words []string) string) string {
 	if words[0] != "pass" {
 		return step(words)
 	}
@@ -66,9 +66,9 @@
 	return "ok"
 }
 
-// Heap returns the bytes in use after a collection, for benchmarks that print
+// HeapBytes returns the bytes in use after a collection, for benchmarks that print
 // what something costs to keep.
-func Heap() float64 {
+func HeapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// kinds are the routes that callers use.
-var kinds = []string{"book", "look", "talk/stream", "tell/stream"}
+// requestKinds are the routes that callers use.
+var requestKinds = []string{"book", "look", "talk/stream", "tell/stream"}
 
-// callerLimit bounds one request of a caller.
-const callerLimit = 3 * time.Second
+// callerTimeout bounds one request of a caller.
+const callerTimeout = 3 * time.Second
 
 // caller sends requests until the run ends. It goes on using its connections until
 // the process behind them is gone.
@@ -27,7 +27,7 @@
 
 func (c *caller) run(all *sync.WaitGroup) {
 	defer all.Done()
-	c.client = &http.Client{Timeout: callerLimit, Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
+	c.client = &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	for {
 		select {
 		case <-c.soak.stop:
@@ -42,39 +42,39 @@
 func (c *caller) send() {
 	s := c.soak
 	s.mu.Lock()
-	s.next++
-	x := &send{
-		id: fmt.Sprintf("req-%d", s.next), kind: kinds[c.rand.IntN(len(kinds))],
+	s.lastRequest++
+	req := &request{
+		id: fmt.Sprintf("req-%d", s.lastRequest), kind: requestKinds[c.rand.IntN(len(requestKinds))],
 		key: s.keys[c.rand.IntN(len(s.keys))],
 	}
-	s.sends = append(s.sends, x)
+	s.requests = append(s.requests, req)
 	e := s.entries[c.rand.IntN(len(s.entries))]
 	s.mu.Unlock()
 	// A body whose reader can't be rewound: net/http repeats nothing by itself.
-	body := io.MultiReader(strings.NewReader("body of " + x.id))
-	r, err := http.NewRequest(http.MethodPost, "http://"+e.callers+"/"+x.kind+"/x", body)
+	body := io.MultiReader(strings.NewReader("body of " + req.id))
+	r, err := http.NewRequest(http.MethodPost, "http://"+e.frontendAddr+"/"+req.kind+"/x", body)
 	if err != nil {
-		x.verdict = "broken"
+		req.result = "broken"
 		return
 	}
 	r.Host = "soak.example"
-	r.Header.Set("Attempt-Id", x.id)
-	r.Header.Set("Credential", x.key.text)
-	r.Header.Set("Deadline-Ms", fmt.Sprint(callerLimit.Milliseconds()))
-	x.at = time.Now()
+	r.Header.Set("Attempt-Id", req.id)
+	r.Header.Set("Credential", req.key.text)
+	r.Header.Set("Deadline-Ms", fmt.Sprint(callerTimeout.Milliseconds()))
+	req.sentAt = time.Now()
 	resp, err := c.client.Do(r)
 	if err != nil {
-		x.verdict = "broken"
+		req.result = "broken"
 		return
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
-	x.status = resp.StatusCode
-	x.verdict = verdict(x, resp, string(raw), err)
+	req.status = resp.StatusCode
+	req.result = resultOf(req, resp, string(raw), err)
 }
 
-// verdict is what the caller can tell of an answer.
-func verdict(x *send, resp *http.Response, text string, err error) string {
+// resultOf is what the caller can tell of an answer.
+func resultOf(x *request, resp *http.Response, text string, err error) string {
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		return "refused"
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -24,20 +24,20 @@
 // entry is a process of the program, with a door of the store to itself, and a
 // relay before that door.
 type entry struct {
-	soak    *Soak
-	number  int
-	file    string
-	callers string
-	ready   string
-	control string
-	door    *stand.Door
-	relay   *pipe.Relay
+	soak         *Soak
+	number       int
+	file         string
+	frontendAddr string
+	readyAddr    string
+	controlAddr  string
+	storeServer  *stand.StoreServer
+	relay        *pipe.Relay
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{}
-	// paused is when a process of the entry was last made to stand still.
-	paused time.Time
+	// pausedAt is when a process of the entry was last made to stand still.
+	pausedAt time.Time
 }
 
 // Ports of each entry: the same on all hosts of a platform, and below those that
@@ -61,20 +61,20 @@
 
 func (s *Soak) newEntry(i int, seed string) (*entry, error) {
 	e := &entry{
-		soak: s, number: i, door: s.store.Open(), file: filepath.Join(s.Dir, fmt.Sprintf("entry-%d.json", i)),
-		callers: address(i, callersPort), ready: address(i, readyPort), control: address(i, controlPort),
+		soak: s, number: i, storeServer: s.store.NewServer(), file: filepath.Join(s.Dir, fmt.Sprintf("entry-%d.json", i)),
+		frontendAddr: address(i, callersPort), readyAddr: address(i, readyPort), controlAddr: address(i, controlPort),
 	}
-	e.relay = &pipe.Relay{Backend: e.door.Address()}
+	e.relay = &pipe.Relay{Backend: e.storeServer.Address()}
 	if err := e.relay.Start(); err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
 	settings := map[string]any{
 		"nodeName": fmt.Sprintf("entry-%d", i), "ip": host(i), "zone": "z", "region": "r",
-		"listen":        map[string]string{"frontend": e.callers, "ready": e.ready, "controlPlane": e.control},
+		"listen":        map[string]string{"frontend": e.frontendAddr, "ready": e.readyAddr, "controlPlane": e.controlAddr},
 		"internalPorts": []int{firstPort, lastPort},
 		"seeds":         []string{seed},
 		"bounds": map[string]any{
-			"graceS": grace.Seconds(), "revokeMs": revoke.Milliseconds(), "retryBudgetRatio": 0.2, "retrySlack": 50,
+			"graceS": gracePeriod.Seconds(), "revokeMs": revokeDelay.Milliseconds(), "retryBudgetRatio": 0.2, "retrySlack": 50,
 			"budgetWindowS": 10, "coldOverage": 1.5, "coldSlack": 5, "capFactor": 2, "contactMs": 3000,
 		},
 		"platform": map[string]any{"address": e.relay.Addr(), "readsPerS": 1000},
@@ -91,7 +91,7 @@
 
 // start starts the process, unless one runs.
 func (e *entry) start() error {
-	if e.exited != nil && !e.ended(0) {
+	if e.exited != nil && !e.hasExited(0) {
 		return nil
 	}
 	log, err := os.OpenFile(e.soak.logFile(e.number), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -134,17 +134,17 @@
 	}
 }
 
-// process is the end of the process that runs now.
-func (e *entry) process() <-chan struct{} {
+// currentExit is the end of the process that runs now.
+func (e *entry) currentExit() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.exited
 }
 
-// ended waits for the process to end.
-func (e *entry) ended(limit time.Duration) bool { return ended(e.process(), limit) }
+// hasExited waits for the process to end.
+func (e *entry) hasExited(limit time.Duration) bool { return waitExit(e.currentExit(), limit) }
 
-func ended(exited <-chan struct{}, limit time.Duration) bool {
+func waitExit(exited <-chan struct{}, limit time.Duration) bool {
 	if limit <= 0 {
 		select {
 		case <-exited:
@@ -163,13 +163,13 @@
 
 func (e *entry) kill() {
 	e.signal(syscall.SIGKILL)
-	e.ended(5 * time.Second)
+	e.hasExited(5 * time.Second)
 }
 
 // isReady asks as the platform's balancer does.
 func (e *entry) isReady() bool {
 	c := http.Client{Timeout: time.Second}
-	resp, err := c.Get("http://" + e.ready + "/api/readyz")
+	resp, err := c.Get("http://" + e.readyAddr + "/api/readyz")
 	if err != nil {
 		return false
 	}
@@ -178,14 +178,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// readyLimit is generous: a slow machine must not fail a run.
-const readyLimit = 30 * time.Second
+// readyTimeout is generous: a slow machine must not fail a run.
+const readyTimeout = 30 * time.Second
 
-func (e *entry) untilReady() error {
-	for end := time.Now().Add(readyLimit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+func (e *entry) waitReady() error {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if e.isReady() {
 			return nil
 		}
 	}
-	return errors.Newf("entry %d is not ready after %s", e.number, readyLimit)
+	return errors.Newf("entry %d is not ready after %s", e.number, readyTimeout)
 }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -11,8 +11,8 @@
 
 // fault is something that happens from outside, and what undoes it.
 type fault struct {
-	name string
-	does func(s *Soak) (undo func())
+	name   string
+	inject func(s *Soak) (undo func())
 }
 
 // faults overlap and come in series.
@@ -20,27 +20,27 @@
 	{"kill", (*Soak).killEntry},
 	{"pause", (*Soak).pauseEntry},
 	{"stop", (*Soak).stopEntry},
-	{"hup", func(s *Soak) func() { s.pick().signal(syscall.SIGHUP); return nil }},
-	{"door", (*Soak).troubleDoor},
+	{"hup", func(s *Soak) func() { s.pickEntry().signal(syscall.SIGHUP); return nil }},
+	{"door", (*Soak).failStore},
 	{"source", (*Soak).holdSource},
 	{"target", (*Soak).holdTarget},
 	{"reset", func(s *Soak) func() { s.pickTarget().relay.CloseConnections(); return nil }},
-	{"manner", (*Soak).mislead},
+	{"manner", (*Soak).misbehaveTarget},
 	{"leave", (*Soak).leaveTarget},
 	{"revoke", (*Soak).revokeKey},
 	{"publish", func(s *Soak) func() { s.publish(); return nil }},
-	{"forget", func(s *Soak) func() { s.store.Forget(); return nil }},
+	{"forget", func(s *Soak) func() { s.store.Compact(); return nil }},
 }
 
-// strike lets faults happen until the time is over.
-func (s *Soak) strike() {
-	began := time.Now()
+// injectFaults lets faults happen until the time is over.
+func (s *Soak) injectFaults() {
+	start := time.Now()
 	var undo []func()
-	for time.Since(began) < s.For {
+	for time.Since(start) < s.Duration {
 		time.Sleep(time.Duration(50+s.rand.IntN(500)) * time.Millisecond)
 		f := faults[s.rand.IntN(len(faults))]
-		s.faults = append(s.faults, fmt.Sprintf("%.2f s %s", time.Since(began).Seconds(), f.name))
-		if u := f.does(s); u != nil {
+		s.faults = append(s.faults, fmt.Sprintf("%.2f s %s", time.Since(start).Seconds(), f.name))
+		if u := f.inject(s); u != nil {
 			undo = append(undo, u)
 		}
 		// About as many faults end as begin, in any order.
@@ -55,28 +55,28 @@
 	}
 }
 
-// heal ends what may still be wrong.
-func (s *Soak) heal() {
+// clearFaults ends what may still be wrong.
+func (s *Soak) clearFaults() {
 	for _, e := range s.entries {
-		e.door.Set(stand.None)
+		e.storeServer.SetFailure(stand.NoFailure)
 		e.relay.Heal()
 		e.signal(syscall.SIGCONT)
-		if e.ended(0) {
+		if e.hasExited(0) {
 			_ = e.start() // shows as an entry that is not ready
 		}
 	}
 	for _, x := range s.targets {
 		x.relay.Heal()
-		x.Behave(stand.Fine)
+		x.SetBehaviour(stand.Normal)
 	}
 }
 
-func (s *Soak) pick() *entry { return s.entries[s.rand.IntN(len(s.entries))] }
+func (s *Soak) pickEntry() *entry { return s.entries[s.rand.IntN(len(s.entries))] }
 
 func (s *Soak) pickTarget() *target { return s.targets[s.rand.IntN(len(s.targets))] }
 
 func (s *Soak) killEntry() func() {
-	e := s.pick()
+	e := s.pickEntry()
 	e.kill()
 	if err := e.start(); err != nil {
 		s.faults = append(s.faults, err.Error())
@@ -86,24 +86,24 @@
 
 // pauseEntry lets a process stand still; its clock goes on.
 func (s *Soak) pauseEntry() func() {
-	e := s.pick()
-	e.paused = time.Now()
+	e := s.pickEntry()
+	e.pausedAt = time.Now()
 	e.signal(syscall.SIGSTOP)
 	return func() { e.signal(syscall.SIGCONT) }
 }
 
 // stopEntry is a planned stop and a start behind it.
 func (s *Soak) stopEntry() func() {
-	e := s.pick()
-	stopped, at := e.process(), time.Now()
+	e := s.pickEntry()
+	stopped, at := e.currentExit(), time.Now()
 	e.signal(syscall.SIGCONT)
 	e.signal(syscall.SIGTERM)
 	return func() {
 		e.signal(syscall.SIGCONT)
-		if !ended(stopped, grace) {
+		if !waitExit(stopped, gracePeriod) {
 			// One that stood still meanwhile had less than its grace.
-			if e.paused.Before(at) {
-				s.broke("entry %d did not end within its grace", e.number)
+			if e.pausedAt.Before(at) {
+				s.recordViolation("entry %d did not end within its grace", e.number)
 			}
 			e.kill()
 		}
@@ -113,38 +113,38 @@
 	}
 }
 
-func (s *Soak) troubleDoor() func() {
-	e := s.pick()
-	troubles := []stand.Trouble{stand.Silent, stand.Busy, stand.Many, stand.Reset, stand.Lost}
-	e.door.Set(troubles[s.rand.IntN(len(troubles))])
-	return func() { e.door.Set(stand.None) }
+func (s *Soak) failStore() func() {
+	e := s.pickEntry()
+	troubles := []stand.Failure{stand.Unresponsive, stand.Unavailable, stand.TooManyRequests, stand.Reset, stand.AnswerLost}
+	e.storeServer.SetFailure(troubles[s.rand.IntN(len(troubles))])
+	return func() { e.storeServer.SetFailure(stand.NoFailure) }
 }
 
 // holdSource silences the connections between an entry and the store one way.
 func (s *Soak) holdSource() func() {
-	e := s.pick()
-	e.relay.Hold(s.way())
+	e := s.pickEntry()
+	e.relay.Hold(s.pickDirection())
 	return e.relay.Heal
 }
 
 func (s *Soak) holdTarget() func() {
 	x := s.pickTarget()
-	x.relay.Hold(s.way())
+	x.relay.Hold(s.pickDirection())
 	return x.relay.Heal
 }
 
-func (s *Soak) way() pipe.Direction {
+func (s *Soak) pickDirection() pipe.Direction {
 	if s.rand.IntN(2) == 0 {
 		return pipe.Up
 	}
 	return pipe.Down
 }
 
-func (s *Soak) mislead() func() {
+func (s *Soak) misbehaveTarget() func() {
 	x := s.pickTarget()
-	manners := []stand.Manner{stand.Shed, stand.Fails, stand.Resets, stand.Cuts, stand.Extra, stand.Crossed, stand.Garbage, stand.Unframed, stand.Hangs, stand.Slow, stand.Skips}
+	manners := []stand.Behaviour{stand.Shed, stand.Fails, stand.Resets, stand.Cuts, stand.ExtraAnswer, stand.Misdelivered, stand.Garbage, stand.Unframed, stand.Hangs, stand.Slow, stand.Skips}
 	m := manners[s.rand.IntN(len(manners))]
-	x.Behave(stand.Fine, m, m, m)
+	x.SetBehaviour(stand.Normal, m, m, m)
 	return nil
 }
 
@@ -152,7 +152,7 @@
 func (s *Soak) leaveTarget() func() {
 	live := 0
 	for _, x := range s.targets {
-		if x.leaves.IsZero() {
+		if x.leavesAt.IsZero() {
 			live++
 		}
 	}
@@ -160,11 +160,11 @@
 		return nil
 	}
 	x := s.pickTarget()
-	if !x.leaves.IsZero() {
+	if !x.leavesAt.IsZero() {
 		return nil
 	}
-	s.list(x, "draining")
-	x.leaves = time.Now()
+	s.putTarget(x, "draining")
+	x.leavesAt = time.Now()
 	if err := s.addTarget(); err != nil {
 		s.faults = append(s.faults, err.Error())
 	}
@@ -176,20 +176,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := s.rand.IntN(len(s.keys))
-	if !s.keys[i].revoked.IsZero() {
+	if !s.keys[i].revokedAt.IsZero() {
 		return nil
 	}
 	old := s.keys[i]
 	s.keys = append(s.keys, &key{text: fmt.Sprintf("key-%d", len(s.keys))})
-	old.revoked = time.Now()
+	old.revokedAt = time.Now()
 	s.publish()
-	old.revoked = time.Now()
+	old.revokedAt = time.Now()
 	return nil
 }
 
-// broke notes a promise that a fault itself found broken.
-func (s *Soak) broke(format string, args ...any) {
+// recordViolation notes a promise that a fault itself found broken.
+func (s *Soak) recordViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -10,18 +10,18 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// refusals promise that the request has not run and never will.
-var refusals = map[int]bool{
+// refusalStatuses promise that the request has not run and never will.
+var refusalStatuses = map[int]bool{
 	http.StatusServiceUnavailable: true, http.StatusTooManyRequests: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// judge compares what callers got with what targets saw.
-func (s *Soak) judge(healed time.Time) error {
+// check compares what callers got with what targets saw.
+func (s *Soak) check(healed time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.broken) > 0 {
-		return errors.New(strings.Join(s.broken, "; "))
+	if len(s.violations) > 0 {
+		return errors.New(strings.Join(s.violations, "; "))
 	}
 	runs := make(map[string][]stand.Run)
 	for _, x := range s.targets {
@@ -29,15 +29,15 @@
 			runs[r.ID] = append(runs[r.ID], r)
 		}
 	}
-	served, owed := 0, 0
-	for _, x := range s.sends {
-		if err := s.judgeSend(x, runs[x.id]); err != nil {
+	served, expected := 0, 0
+	for _, x := range s.requests {
+		if err := s.checkRequest(x, runs[x.id]); err != nil {
 			return err
 		}
 		delete(runs, x.id)
-		if x.at.After(healed) && x.key.revoked.IsZero() {
-			owed++
-			if x.verdict == "whole" {
+		if x.sentAt.After(healed) && x.key.revokedAt.IsZero() {
+			expected++
+			if x.result == "whole" {
 				served++
 			}
 		}
@@ -45,25 +45,25 @@
 	for id := range runs {
 		return errors.Newf("%s ran and nobody sent it", id)
 	}
-	if owed < 20 || served*100 < owed*95 {
-		return errors.Newf("after all was healed %d of %d requests were served", served, owed)
+	if expected < 20 || served*100 < expected*95 {
+		return errors.Newf("after all was healed %d of %d requests were served", served, expected)
 	}
 	return nil
 }
 
-func (s *Soak) judgeSend(x *send, runs []stand.Run) error {
+func (s *Soak) checkRequest(x *request, runs []stand.Run) error {
 	once := x.kind == "book" || x.kind == "talk/stream"
 	switch {
-	case strings.HasPrefix(x.verdict, "wrong"):
-		return errors.Newf("%s (%s): %s", x.id, x.kind, x.verdict)
+	case strings.HasPrefix(x.result, "wrong"):
+		return errors.Newf("%s (%s): %s", x.id, x.kind, x.result)
 	case once && len(runs) > 1:
 		return errors.Newf("%s (%s) ran %d times", x.id, x.kind, len(runs))
-	case once && refusals[x.status] && len(runs) > 0:
+	case once && refusalStatuses[x.status] && len(runs) > 0:
 		return errors.Newf("%s (%s) was refused with %d and ran", x.id, x.kind, x.status)
 	case len(runs) > 2:
 		return errors.Newf("%s (%s) ran at %d targets, 2 are allowed", x.id, x.kind, len(runs))
-	case !x.key.revoked.IsZero() && len(runs) > 0 && x.at.Sub(x.key.revoked) > revoke+revokeSlack:
-		return errors.Newf("%s (%s) ran %s after its key was taken away", x.id, x.kind, x.at.Sub(x.key.revoked))
+	case !x.key.revokedAt.IsZero() && len(runs) > 0 && x.sentAt.Sub(x.key.revokedAt) > revokeDelay+revokeSlack:
+		return errors.Newf("%s (%s) ran %s after its key was taken away", x.id, x.kind, x.sentAt.Sub(x.key.revokedAt))
 	}
 	for _, r := range runs {
 		if r.Workspace != "ws" || r.Body != "body of "+x.id {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// entries and targets of one run: enough that some can be away at once.
-	entries = 5
-	targets = 4
-	// callers send side by side, each on connections that it keeps.
-	callers = 6
-	// revoke is the bound on keys of the settings; revokeSlack is what a request
+	// entryCount and targets of one run: enough that some can be away at once.
+	entryCount  = 5
+	targetCount = 4
+	// callerCount send side by side, each on connections that it keeps.
+	callerCount = 6
+	// revokeDelay is the bound on keys of the settings; revokeSlack is what a request
 	// that was sent within it may take to reach its target.
-	revoke      = 2 * time.Second
+	revokeDelay = 2 * time.Second
 	revokeSlack = 500 * time.Millisecond
-	// grace is the time from SIGTERM to the end.
-	grace = 5 * time.Second
-	// settled is how long after the last fault all must be well again.
-	settled = 6 * time.Second
+	// gracePeriod is the time from SIGTERM to the end.
+	gracePeriod = 5 * time.Second
+	// settleTime is how long after the last fault all must be well again.
+	settleTime = 6 * time.Second
 )
 
 // Soak is one run. Set the fields before Run.
@@ -40,8 +40,8 @@
 	// Dir takes settings and logs.
 	Dir  string
 	Seed uint64
-	// For is how long faults happen.
-	For time.Duration
+	// Duration is how long faults happen.
+	Duration time.Duration
 
 	store   *stand.Store
 	entries []*entry
@@ -51,37 +51,37 @@
 	rand    *rand.Rand
 	faults  []string
 
-	mu    sync.Mutex
-	sends []*send
-	next  int
-	// broken are promises that a fault itself found broken.
-	broken []string
-	stop   chan struct{}
+	mu          sync.Mutex
+	requests    []*request
+	lastRequest int
+	// violations are promises that a fault itself found broken.
+	violations []string
+	stop       chan struct{}
 }
 
 // target is a target behind a relay that can misbehave.
 type target struct {
 	*stand.Target
 	relay *pipe.Relay
-	// leaves is when the store was told that it leaves; zero for never.
-	leaves time.Time
+	// leavesAt is when the store was told that it leaves; zero for never.
+	leavesAt time.Time
 }
 
 // key is a caller's key, and when it was taken away.
 type key struct {
-	text    string
-	revoked time.Time
+	text      string
+	revokedAt time.Time
 }
 
-// send is one request of a caller and what became of it.
-type send struct {
+// request is one request of a caller and what became of it.
+type request struct {
 	id     string
 	kind   string
 	key    *key
-	at     time.Time
+	sentAt time.Time
 	status int
-	// verdict is what the caller could tell of the answer.
-	verdict string
+	// result is what the caller could tell of the answer.
+	result string
 }
 
 // Faults lists what happened, for a failed run.
@@ -96,19 +96,19 @@
 		return err
 	}
 	var all sync.WaitGroup
-	for i := range callers {
+	for i := range callerCount {
 		all.Add(1)
 		go (&caller{soak: s, number: i, rand: rand.New(rand.NewPCG(s.Seed, uint64(i)+1))}).run(&all)
 	}
-	s.strike()
-	s.heal()
-	time.Sleep(settled)
+	s.injectFaults()
+	s.clearFaults()
+	time.Sleep(settleTime)
 	healed := time.Now()
 	time.Sleep(2 * time.Second)
 	close(s.stop)
 	all.Wait()
 	time.Sleep(time.Second)
-	return s.judge(healed)
+	return s.check(healed)
 }
 
 func (s *Soak) start() error {
@@ -117,7 +117,7 @@
 		s.keys = append(s.keys, &key{text: fmt.Sprintf("key-%d", i)})
 	}
 	s.publish()
-	for range targets {
+	for range targetCount {
 		if err := s.addTarget(); err != nil {
 			return err
 		}
@@ -126,16 +126,16 @@
 		return errors.Wrap(err, "soak folder")
 	}
 	seed := ""
-	for i := range entries {
+	for i := range entryCount {
 		e, err := s.newEntry(i, seed)
 		if err != nil {
 			return err
 		}
-		seed = e.control
+		seed = e.controlAddr
 		s.entries = append(s.entries, e)
 	}
 	for _, e := range s.entries {
-		if err := e.untilReady(); err != nil {
+		if err := e.waitReady(); err != nil {
 			return err
 		}
 	}
@@ -145,17 +145,17 @@
 // addTarget starts a target and lists it.
 func (s *Soak) addTarget() error {
 	x := &target{Target: stand.NewTarget(fmt.Sprintf("i-%d", len(s.targets)))}
-	x.Events, x.Pause = 6, 10*time.Millisecond
+	x.EventCount, x.EventInterval = 6, 10*time.Millisecond
 	x.relay = &pipe.Relay{Backend: x.Address()}
 	if err := x.relay.Start(); err != nil {
 		return errors.Wrap(err, "relay")
 	}
 	s.targets = append(s.targets, x)
-	s.list(x, "ready")
+	s.putTarget(x, "ready")
 	return nil
 }
 
-func (s *Soak) list(x *target, state string) {
+func (s *Soak) putTarget(x *target, state string) {
 	s.store.Put("servers/"+x.Name, map[string]any{
 		"service": "s", "address": x.relay.Addr(), "zone": "z", "slots": 16, "state": state, "born": time.Now().UnixMilli(),
 	})
@@ -172,7 +172,7 @@
 	}
 	var keys []string
 	for _, k := range s.keys {
-		if k.revoked.IsZero() {
+		if k.revokedAt.IsZero() {
 			keys = append(keys, k.text)
 		}
 	}
@@ -188,7 +188,7 @@
 func (s *Soak) close() {
 	for _, e := range s.entries {
 		e.kill()
-		e.door.Close()
+		e.storeServer.Close()
 	}
 	for _, x := range s.targets {
 		x.relay.Stop()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,9 +17,9 @@
 )
 
 var (
-	first = flag.Uint64("first", 1, "first seed of the soak")
-	seeds = flag.Uint64("seeds", 2, "how many seeds, one after the other")
-	long  = flag.Duration("for", 4*time.Second, "how long faults happen")
+	first    = flag.Uint64("first", 1, "first seed of the soak")
+	seeds    = flag.Uint64("seeds", 2, "how many seeds, one after the other")
+	duration = flag.Duration("for", 4*time.Second, "how long faults happen")
 )
 
 // Processes are killed, paused, stopped and started, the store turns single ones
@@ -30,23 +30,23 @@
 	program := filepath.Join(t.TempDir(), "chestnutstep")
 	out, err := exec.Command("go", "build", "-o", program, "../cmd/chestnutstep").CombinedOutput()
 	assert.NilError(t, err, string(out))
-	list := kept(t)
+	list := keptSeeds(t)
 	for s := *first; s < *first+*seeds; s++ {
 		list = append(list, s)
 	}
 	for _, seed := range list {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := &soak.Soak{Program: program, Dir: t.TempDir(), Seed: seed, For: *long}
+			s := &soak.Soak{Program: program, Dir: t.TempDir(), Seed: seed, Duration: *duration}
 			if err := s.Run(); err != nil {
-				keep(t, s)
+				keepLogs(t, s)
 				t.Fatalf("seed %d: %v\nfaults: %s", seed, err, strings.Join(s.Faults(), ", "))
 			}
 		})
 	}
 }
 
-// kept are the seeds that ever failed, each with a line on its cause.
-func kept(t *testing.T) []uint64 {
+// keptSeeds are the seeds that ever failed, each with a line on its cause.
+func keptSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	f, err := os.Open("testdata/seeds")
 	assert.NilError(t, err)
@@ -61,8 +61,8 @@
 	return list
 }
 
-// keep copies a failed run's logs to a folder that stays.
-func keep(t *testing.T, s *soak.Soak) {
+// keepLogs copies a failed run's logs to a folder that stays.
+func keepLogs(t *testing.T, s *soak.Soak) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", s.Seed))
 	if err != nil {
--- a/stand/deadly.go
+++ b/stand/deadly.go
@@ -12,38 +12,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// Step is how far an answer gets before its target ends.
-type Step string
+// KillStep is how far an answer gets before its target ends.
+type KillStep string
 
 // The steps.
 const (
-	AtAccept Step = "accept" // the request was read
-	AtHead   Step = "head"   // the head of the answer was sent
-	AtFirst  Step = "first"  // so was the first event, or the first byte of a body
-	AtMiddle Step = "middle" // three events, or half of a body
-	AtLast   Step = "last"   // all but the end of the answer
+	AtAccept KillStep = "accept" // the request was read
+	AtHead   KillStep = "head"   // the head of the answer was sent
+	AtFirst  KillStep = "first"  // so was the first event, or the first byte of a body
+	AtMiddle KillStep = "middle" // three events, or half of a body
+	AtLast   KillStep = "last"   // all but the end of the answer
 )
 
-// Steps are all steps.
-var Steps = []Step{AtAccept, AtHead, AtFirst, AtMiddle, AtLast}
+// KillSteps are all steps.
+var KillSteps = []KillStep{AtAccept, AtHead, AtFirst, AtMiddle, AtLast}
 
-// Deadly is content that ends each target which runs it: for good, and with all connections.
-type Deadly struct {
+// KillRule is content that ends each target which runs it: for good, and with all connections.
+type KillRule struct {
 	// Text is in the body of such requests.
 	Text string
-	Step Step
+	Step KillStep
 	// Reset has connections reset rather than closed.
 	Reset bool
-	// After is how long the target takes to end, whether or not its caller has left meanwhile.
-	After time.Duration
+	// Delay is how long the target takes to end, whether or not its caller has left meanwhile.
+	Delay time.Duration
 }
 
 // matches reports whether a request is deadly.
-func (d *Deadly) matches(run *Run) bool { return d != nil && strings.Contains(run.Body, d.Text) }
+func (d *KillRule) matches(run *Run) bool { return d != nil && strings.Contains(run.Body, d.Text) }
 
-// Die ends the target: nothing listens any more, and all connections end. Its port stays taken:
+// Kill ends the target: nothing listens any more, and all connections end. Its port stays taken:
 // given to another test's target, it would look alive.
-func (t *Target) Die(byReset bool) {
+func (t *Target) Kill(byReset bool) {
 	t.mu.Lock()
 	if t.dead {
 		t.mu.Unlock()
@@ -53,7 +53,7 @@
 	conns := t.conns
 	t.conns = nil
 	_ = t.server.Listener.Close()
-	t.port = takePort(t.server.Listener.Addr())
+	t.reservedPort = reservePort(t.server.Listener.Addr())
 	t.mu.Unlock()
 	for c := range conns {
 		if tcp, ok := c.(*net.TCPConn); ok && byReset {
@@ -66,8 +66,8 @@
 // noPort stands for a port that is not taken.
 const noPort = -1
 
-// takePort binds a socket to an address without listening there: connections are refused.
-func takePort(a net.Addr) int {
+// reservePort binds a socket to an address without listening there: connections are refused.
+func reservePort(a net.Addr) int {
 	addr, ok := a.(*net.TCPAddr)
 	if !ok || addr.IP.To4() == nil {
 		return noPort
@@ -82,16 +82,16 @@
 	return fd
 }
 
-// freePort gives the port of a dead target back. The caller holds the lock.
-func (t *Target) freePort() {
-	if t.dead && t.port != noPort {
-		_ = unix.Close(t.port)
-		t.port = noPort
+// releasePort gives the port of a dead target back. The caller holds the lock.
+func (t *Target) releasePort() {
+	if t.dead && t.reservedPort != noPort {
+		_ = unix.Close(t.reservedPort)
+		t.reservedPort = noPort
 	}
 }
 
-// Dead reports whether the target has ended.
-func (t *Target) Dead() bool {
+// IsDead reports whether the target has ended.
+func (t *Target) IsDead() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.dead
@@ -103,7 +103,7 @@
 	defer t.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		t.opened++
+		t.connections++
 		if t.conns == nil {
 			t.conns = make(map[net.Conn]bool)
 		}
@@ -113,11 +113,11 @@
 	}
 }
 
-// kill answers up to the step, and ends the target.
-func (t *Target) kill(w http.ResponseWriter, r *http.Request, run *Run) {
-	defer t.Die(t.Deadly.Reset)
-	time.Sleep(t.Deadly.After)
-	step := t.Deadly.Step
+// killDuringAnswer answers up to the step, and ends the target.
+func (t *Target) killDuringAnswer(w http.ResponseWriter, r *http.Request, run *Run) {
+	defer t.Kill(t.KillRule.Reset)
+	time.Sleep(t.KillRule.Delay)
+	step := t.KillRule.Step
 	if step == AtAccept {
 		return
 	}
@@ -129,17 +129,17 @@
 	text := "answer to " + run.ID
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(http.StatusOK)
-	part := map[Step]int{AtFirst: 1, AtMiddle: len(text) / 2, AtLast: len(text) - 1}
+	part := map[KillStep]int{AtFirst: 1, AtMiddle: len(text) / 2, AtLast: len(text) - 1}
 	_, _ = io.WriteString(w, text[:part[step]])
 	_ = http.NewResponseController(w).Flush()
 }
 
-func (t *Target) killStream(w http.ResponseWriter, r *http.Request, step Step) {
+func (t *Target) killStream(w http.ResponseWriter, r *http.Request, step KillStep) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	part := map[Step]int{AtFirst: 1, AtMiddle: 3, AtLast: t.Events}
-	for id := from + 1; id <= min(from+part[step], t.Events); id++ {
+	part := map[KillStep]int{AtFirst: 1, AtMiddle: 3, AtLast: t.EventCount}
+	for id := from + 1; id <= min(from+part[step], t.EventCount); id++ {
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", id, id)
 	}
 	_ = http.NewResponseController(w).Flush()
--- a/stand/store.go
+++ b/stand/store.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// pageMost is how many items a page holds: few, so that tests see several.
-const pageMost = 3
+// maxPageItems is how many items a page holds: few, so that tests see several.
+const maxPageItems = 3
 
 // Store is the platform's store. Make it with NewStore.
 type Store struct {
@@ -23,9 +23,9 @@
 	items    map[string]item
 	events   []item
 	revision uint64
-	// since is the revision up to which the history was dropped.
-	since   uint64
-	changed chan struct{}
+	// compactedTo is the revision up to which the history was dropped.
+	compactedTo uint64
+	changed     chan struct{}
 }
 
 type item struct {
@@ -68,77 +68,77 @@
 	return s.revision
 }
 
-// Forget drops the history: watches from before get 410.
-func (s *Store) Forget() {
+// Compact drops the history: watches from before get 410.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events, s.since = nil, s.revision
+	s.events, s.compactedTo = nil, s.revision
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Trouble is how a door of the store misbehaves.
-type Trouble string
+// Failure is how a door of the store misbehaves.
+type Failure string
 
 // The troubles.
 const (
-	None   Trouble = ""
-	Silent Trouble = "silent" // no answer at all
-	Busy   Trouble = "busy"   // 503
-	Many   Trouble = "many"   // 429
-	Reset  Trouble = "reset"  // connections are reset
-	Lost   Trouble = "lost"   // the answer is lost, the connection stays
+	NoFailure       Failure = ""
+	Unresponsive    Failure = "silent" // no answer at all
+	Unavailable     Failure = "busy"   // 503
+	TooManyRequests Failure = "many"   // 429
+	Reset           Failure = "reset"  // connections are reset
+	AnswerLost      Failure = "lost"   // the answer is lost, the connection stays
 )
 
-// Door is an address of the store, with troubles of its own: a store may turn
+// StoreServer is an address of the store, with troubles of its own: a store may turn
 // one host away and serve another.
-type Door struct {
+type StoreServer struct {
 	store  *Store
 	server *httptest.Server
 	done   chan struct{}
 
-	mu      sync.Mutex
-	trouble Trouble
-	calls   int
-	lists   int
+	mu         sync.Mutex
+	failure    Failure
+	calls      int
+	rangeCalls int
 }
 
-// Open returns a new door. Close it.
-func (s *Store) Open() *Door {
-	d := &Door{store: s, done: make(chan struct{})}
+// NewServer returns a new door. Close it.
+func (s *Store) NewServer() *StoreServer {
+	d := &StoreServer{store: s, done: make(chan struct{})}
 	d.server = httptest.NewServer(d)
 	return d
 }
 
 // Address is IP and port.
-func (d *Door) Address() string { return strings.TrimPrefix(d.server.URL, "http://") }
+func (d *StoreServer) Address() string { return strings.TrimPrefix(d.server.URL, "http://") }
 
-// Set begins a trouble. Watches that wait are cut.
-func (d *Door) Set(t Trouble) {
+// SetFailure begins a trouble. Watches that wait are cut.
+func (d *StoreServer) SetFailure(t Failure) {
 	d.mu.Lock()
-	d.trouble = t
+	d.failure = t
 	d.mu.Unlock()
-	if t != None {
+	if t != NoFailure {
 		d.server.CloseClientConnections()
 	}
 }
 
 // Calls is how many calls came.
-func (d *Door) Calls() int {
+func (d *StoreServer) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// Lists is how many of them asked for a page of a list.
-func (d *Door) Lists() int {
+// RangeCalls is how many of them asked for a page of a list.
+func (d *StoreServer) RangeCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lists
+	return d.rangeCalls
 }
 
 // Close ends the door.
-func (d *Door) Close() {
+func (d *StoreServer) Close() {
 	close(d.done)
 	d.server.CloseClientConnections()
 	d.server.Close()
@@ -148,20 +148,20 @@
 const rangePath = "/api/kv-range"
 
 // ServeHTTP answers a call, or not.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *StoreServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls++
 	if r.URL.Path == rangePath {
-		d.lists++
+		d.rangeCalls++
 	}
-	trouble := d.trouble
+	trouble := d.failure
 	d.mu.Unlock()
 	switch trouble {
-	case Silent, Lost:
+	case Unresponsive, AnswerLost:
 		d.hang(r)
-	case Busy:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Many:
+	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case Reset:
 		reset(w)
@@ -170,7 +170,7 @@
 	}
 }
 
-func (d *Door) hang(r *http.Request) {
+func (d *StoreServer) hang(r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-d.done:
@@ -189,7 +189,7 @@
 	_ = c.Close()
 }
 
-func (d *Door) answer(w http.ResponseWriter, r *http.Request) {
+func (d *StoreServer) answer(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	switch r.URL.Path {
 	case rangePath:
@@ -210,7 +210,7 @@
 	Revision  uint64 `json:"currentRev"`
 }
 
-func write(w http.ResponseWriter, a answer) {
+func writeAnswer(w http.ResponseWriter, a answer) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(a)
 }
@@ -227,21 +227,21 @@
 	}
 	sort.Strings(keys)
 	for i, key := range keys {
-		if i == pageMost {
+		if i == maxPageItems {
 			a.Truncated = true
 			break
 		}
 		a.Items = append(a.Items, s.items[key])
 	}
-	write(w, a)
+	writeAnswer(w, a)
 }
 
-// after returns what changed, and what to wait for if nothing did. False says
+// eventsAfter returns what changed, and what to wait for if nothing did. False says
 // that the history is gone.
-func (s *Store) after(prefix string, revision uint64) (answer, <-chan struct{}, bool) {
+func (s *Store) eventsAfter(prefix string, revision uint64) (answer, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if revision < s.since {
+	if revision < s.compactedTo {
 		return answer{}, nil, false
 	}
 	a := answer{Revision: s.revision}
@@ -253,22 +253,22 @@
 	return a, s.changed, true
 }
 
-func (d *Door) watch(w http.ResponseWriter, r *http.Request, prefix string, revision uint64, wait time.Duration) {
+func (d *StoreServer) watch(w http.ResponseWriter, r *http.Request, prefix string, revision uint64, wait time.Duration) {
 	limit := time.After(wait)
 	for {
-		a, changed, ok := d.store.after(prefix, revision)
+		a, changed, ok := d.store.eventsAfter(prefix, revision)
 		if !ok {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(a.Events) > 0 {
-			write(w, a)
+			writeAnswer(w, a)
 			return
 		}
 		select {
 		case <-changed:
 		case <-limit:
-			write(w, a)
+			writeAnswer(w, a)
 			return
 		case <-r.Context().Done():
 			return
--- a/stand/target.go
+++ b/stand/target.go
@@ -13,43 +13,43 @@
 	"time"
 )
 
-// Manner is how a target treats one request.
-type Manner string
+// Behaviour is how a target treats one request.
+type Behaviour string
 
 // The manners.
 const (
-	Fine     Manner = "fine"     // a whole answer
-	Shed     Manner = "shed"     // full: it says that it did not run the request
-	Other    Manner = "other"    // another instance has the address
-	Fails    Manner = "fails"    // runs it and answers with a failure of its own
-	Resets   Manner = "resets"   // runs it and resets the connection, without a word
-	Cuts     Manner = "cuts"     // ends in the middle of the answer
-	Extra    Manner = "extra"    // a whole answer, and another one behind it
-	Crossed  Manner = "crossed"  // the answer to another request
-	Unsigned Manner = "unsigned" // an answer that no target made
-	Garbage  Manner = "garbage"  // bytes that are no answer
-	Unframed Manner = "unframed" // a whole answer that ends with its connection
-	Early    Manner = "early"    // answers before it has read the body
-	Hangs    Manner = "hangs"    // runs it and says nothing
-	Slow     Manner = "slow"     // waits 150 ms with the answer
-	Skips    Manner = "skips"    // leaves out an event of a stream
+	Normal        Behaviour = "fine"     // a whole answer
+	Shed          Behaviour = "shed"     // full: it says that it did not run the request
+	OtherInstance Behaviour = "other"    // another instance has the address
+	Fails         Behaviour = "fails"    // runs it and answers with a failure of its own
+	Resets        Behaviour = "resets"   // runs it and resets the connection, without a word
+	Cuts          Behaviour = "cuts"     // ends in the middle of the answer
+	ExtraAnswer   Behaviour = "extra"    // a whole answer, and another one behind it
+	Misdelivered  Behaviour = "crossed"  // the answer to another request
+	Unsigned      Behaviour = "unsigned" // an answer that no target made
+	Garbage       Behaviour = "garbage"  // bytes that are no answer
+	Unframed      Behaviour = "unframed" // a whole answer that ends with its connection
+	Early         Behaviour = "early"    // answers before it has read the body
+	Hangs         Behaviour = "hangs"    // runs it and says nothing
+	Slow          Behaviour = "slow"     // waits 150 ms with the answer
+	Skips         Behaviour = "skips"    // leaves out an event of a stream
 )
 
-// Order is how requests are treated in the order in which they come, whichever
+// BehaviourQueue is how requests are treated in the order in which they come, whichever
 // target they come to.
-type Order struct {
+type BehaviourQueue struct {
 	mu   sync.Mutex
-	list []Manner
+	list []Behaviour
 }
 
 // Set replaces what is to come.
-func (o *Order) Set(list ...Manner) {
+func (o *BehaviourQueue) Set(list ...Behaviour) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.list = list
 }
 
-func (o *Order) take() (Manner, bool) {
+func (o *BehaviourQueue) next() (Behaviour, bool) {
 	if o == nil {
 		return "", false
 	}
@@ -73,41 +73,41 @@
 	Header    http.Header
 	// Ended says that the target saw it to its end.
 	Ended bool
-	// Left says that its connection was closed while it ran.
-	Left bool
+	// CallerLeft says that its connection was closed while it ran.
+	CallerLeft bool
 }
 
 // Target is a server of the platform. Make it with NewTarget.
 type Target struct {
 	Name string
-	// Events is how many events a stream has.
-	Events int
-	// Pause is the time between two events.
-	Pause time.Duration
-	// Order goes before the target's own manners; several may share one.
-	Order *Order
-	// Deadly is the content that ends the target; nil for none.
-	Deadly *Deadly
+	// EventCount is how many events a stream has.
+	EventCount int
+	// EventInterval is the time between two events.
+	EventInterval time.Duration
+	// Queue goes before the target's own manners; several may share one.
+	Queue *BehaviourQueue
+	// KillRule is the content that ends the target; nil for none.
+	KillRule *KillRule
 
-	server  *httptest.Server
-	mu      sync.Mutex
-	manners []Manner
-	usual   Manner
-	runs    []*Run
-	arrived int
-	opened  int
-	held    []string
-	listed  int
-	stop    chan struct{}
-	conns   map[net.Conn]bool
-	dead    bool
-	// port is the socket that keeps a dead target's port.
-	port int
+	server           *httptest.Server
+	mu               sync.Mutex
+	nextBehaviours   []Behaviour
+	defaultBehaviour Behaviour
+	runs             []*Run
+	requests         int
+	connections      int
+	cachedParts      []string
+	cacheLists       int
+	stop             chan struct{}
+	conns            map[net.Conn]bool
+	dead             bool
+	// reservedPort is the socket that keeps a dead target's port.
+	reservedPort int
 }
 
 // NewTarget starts a target under an instance name. Close it.
 func NewTarget(name string) *Target {
-	t := &Target{Name: name, Events: 4, usual: Fine, stop: make(chan struct{})}
+	t := &Target{Name: name, EventCount: 4, defaultBehaviour: Normal, stop: make(chan struct{})}
 	t.server = httptest.NewUnstartedServer(t)
 	t.server.Config.ConnState = t.track
 	t.server.Start()
@@ -125,31 +125,31 @@
 	default:
 		close(t.stop)
 	}
-	t.freePort()
+	t.releasePort()
 	t.mu.Unlock()
 	t.server.CloseClientConnections()
 	t.server.Close()
 }
 
-// Behave sets how the next requests are treated, one each, and all after them.
-func (t *Target) Behave(usual Manner, next ...Manner) {
+// SetBehaviour sets how the next requests are treated, one each, and all after them.
+func (t *Target) SetBehaviour(behaviour Behaviour, next ...Behaviour) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.usual, t.manners = usual, next
+	t.defaultBehaviour, t.nextBehaviours = behaviour, next
 }
 
-// Holds sets what the target says of its cache.
-func (t *Target) Holds(parts ...string) {
+// SetCachedParts sets what the target says of its cache.
+func (t *Target) SetCachedParts(parts ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.held = parts
+	t.cachedParts = parts
 }
 
-// Listed is how often it was asked what it holds.
-func (t *Target) Listed() int {
+// CacheLists is how often it was asked what it holds.
+func (t *Target) CacheLists() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.listed
+	return t.cacheLists
 }
 
 // Runs lists what it began to work on.
@@ -163,44 +163,44 @@
 	return list
 }
 
-// Arrived is how many requests came, run or not.
-func (t *Target) Arrived() int {
+// Requests is how many requests came, run or not.
+func (t *Target) Requests() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.arrived
+	return t.requests
 }
 
-// Opened is how many connections were opened.
-func (t *Target) Opened() int {
+// Connections is how many connections were opened.
+func (t *Target) Connections() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.opened
+	return t.connections
 }
 
-// next returns how to treat the request that came.
-func (t *Target) next() Manner {
+// nextBehaviour returns how to treat the request that came.
+func (t *Target) nextBehaviour() Behaviour {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.arrived++
-	if m, ok := t.Order.take(); ok {
+	t.requests++
+	if m, ok := t.Queue.next(); ok {
 		return m
 	}
-	if len(t.manners) == 0 {
-		return t.usual
+	if len(t.nextBehaviours) == 0 {
+		return t.defaultBehaviour
 	}
-	m := t.manners[0]
-	t.manners = t.manners[1:]
+	m := t.nextBehaviours[0]
+	t.nextBehaviours = t.nextBehaviours[1:]
 	return m
 }
 
 // ServeHTTP answers a request.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/api/kv-list" {
-		t.list(w)
+		t.writeCacheList(w)
 		return
 	}
-	m := t.next()
-	if want := r.Header.Get("Expect-Instance"); want != t.Name || m == Other {
+	m := t.nextBehaviour()
+	if want := r.Header.Get("Expect-Instance"); want != t.Name || m == OtherInstance {
 		w.Header().Set("Instance-Id", "i-other")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -211,7 +211,7 @@
 		return
 	}
 	if m == Early {
-		t.early(w, r)
+		t.answerEarly(w, r)
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
@@ -222,30 +222,30 @@
 	t.mu.Lock()
 	t.runs = append(t.runs, run)
 	t.mu.Unlock()
-	if t.Deadly.matches(run) {
-		t.kill(w, r, run)
+	if t.KillRule.matches(run) {
+		t.killDuringAnswer(w, r, run)
 		return
 	}
-	t.work(w, r, m, run)
+	t.answer(w, r, m, run)
 	t.mu.Lock()
-	run.Left = r.Context().Err() != nil
-	run.Ended = !run.Left
+	run.CallerLeft = r.Context().Err() != nil
+	run.Ended = !run.CallerLeft
 	t.mu.Unlock()
 }
 
-func (t *Target) list(w http.ResponseWriter) {
+func (t *Target) writeCacheList(w http.ResponseWriter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.listed++
+	t.cacheLists++
 	var rows []string
-	for _, p := range t.held {
+	for _, p := range t.cachedParts {
 		rows = append(rows, fmt.Sprintf(`["",%q,1000,"m"]`, p))
 	}
 	fmt.Fprintf(w, `{"epoch":1,"next":1,"held":[%s]}`, strings.Join(rows, ","))
 }
 
-// early answers before the body was read, and does not get to reading it.
-func (t *Target) early(w http.ResponseWriter, r *http.Request) {
+// answerEarly answers before the body was read, and does not get to reading it.
+func (t *Target) answerEarly(w http.ResponseWriter, r *http.Request) {
 	c, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -265,7 +265,7 @@
 	h.Set("Server-Signature", "sig-"+t.Name)
 }
 
-func (t *Target) work(w http.ResponseWriter, r *http.Request, m Manner, run *Run) {
+func (t *Target) answer(w http.ResponseWriter, r *http.Request, m Behaviour, run *Run) {
 	switch m {
 	case Resets:
 		reset(w)
@@ -275,12 +275,12 @@
 		return
 	case Slow:
 		t.wait(r, 150*time.Millisecond)
-	case Garbage, Extra, Unframed:
-		t.raw(w, m, run)
+	case Garbage, ExtraAnswer, Unframed:
+		t.writeRaw(w, m, run)
 		return
 	}
 	id := run.ID
-	if m == Crossed {
+	if m == Misdelivered {
 		id = "another"
 	}
 	t.sign(w.Header(), id)
@@ -311,8 +311,8 @@
 	}
 }
 
-// raw answers past net/http, which knows no bad manners.
-func (t *Target) raw(w http.ResponseWriter, m Manner, run *Run) {
+// writeRaw answers past net/http, which knows no bad manners.
+func (t *Target) writeRaw(w http.ResponseWriter, m Behaviour, run *Run) {
 	c, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -325,15 +325,15 @@
 		_, _ = rw.WriteString("NONSENSE\r\n\r\n")
 	case Unframed:
 		_, _ = rw.WriteString(head + "\r\n" + text)
-	case Extra:
-		t.extra(c, rw, head, text)
+	case ExtraAnswer:
+		t.writeTwice(c, rw, head, text)
 	}
 	_ = rw.Flush()
 }
 
-// extra sends a whole answer, a second one behind it, and goes on as if nothing
+// writeTwice sends a whole answer, a second one behind it, and goes on as if nothing
 // were wrong: the next request on the connection gets the second one.
-func (t *Target) extra(c net.Conn, rw *bufio.ReadWriter, head, text string) {
+func (t *Target) writeTwice(c net.Conn, rw *bufio.ReadWriter, head, text string) {
 	full := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
 	_, _ = rw.WriteString(full)
 	_ = rw.Flush()
@@ -345,10 +345,10 @@
 }
 
 // stream sends events from the one after Last-Event-Id.
-func (t *Target) stream(w http.ResponseWriter, r *http.Request, m Manner) {
+func (t *Target) stream(w http.ResponseWriter, r *http.Request, m Behaviour) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	for id := from + 1; id <= t.Events; id++ {
+	for id := from + 1; id <= t.EventCount; id++ {
 		if m == Cuts && id == from+3 {
 			_, _ = io.WriteString(w, "id: "+strconv.Itoa(id)+"\nda")
 			_ = http.NewResponseController(w).Flush()
@@ -359,8 +359,8 @@
 		}
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", id, id)
 		_ = http.NewResponseController(w).Flush()
-		if t.Pause > 0 {
-			t.wait(r, t.Pause)
+		if t.EventInterval > 0 {
+			t.wait(r, t.EventInterval)
 		}
 		if r.Context().Err() != nil {
 			return
--- a/ticket/issuer.go
+++ b/ticket/issuer.go
@@ -20,7 +20,7 @@
 var chartText string
 
 // Chart is the state chart of a ticket. Every change of state goes through it.
-var Chart = chart.Must(chartText)
+var Chart = chart.MustParse(chartText)
 
 // Events of the chart.
 const (
--- a/ticket/issuer_test.go
+++ b/ticket/issuer_test.go
@@ -25,7 +25,7 @@
 		p := &scriptRunner{tokens: map[string]string{}, now: script.Epoch}
 		p.restart()
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
-			return script.Play(d.Input, &p.now, p.runCommand)
+			return script.RunLines(d.Input, &p.now, p.runCommand)
 		})
 	})
 }
@@ -109,7 +109,7 @@
 			id := strings.Repeat("r", size)
 			issuer := &Issuer{Target: "bay-service-1", MaxSpent: 1 << 30}
 			tokens := issuer.Mint(script.Epoch, "darkroom", b.N)
-			before := script.Heap()
+			before := script.HeapBytes()
 			b.ResetTimer()
 			for _, token := range tokens {
 				issuer.Hold(script.Epoch, token, "darkroom", id)
@@ -117,7 +117,7 @@
 				issuer.Finish(script.Epoch, token, true)
 			}
 			b.StopTimer()
-			b.ReportMetric((script.Heap()-before)/float64(b.N), "B/ticket")
+			b.ReportMetric((script.HeapBytes()-before)/float64(b.N), "B/ticket")
 			runtime.KeepAlive(issuer)
 			runtime.KeepAlive(tokens)
 		})
--- a/ticket/memory.go
+++ b/ticket/memory.go
@@ -75,7 +75,7 @@
 		return false
 	}
 	r.state = chestnutstep.TicketState(to)
-	if r.state == chestnutstep.TicketFresh || (b.isClosed(c.slot) && Chart.Final(to)) {
+	if r.state == chestnutstep.TicketFresh || (b.isClosed(c.slot) && Chart.IsFinal(to)) {
 		b.remove(c.slot, c.nonce, *r)
 		return true
 	}
--- a/trial/config.go
+++ b/trial/config.go
@@ -17,26 +17,26 @@
 	// Naive sends each request to a random target that seems in service, without
 	// caps or queues, and sends again at once what broke.
 	Naive bool
-	// Line replaces the gate by slots and an endless line, first come, first
+	// FIFO replaces the gate by slots and an endless line, first come, first
 	// served.
-	Line bool
+	FIFO bool
 	// Hint has callers name the target that served the chat last.
 	Hint bool
 	// Home lets a chat wait for its patience at its first target.
 	Home bool
-	// Moved has the first target of a chat name the target that took it last.
-	Moved bool
-	// Know has agents remember which chats they served since the last restart:
+	// FollowMoved has the first target of a chat name the target that took it last.
+	FollowMoved bool
+	// ExactCache has agents remember which chats they served since the last restart:
 	// a chat may then wait wherever its prefix is, and nowhere else.
-	Know bool
+	ExactCache bool
 	// Drift takes some requests of a chat that was displaced to its first target.
 	Drift bool
 	// Import moves a spilled chat's prefix from the target that holds it.
 	Import bool
 }
 
-// All is the policy of the fleet: every decision on.
-var All = Policy{Hint: true, Home: true, Know: true, Drift: true, Import: true}
+// FullPolicy is the policy of the fleet: every decision on.
+var FullPolicy = Policy{Hint: true, Home: true, ExactCache: true, Drift: true, Import: true}
 
 // Stream is one workspace's requests of one kind.
 type Stream struct {
@@ -55,104 +55,104 @@
 	Answer, Prefill time.Duration
 	// Cost is the estimate that offers carry, in tokens.
 	Cost float64
-	// Limit of time, and Patience at the first target.
-	Limit, Patience time.Duration
-	// Cancel is the share that is given up before its answer is whole.
-	Cancel float64
+	// Timeout of time, and Patience at the first target.
+	Timeout, Patience time.Duration
+	// CancelRatio is the share that is given up before its answer is whole.
+	CancelRatio float64
 }
 
 // Config is a load, a fleet, its faults and a policy.
 type Config struct {
-	Seed uint64
-	For  time.Duration
-	// Warm is how long caches fill and targets warm up before anything counts.
-	Warm    time.Duration
+	Seed     uint64
+	Duration time.Duration
+	// Warmup is how long caches fill and targets warm up before anything counts.
+	Warmup  time.Duration
 	Streams []Stream
 	Policy  Policy
 
 	Targets int
 	Domains int
 	Model   chestnutstep.Model
-	// Tries bounds the targets that a request is offered to before it waits.
-	Tries int
-	// Cache is how many chats' prefixes a target keeps.
-	Cache int
+	// MaxTargets bounds the targets that a request is offered to before it waits.
+	MaxTargets int
+	// CacheChats is how many chats' prefixes a target keeps.
+	CacheChats int
 	// Weights of workspaces.
 	Weights map[string]float64
 
-	// Restart is how often some target restarts, losing what it ran and kept;
+	// RestartInterval is how often some target restarts, losing what it ran and kept;
 	// never if zero. It is down for Down.
-	Restart, Down time.Duration
-	// Fragile is how long a started target falls over above twice Model.Cold.
-	Fragile time.Duration
-	// Leave and Return are when failure domain 0 is taken out and brought back
+	RestartInterval, DownTime time.Duration
+	// FragileTime is how long a started target falls over above twice Model.Cold.
+	FragileTime time.Duration
+	// LeaveAt and Return are when failure domain 0 is taken out and brought back
 	// with empty caches; never if zero. Entries hear of it Lag later.
-	Leave, Return, Lag time.Duration
+	LeaveAt, ReturnAt, NoticeDelay time.Duration
 	// WarmReturn brings the domain back with its caches kept and targets warm.
 	WarmReturn bool
-	// Slow is how many times slower target 0 is from a third of the time on.
-	Slow float64
+	// SlowFactor is how many times slower target 0 is from a third of the time on.
+	SlowFactor float64
 	// MeanError is the standard deviation of an error put on each mean.
 	MeanError float64
-	// ImportFor is what an import takes instead of the prefill.
-	ImportFor time.Duration
+	// ImportTime is what an import takes instead of the prefill.
+	ImportTime time.Duration
 
 	// Entries, where there are any, place requests without agents, by what they
 	// tell each other each Talk; never if that is zero.
-	Entries int
-	Talk    time.Duration
+	Entries        int
+	ReportInterval time.Duration
 }
 
 func (c Config) newGate() chestnutstep.Gate {
-	if c.Policy.Line || c.Entries > 0 {
-		return &line{}
+	if c.Policy.FIFO || c.Entries > 0 {
+		return &fifoGate{}
 	}
 	return &gate.Gate{}
 }
 
 // Result is what callers got.
 type Result struct {
-	Streams []Share
-	All     Share
+	Streams []StreamResult
+	All     StreamResult
 	// Offers for each request.
 	Offers float64
-	// Largest is the highest load of a target against the mean of the moment,
+	// MaxToMean is the highest load of a target against the mean of the moment,
 	// in the worst second and in 99 of 100 seconds.
-	Largest, Largest99 float64
+	MaxToMean, MaxToMean99 float64
 	// OverCap counts starts beyond the cap in force, OverRule those beyond the
 	// rule: the multiple, with the margin of the estimate, of the highest true
 	// mean of the last seconds. OverTrue is the share of starts beyond the
 	// multiple of the true mean of that very moment, which no one can know.
 	OverCap, OverRule int
-	OverTrue          float64
+	OverTrueMean      float64
 	// Crashes of fragile targets.
 	Crashes int
-	// Back is failure domain 0's share of what runs in the last minute.
-	Back float64
-	// After counts starts in the domain that was taken out, two seconds on.
-	After int
+	// ReturnedShare is failure domain 0's share of what runs in the last minute.
+	ReturnedShare float64
+	// StartsAfterLeave counts starts in the domain that was taken out, two seconds on.
+	StartsAfterLeave int
 	// Series is what callers got from one span to the next, the warming up included.
-	Series []Span
+	Series []Interval
 }
 
-// spanLength is the time that one Span covers: long enough for a hundred starts at a
+// intervalLength is the time that one Span covers: long enough for a hundred starts at a
 // third of the recorded load.
-const spanLength = 10 * time.Second
+const intervalLength = 10 * time.Second
 
-// Span is what callers got in a span of time.
-type Span struct {
+// Interval is what callers got in a span of time.
+type Interval struct {
 	// Begin is when the span began, from the beginning of the load.
 	Begin time.Duration
 	// Reuse and Imported are shares of the starts of returning chats.
 	Reuse, Imported float64
 	// Wait is the mean from request to start.
 	Wait time.Duration
-	// Largest is the highest load of a target against the mean, at the span's worst.
-	Largest float64
+	// MaxToMean is the highest load of a target against the mean, at the span's worst.
+	MaxToMean float64
 }
 
-// Share is what the callers of a stream got.
-type Share struct {
+// StreamResult is what the callers of a stream got.
+type StreamResult struct {
 	Workspace string
 	Requests  int
 	// InTime is the share of the requests not given up that were answered
@@ -172,6 +172,6 @@
 	// Margin is what an agent's estimate of the mean may be too high: three and a
 	// half standard deviations of what relayed samples err at a steady load.
 	Margin = 0.15
-	// Stale is how long the estimate may rest on an earlier, higher mean.
-	Stale = 10
+	// MeanHistory is how long the estimate may rest on an earlier, higher mean.
+	MeanHistory = 10
 )
