--- a/trial/direct.go
+++ b/trial/direct.go
@@ -15,63 +15,63 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// direct plays entries that bring requests to targets without agents: the real
+// directFleet plays entries that bring requests to targets without agents: the real
 // board and place, on the trial's clock. Targets queue by themselves.
-type direct struct {
+type directFleet struct {
 	trial   *trial
 	service *chestnutstep.Service
 	entries []*board.Board
 	addrs   []netip.AddrPort
 	view    *roster.View
-	// births count the starts of each target.
-	births map[string]int64
+	// startCounts count the starts of each target.
+	startCounts map[string]int64
 }
 
 const (
 	// serviceName of the one service.
 	serviceName = "s"
-	// ownTokens is what each prompt has beyond the chat's prefix.
-	ownTokens = 200
-	// directTries is how many targets are tried that are down.
-	directTries = 3
+	// requestTokens is what each prompt has beyond the chat's prefix.
+	requestTokens = 200
+	// maxDirectAttempts is how many targets are tried that are down.
+	maxDirectAttempts = 3
 	// heartbeat is how long entries take to hear of a restart.
 	heartbeat = time.Second
 )
 
-func newDirect(t *trial) *direct {
-	d := &direct{
-		trial:   t,
-		service: &chestnutstep.Service{Name: serviceName, IsEngine: true},
-		births:  make(map[string]int64),
+func newDirect(t *trial) *directFleet {
+	d := &directFleet{
+		trial:       t,
+		service:     &chestnutstep.Service{Name: serviceName, IsEngine: true},
+		startCounts: make(map[string]int64),
 	}
 	for i := range t.cfg.Entries {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1)
 		d.addrs = append(d.addrs, a)
 		d.entries = append(d.entries, &board.Board{Self: a})
 	}
-	d.look()
-	if t.cfg.Talk > 0 {
-		t.every(t.cfg.Talk, d.talk)
+	d.updateView()
+	if t.cfg.ReportInterval > 0 {
+		t.every(t.cfg.ReportInterval, d.exchangeReports)
 	}
 	return d
 }
 
 // now is the trial's clock as boards read it; it begins above zero, which means
 // never there.
-func (d *direct) now() clock.Stamp { return clock.Stamp(time.Hour + d.trial.now) }
+func (d *directFleet) now() clock.Stamp { return clock.Stamp(time.Hour + d.trial.now) }
 
-// look takes the list of targets as it is.
-func (d *direct) look() {
+// updateView takes the list of targets as it is.
+func (d *directFleet) updateView() {
 	v := &roster.View{
 		Services: make(map[string][]*roster.Target), ByID: make(map[string]*roster.Target), Out: make(map[string]bool),
 	}
 	for _, g := range d.trial.targets {
 		domain := fmt.Sprint("d", g.domain)
-		if g.away {
+		if g.isOut {
 			v.Out[domain] = true
 		}
 		x := &roster.Target{Instance: chestnutstep.Instance{
-			ID: g.self.Name, Service: serviceName, Domain: domain, Slots: d.trial.cfg.Model.Slots, StartedMs: d.births[g.self.Name],
+			ID: g.self.Name, Service: serviceName, Domain: domain, Slots: d.trial.cfg.Model.Slots, StartedMs: d.startCounts[g.self.Name],
 		}}
 		v.Services[serviceName] = append(v.Services[serviceName], x)
 		v.ByID[x.ID] = x
@@ -82,14 +82,14 @@
 	}
 }
 
-// restarted says that a target started again; entries hear of it by its heartbeat.
-func (d *direct) restarted(g *target) {
-	d.births[g.self.Name]++
-	d.trial.after(heartbeat, d.look)
+// onRestart says that a target started again; entries hear of it by its heartbeat.
+func (d *directFleet) onRestart(g *target) {
+	d.startCounts[g.self.Name]++
+	d.trial.after(heartbeat, d.updateView)
 }
 
-// talk is one round of datagrams.
-func (d *direct) talk() {
+// exchangeReports is one round of datagrams.
+func (d *directFleet) exchangeReports() {
 	now := d.now()
 	for i, from := range d.entries {
 		r := &share.Report{From: d.addrs[i], Loads: from.Loads(), CachedParts: from.CacheChanges()}
@@ -102,10 +102,10 @@
 }
 
 // send places a request, and tries others where a target is down.
-func (d *direct) send(r *request) {
+func (d *directFleet) send(r *request) {
 	entry := d.entries[d.trial.rand.IntN(len(d.entries))]
 	var skip []string
-	for range directTries {
+	for range maxDirectAttempts {
 		if d.try(entry, r, &skip) {
 			return
 		}
@@ -114,7 +114,7 @@
 }
 
 // try sends a request to one target; true means that it is there.
-func (d *direct) try(entry *board.Board, r *request, skip *[]string) bool {
+func (d *directFleet) try(entry *board.Board, r *request, skip *[]string) bool {
 	now := d.now()
 	parts := d.parts(r)
 	ask := place.Request{Key: parts[0].ID, Tokens: parts[0].Tokens + parts[1].Tokens, Shared: parts[0].Tokens}
@@ -131,17 +131,17 @@
 		r.run = nil
 		return false
 	}
-	r.work.WaitUntil = d.trial.time().Add(r.limit)
+	r.work.WaitUntil = d.trial.time().Add(r.timeout)
 	return d.trial.offer(r, g, false, true)
 }
 
 // parts of a request's prompt: its chat's prefix, and what is its own.
-func (d *direct) parts(r *request) []chestnutstep.PromptPart {
+func (d *directFleet) parts(r *request) []chestnutstep.PromptPart {
 	s := d.trial.cfg.Streams[r.stream]
 	tokens := int(s.Prefill.Seconds() * 1000 * place.PrefillRate)
 	return []chestnutstep.PromptPart{
 		{ID: xxhash.Sum64String(r.chat), Tokens: tokens},
-		{ID: xxhash.Sum64String(r.work.ID), Tokens: ownTokens},
+		{ID: xxhash.Sum64String(r.work.ID), Tokens: requestTokens},
 	}
 }
 
@@ -152,8 +152,8 @@
 	chestnutstep.OutcomeAbandoned: board.Canceled,
 }
 
-// ended says how a request ended at its target.
-func (d *direct) ended(r *request, o chestnutstep.Outcome) {
+// onEnd says how a request ended at its target.
+func (d *directFleet) onEnd(r *request, o chestnutstep.Outcome) {
 	if r.run == nil {
 		return
 	}
@@ -161,8 +161,8 @@
 	r.run = nil
 }
 
-// began says that a target reads a request's prompt, which takes a while.
-func (d *direct) began(r *request, prefill time.Duration) {
+// onStart says that a target reads a request's prompt, which takes a while.
+func (d *directFleet) onStart(r *request, prefill time.Duration) {
 	run := r.run
 	if run == nil {
 		return
@@ -180,14 +180,14 @@
 	var rows []Row
 	add := func(name string, cfg Config) {
 		cfg.Seed = seed
-		rows = append(rows, Row{Name: name, Config: third(cfg)})
+		rows = append(rows, Row{Name: name, Config: scaleToThird(cfg)})
 	}
-	add("agents, multiple 1.25", Churn(1.25, All, false))
-	add("naive", Churn(1.25, Policy{Naive: true}, false))
+	add("agents, multiple 1.25", ChurnConfig(1.25, FullPolicy, false))
+	add("naive", ChurnConfig(1.25, Policy{Naive: true}, false))
 	for _, n := range []int{5, 24} {
 		for _, talk := range []time.Duration{400 * time.Millisecond, 4 * time.Second, 0} {
-			cfg := Churn(0, Policy{Import: true}, false)
-			cfg.Entries, cfg.Talk = n, talk
+			cfg := ChurnConfig(0, Policy{Import: true}, false)
+			cfg.Entries, cfg.ReportInterval = n, talk
 			name := fmt.Sprintf("%d entries, told each %s", n, talk)
 			if talk == 0 {
 				name = fmt.Sprintf("%d entries, never told", n)
@@ -198,12 +198,12 @@
 	return rows
 }
 
-// third is the recorded load and its fleet at a third of their size.
-func third(cfg Config) Config {
+// scaleToThird is the recorded load and its fleet at a third of their size.
+func scaleToThird(cfg Config) Config {
 	cfg.Targets = 30
 	cfg.Streams[0].Rate /= 3
 	cfg.Streams[0].Chats /= 3
-	cfg.Restart *= 3
+	cfg.RestartInterval *= 3
 	return cfg
 }
 
@@ -214,17 +214,17 @@
 	var rows []Row
 	add := func(name string, cfg Config) {
 		cfg.Seed = seed
-		cfg = third(cfg)
-		cfg.Leave, cfg.Return = 6*time.Minute, 7*time.Minute+30*time.Second
-		cfg.Warm, cfg.For = 5*time.Minute, 10*time.Minute
+		cfg = scaleToThird(cfg)
+		cfg.LeaveAt, cfg.ReturnAt = 6*time.Minute, 7*time.Minute+30*time.Second
+		cfg.Warmup, cfg.Duration = 5*time.Minute, 10*time.Minute
 		rows = append(rows, Row{Name: name, Config: cfg})
 	}
-	add("agents, multiple 1.25", Churn(1.25, All, true))
-	add("naive", Churn(1.25, Policy{Naive: true}, true))
+	add("agents, multiple 1.25", ChurnConfig(1.25, FullPolicy, true))
+	add("naive", ChurnConfig(1.25, Policy{Naive: true}, true))
 	for _, n := range []int{5, 24} {
-		cfg := Churn(0, Policy{Import: true}, true)
-		cfg.Entries, cfg.Talk = n, 400*time.Millisecond
-		add(fmt.Sprintf("%d entries, told each %s", n, cfg.Talk), cfg)
+		cfg := ChurnConfig(0, Policy{Import: true}, true)
+		cfg.Entries, cfg.ReportInterval = n, 400*time.Millisecond
+		add(fmt.Sprintf("%d entries, told each %s", n, cfg.ReportInterval), cfg)
 	}
 	return rows
 }
--- a/trial/entry.go
+++ b/trial/entry.go
@@ -9,29 +9,29 @@
 
 // arrive brings a request to an entry.
 func (t *trial) arrive(r *request) {
-	t.tally(r).came(r)
-	t.after(r.limit, func() { t.giveUp(r) })
-	if r.cancel > 0 {
-		t.after(r.cancel, func() { t.giveUp(r) })
+	t.tally(r).recordArrival(r)
+	t.after(r.timeout, func() { t.giveUp(r) })
+	if r.cancelAfter > 0 {
+		t.after(r.cancelAfter, func() { t.giveUp(r) })
 	}
 	t.send(r)
 }
 
 // giveUp ends a request whose caller waits no longer.
 func (t *trial) giveUp(r *request) {
-	if r.over {
+	if r.finished {
 		return
 	}
-	r.over = true
-	if r.at != nil {
-		g := r.at
+	r.finished = true
+	if r.runningAt != nil {
+		g := r.runningAt
 		g.end(r, chestnutstep.OutcomeAbandoned)
 		g.next()
 	}
 }
 
 func (t *trial) send(r *request) {
-	if r.over {
+	if r.finished {
 		return
 	}
 	if t.direct != nil {
@@ -42,29 +42,29 @@
 		t.sendNaive(r)
 		return
 	}
-	ask := chestnutstep.RankQuery{Workspace: r.work.Workspace, Chat: r.chat, Model: t.cfg.Model.Name}
+	query := chestnutstep.RankQuery{Workspace: r.work.Workspace, Chat: r.chat, Model: t.cfg.Model.Name}
 	if t.cfg.Policy.Hint {
-		ask.Hint = t.hints[r.chat]
+		query.Hint = t.hints[r.chat]
 	}
-	r.work.Deadline = time.Unix(0, 0).Add(r.came + r.limit)
-	r.ranks = t.table.Rank(r.ranks[:0], ask, t.cfg.Tries)
-	r.next, r.pause = 0, time.Second
+	r.work.Deadline = time.Unix(0, 0).Add(r.arrivedAt + r.timeout)
+	r.ranks = t.table.Rank(r.ranks[:0], query, t.cfg.MaxTargets)
+	r.next, r.retryDelay = 0, time.Second
 	r.home, r.source = nil, nil
 	if len(r.ranks) > 0 {
-		t.drift(r, ask)
+		t.applyDrift(r, query)
 		r.home = t.byName[r.ranks[0].Name]
 	}
 	t.try(r)
 }
 
-// drift lets some requests of a chat that was served elsewhere go home first.
-func (t *trial) drift(r *request, ask chestnutstep.RankQuery) {
+// applyDrift lets some requests of a chat that was served elsewhere go home first.
+func (t *trial) applyDrift(r *request, query chestnutstep.RankQuery) {
 	hinted := r.ranks[0]
-	if !t.cfg.Policy.Drift || hinted.Name != ask.Hint {
+	if !t.cfg.Policy.Drift || hinted.Name != query.Hint {
 		return
 	}
-	ask.Hint = ""
-	home := t.table.Rank(nil, ask, t.cfg.Tries)
+	query.Hint = ""
+	home := t.table.Rank(nil, query, t.cfg.MaxTargets)
 	if route.ReturnsHome(home[0], hinted.Name, r.work.ID) {
 		r.ranks, r.source = home, t.byName[hinted.Name]
 	}
@@ -73,57 +73,57 @@
 // sendNaive picks a target at random, as a plain balancer does.
 func (t *trial) sendNaive(r *request) {
 	g := t.targets[t.rand.IntN(len(t.targets))]
-	if r.came >= t.cfg.Warm {
+	if r.arrivedAt >= t.cfg.Warmup {
 		t.offers++
 	}
-	if g.down || g.away {
+	if g.down || g.isOut {
 		t.after(10*time.Millisecond, func() { t.send(r) })
 		return
 	}
-	r.at = g
+	r.runningAt = g
 	g.start(r)
 }
 
 // try offers down the ranking, and at its end asks the first target to let the
 // request wait for as long as its caller does.
 func (t *trial) try(r *request) {
-	for !r.over && r.at == nil && r.next < len(r.ranks) {
+	for !r.finished && r.runningAt == nil && r.next < len(r.ranks) {
 		i := r.next
 		r.next++
 		if t.offer(r, t.byName[r.ranks[i].Name], i == 0, false) {
 			return
 		}
-		if i == 0 && t.cfg.Policy.Moved && t.offerMoved(r) {
+		if i == 0 && t.cfg.Policy.FollowMoved && t.offerMoved(r) {
 			return
 		}
 	}
-	if r.over || r.at != nil || len(r.ranks) == 0 {
+	if r.finished || r.runningAt != nil || len(r.ranks) == 0 {
 		return
 	}
 	if t.offer(r, r.home, true, true) {
 		return
 	}
-	t.retry(r, r.pause)
+	t.retry(r, r.retryDelay)
 }
 
 // offerMoved follows the note that the chat's first target left.
 func (t *trial) offerMoved(r *request) bool {
-	g := r.home.moved[r.chat]
+	g := r.home.movedTo[r.chat]
 	return g != nil && g != r.home && t.offer(r, g, false, false)
 }
 
 // retry sends a request once more, if its caller still wants it by then.
 func (t *trial) retry(r *request, d time.Duration) {
-	const most = 3
+	const maxTries = 3
 	r.tries++
-	if r.tries < most {
+	if r.tries < maxTries {
 		t.after(d, func() { t.send(r) })
 	}
 }
 
 // offer puts the request to a target; true means that it need go no further.
 func (t *trial) offer(r *request, g *target, first, last bool) bool {
-	if r.came >= t.cfg.Warm {
+	if r.arrivedAt >= t.cfg.Warmup {
 		t.offers++
 	}
 	if g.down {
@@ -131,7 +131,7 @@
 	}
 	now := t.time()
 	r.work.HasCachedPrefix = first
-	if t.cfg.Policy.Know {
+	if t.cfg.Policy.ExactCache {
 		r.work.HasCachedPrefix = g.cache.has(r.chat)
 	}
 	r.work.WaitUntil = now
@@ -144,25 +144,25 @@
 	d := g.gate.Offer(now, r.work)
 	switch d.Verdict {
 	case chestnutstep.VerdictAccept:
-		r.at = g
+		r.runningAt = g
 		t.checkCap(g)
 		g.start(r)
 		return true
 	case chestnutstep.VerdictQueue:
-		r.at = g
+		r.runningAt = g
 		g.waiting[r.work.ID] = r
 		t.after(r.work.WaitUntil.Sub(now), g.next)
 		g.next()
 		return true
 	case chestnutstep.VerdictRefuse:
-		r.pause = d.RetryAfter
+		r.retryDelay = d.RetryAfter
 	}
 	return false
 }
 
-// dropped goes on with a request that waited in vain.
-func (t *trial) dropped(r *request, d chestnutstep.Decision) {
-	if r.over {
+// onDropped goes on with a request that waited in vain.
+func (t *trial) onDropped(r *request, d chestnutstep.Decision) {
+	if r.finished {
 		return
 	}
 	if r.next < len(r.ranks) {
@@ -172,9 +172,9 @@
 	t.retry(r, d.RetryAfter)
 }
 
-// broken sends a request again whose target crashed.
-func (t *trial) broken(r *request) {
-	if !r.over {
+// onTargetLost sends a request again whose target crashed.
+func (t *trial) onTargetLost(r *request) {
+	if !r.finished {
 		t.retry(r, 0)
 	}
 }
@@ -183,7 +183,7 @@
 // the multiple of the true mean. No agent knows that one; the difference is the
 // price of knowing the mean late and from samples.
 func (t *trial) checkCap(g *target) {
-	if t.cfg.Policy.Naive || t.cfg.Model.Multiple == 0 || t.now < t.cfg.Warm {
+	if t.cfg.Policy.Naive || t.cfg.Model.Multiple == 0 || t.now < t.cfg.Warmup {
 		return
 	}
 	t.starts++
@@ -191,46 +191,46 @@
 	if n.Running > n.Cap && !n.Leaving {
 		t.overCap++
 	}
-	if t.beyond(n.Running, t.trueMean()) {
-		t.over++
+	if t.exceedsCap(n.Running, t.trueMean()) {
+		t.overTrueMean++
 	}
-	if t.beyond(n.Running, (1+Margin)*t.highest()) {
-		t.rule++
+	if t.exceedsCap(n.Running, (1+Margin)*t.highestMean()) {
+		t.overRule++
 	}
 }
 
-func (t *trial) beyond(running int, mean float64) bool {
+func (t *trial) exceedsCap(running int, mean float64) bool {
 	return float64(running) > max(float64(t.cfg.Model.Floor), t.cfg.Model.Multiple*mean)
 }
 
-// started notes a start.
-func (t *trial) started(g *target, r *request) {
-	if g.domain == 0 && t.cfg.Leave > 0 && t.now > t.cfg.Leave+t.cfg.Lag && t.now < t.cfg.Return {
-		t.late++
+// recordStart notes a start.
+func (t *trial) recordStart(g *target, r *request) {
+	if g.domain == 0 && t.cfg.LeaveAt > 0 && t.now > t.cfg.LeaveAt+t.cfg.NoticeDelay && t.now < t.cfg.ReturnAt {
+		t.startsAfterLeave++
 	}
-	wait, returned, found, imported := t.now-r.came, !r.first && !r.began, g.cache.has(r.chat), t.imports(g, r)
-	t.tally(r).started(wait, returned, found, imported)
-	t.period().started(wait, returned, found, imported)
-	r.began = true
+	wait, returned, found, imported := t.now-r.arrivedAt, !r.first && !r.hasStarted, g.cache.has(r.chat), t.imports(g, r)
+	t.tally(r).recordStart(wait, returned, found, imported)
+	t.period().recordStart(wait, returned, found, imported)
+	r.hasStarted = true
 	if r.home != nil {
-		r.home.moved[r.chat] = g
+		r.home.movedTo[r.chat] = g
 	}
 }
 
 // tally is where a request counts; what came in the warm-up counts nowhere.
 func (t *trial) tally(r *request) *tally {
-	if r.came < t.cfg.Warm {
+	if r.arrivedAt < t.cfg.Warmup {
 		return &tally{}
 	}
 	return &t.tallies[r.stream]
 }
 
-// answered notes a whole answer, which also gives the caller its hint.
-func (t *trial) answered(g *target, r *request) {
-	if r.over {
+// recordAnswer notes a whole answer, which also gives the caller its hint.
+func (t *trial) recordAnswer(g *target, r *request) {
+	if r.finished {
 		return
 	}
-	r.over = true
+	r.finished = true
 	t.hints[r.chat] = g.self.Name
-	t.tally(r).answered(r)
+	t.tally(r).recordAnswer(r)
 }
--- a/trial/flood.go
+++ b/trial/flood.go
@@ -17,20 +17,20 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// surge is a play under way.
-type surge struct {
-	loop
-	cfg     Surge
-	rand    *rand.Rand
-	service *chestnutstep.Service
-	view    *roster.View
-	entries []*board.Board
-	addrs   []netip.AddrPort
-	targets map[string]*surgeTarget
-	asked   [][2]int // by kind: asked, in time
-	small   [2]int
-	refused int
-	firsts  []time.Duration
+// surgeRun is a play under way.
+type surgeRun struct {
+	eventLoop
+	cfg         SurgeConfig
+	rand        *rand.Rand
+	service     *chestnutstep.Service
+	view        *roster.View
+	entries     []*board.Board
+	addrs       []netip.AddrPort
+	targets     map[string]*surgeTarget
+	counts      [][2]int // by kind: asked, in time
+	smallCounts [2]int
+	refused     int
+	firstBytes  []time.Duration
 }
 
 // surgeRequest is one request of a caller.
@@ -38,9 +38,9 @@
 	id        string
 	kind      int
 	workspace string
-	asked     time.Duration
+	arrivedAt time.Duration
 	hold      time.Duration
-	again     bool
+	retried   bool
 	run       *board.Attempt
 	seq       int
 }
@@ -74,9 +74,9 @@
 }
 
 // newSurge sets up entries and targets.
-func newSurge(cfg Surge) *surge {
-	s := &surge{
-		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), asked: make([][2]int, len(surgeKinds)),
+func newSurge(cfg SurgeConfig) *surgeRun {
+	s := &surgeRun{
+		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), counts: make([][2]int, len(surgeKinds)),
 		service: &chestnutstep.Service{Name: serviceName, IsEngine: true, LatencyObjective: surgeKinds[0].objective},
 		view: &roster.View{
 			Services: make(map[string][]*roster.Target), ByID: make(map[string]*roster.Target), Out: make(map[string]bool),
@@ -98,10 +98,10 @@
 }
 
 // clock is the play's clock as boards read it.
-func (s *surge) clock() clock.Stamp { return clock.Stamp(time.Hour + s.now) }
+func (s *surgeRun) clock() clock.Stamp { return clock.Stamp(time.Hour + s.now) }
 
-// talk is one round of datagrams.
-func (s *surge) talk() {
+// exchangeReports is one round of datagrams.
+func (s *surgeRun) exchangeReports() {
 	for i, from := range s.entries {
 		r := &share.Report{From: s.addrs[i], Loads: from.Loads(), Reservations: from.Kept(s.clock())}
 		for j, to := range s.entries {
@@ -113,21 +113,21 @@
 }
 
 // rate is the requests a second that the targets carry.
-func (s *surge) rate() float64 {
+func (s *surgeRun) rate() float64 {
 	mean := 0.0
 	for _, k := range surgeKinds {
-		mean += k.part * k.hold.Seconds()
+		mean += k.share * k.hold.Seconds()
 	}
 	return float64(s.cfg.Targets*s.cfg.Slots) / mean
 }
 
 // arrive brings a request, and plans the next.
-func (s *surge) arrive() {
+func (s *surgeRun) arrive() {
 	s.after(time.Duration(s.rand.ExpFloat64()/(s.rate()*s.cfg.Offered)*float64(time.Second)), s.arrive)
-	r := &surgeRequest{id: fmt.Sprint("r", s.seq), seq: s.seq, asked: s.now, workspace: s.workspace()}
+	r := &surgeRequest{id: fmt.Sprint("r", s.seq), seq: s.seq, arrivedAt: s.now, workspace: s.workspace()}
 	u := s.rand.Float64()
-	for u >= surgeKinds[r.kind].part && r.kind < len(surgeKinds)-1 {
-		u -= surgeKinds[r.kind].part
+	for u >= surgeKinds[r.kind].share && r.kind < len(surgeKinds)-1 {
+		u -= surgeKinds[r.kind].share
 		r.kind++
 	}
 	r.hold = time.Duration(s.rand.ExpFloat64() * float64(surgeKinds[r.kind].hold))
@@ -135,8 +135,8 @@
 	s.send(r)
 }
 
-func (s *surge) workspace() string {
-	hot := s.cfg.Hot
+func (s *surgeRun) workspace() string {
+	hot := s.cfg.HotRatio
 	if hot == 0 {
 		hot = 1.0 / surgeWorkspaces
 	}
@@ -147,7 +147,7 @@
 }
 
 // send asks an entry for a place. A refused caller comes back once, as it was told.
-func (s *surge) send(r *surgeRequest) {
+func (s *surgeRun) send(r *surgeRequest) {
 	e := s.entries[s.rand.IntN(len(s.entries))]
 	objective := surgeKinds[r.kind].objective
 	who := board.Caller{Workspace: r.workspace, Urgency: r.kind, Objective: objective}
@@ -162,67 +162,67 @@
 	}
 	g := s.targets[c.ID]
 	r.run = e.Start(s.clock(), c.Target, s.service, nil, 0, who)
-	if len(g.waiting) >= surgeBound*s.cfg.Slots {
+	if len(g.waiting) >= maxQueueFactor*s.cfg.Slots {
 		r.run.End(s.clock(), board.Refused)
 		s.refuse(r)
 		return
 	}
 	heap.Push(&g.waiting, r)
 	s.begin(g)
-	s.after(r.asked+surgeKinds[r.kind].limit-s.now, func() { s.expire(g, r) })
+	s.after(r.arrivedAt+surgeKinds[r.kind].limit-s.now, func() { s.expire(g, r) })
 }
 
 // refuse sends a caller away, for a while at its first time.
-func (s *surge) refuse(r *surgeRequest) {
-	if r.again {
-		if r.asked >= s.cfg.Warm {
+func (s *surgeRun) refuse(r *surgeRequest) {
+	if r.retried {
+		if r.arrivedAt >= s.cfg.Warmup {
 			s.refused++
 		}
 		return
 	}
-	r.again = true
+	r.retried = true
 	s.after(admit.RetryAfter(r.id, surgeKinds[r.kind].objective), func() { s.send(r) })
 }
 
 // begin starts what a target has slots for.
-func (s *surge) begin(g *surgeTarget) {
+func (s *surgeRun) begin(g *surgeTarget) {
 	for g.running < s.cfg.Slots && len(g.waiting) > 0 {
 		r := heap.Pop(&g.waiting).(*surgeRequest)
 		g.running++
-		s.after(surgeReading, func() { s.first(r) })
-		s.after(surgeReading+r.hold, func() { s.end(g, r) })
+		s.after(surgePrefill, func() { s.first(r) })
+		s.after(surgePrefill+r.hold, func() { s.end(g, r) })
 	}
 }
 
 // first is a request's first byte.
-func (s *surge) first(r *surgeRequest) {
+func (s *surgeRun) first(r *surgeRequest) {
 	r.run.FirstByte(s.clock())
-	took := s.now - r.asked
-	s.firsts = append(s.firsts, took)
-	if took <= surgeKinds[r.kind].objective {
+	elapsed := s.now - r.arrivedAt
+	s.firstBytes = append(s.firstBytes, elapsed)
+	if elapsed <= surgeKinds[r.kind].objective {
 		s.count(r, 1)
 	}
 }
 
 // count counts a request as asked, 0, or as in time, 1.
-func (s *surge) count(r *surgeRequest, what int) {
-	if r.asked < s.cfg.Warm {
+func (s *surgeRun) count(r *surgeRequest, index int) {
+	if r.arrivedAt < s.cfg.Warmup {
 		return
 	}
-	s.asked[r.kind][what]++
+	s.counts[r.kind][index]++
 	if r.workspace != "w0" {
-		s.small[what]++
+		s.smallCounts[index]++
 	}
 }
 
-func (s *surge) end(g *surgeTarget, r *surgeRequest) {
+func (s *surgeRun) end(g *surgeTarget, r *surgeRequest) {
 	g.running--
 	r.run.End(s.clock(), board.Served)
 	s.begin(g)
 }
 
 // expire gives up a request that has not begun by its time limit.
-func (s *surge) expire(g *surgeTarget, r *surgeRequest) {
+func (s *surgeRun) expire(g *surgeTarget, r *surgeRequest) {
 	i := slices.Index(g.waiting, r)
 	if i < 0 {
 		return
--- a/trial/line.go
+++ b/trial/line.go
@@ -6,20 +6,20 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// line is the naive gate: slots, and behind them a line of any length, first
+// fifoGate is the naive gate: slots, and behind them a line of any length, first
 // come, first served. What stands in it is never refused, so callers wait for
 // answers that come after they have gone.
-type line struct {
+type fifoGate struct {
 	slots   int
 	running map[string]bool
 	ids     []string
 }
 
-func (f *line) SetLimits(_ time.Time, l chestnutstep.Limits) {
+func (f *fifoGate) SetLimits(_ time.Time, l chestnutstep.Limits) {
 	f.slots, f.running = l.Model.Slots, map[string]bool{}
 }
 
-func (f *line) Offer(_ time.Time, w chestnutstep.Work) chestnutstep.Decision {
+func (f *fifoGate) Offer(_ time.Time, w chestnutstep.Work) chestnutstep.Decision {
 	if len(f.running) < f.slots {
 		f.running[w.ID] = true
 		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}
@@ -28,7 +28,7 @@
 	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue}
 }
 
-func (f *line) End(_ time.Time, id string, _ chestnutstep.Outcome) {
+func (f *fifoGate) End(_ time.Time, id string, _ chestnutstep.Outcome) {
 	delete(f.running, id)
 	for i, x := range f.ids {
 		if x == id {
@@ -38,7 +38,7 @@
 	}
 }
 
-func (f *line) AdvanceQueue(time.Time) chestnutstep.QueueUpdate {
+func (f *fifoGate) AdvanceQueue(time.Time) chestnutstep.QueueUpdate {
 	var n chestnutstep.QueueUpdate
 	for len(f.ids) > 0 && len(f.running) < f.slots {
 		n.Started = append(n.Started, f.ids[0])
@@ -48,10 +48,10 @@
 	return n
 }
 
-func (f *line) SetMean(time.Time, chestnutstep.Mean) {}
-func (f *line) MarkCold(time.Time)                   {}
-func (f *line) SetLeaving(time.Time, bool)           {}
+func (f *fifoGate) SetMean(time.Time, chestnutstep.Mean) {}
+func (f *fifoGate) MarkCold(time.Time)                   {}
+func (f *fifoGate) SetLeaving(time.Time, bool)           {}
 
-func (f *line) Load(time.Time) chestnutstep.Load {
+func (f *fifoGate) Load(time.Time) chestnutstep.Load {
 	return chestnutstep.Load{Running: len(f.running), Waiting: len(f.ids), Cap: f.slots}
 }
--- a/trial/load.go
+++ b/trial/load.go
@@ -13,13 +13,13 @@
 
 // request is one caller's request on its way.
 type request struct {
-	stream int
-	chat   string
-	came   time.Duration
-	limit  time.Duration
-	answer time.Duration
-	// cancel is when the caller gives up, after it came; 0 is never.
-	cancel time.Duration
+	stream    int
+	chat      string
+	arrivedAt time.Duration
+	timeout   time.Duration
+	answer    time.Duration
+	// cancelAfter is when the caller gives up, after it came; 0 is never.
+	cancelAfter time.Duration
 	// first says that the chat was not seen before.
 	first bool
 
@@ -29,36 +29,36 @@
 	tries int
 	home  *target
 	// source holds the chat's prefix, if a target other than home does.
-	source *target
-	at     *target
-	left   time.Duration
-	// pause before a refused caller comes back.
-	pause time.Duration
-	over  bool
-	began bool
+	source    *target
+	runningAt *target
+	remaining time.Duration
+	// retryDelay before a refused caller comes back.
+	retryDelay time.Duration
+	finished   bool
+	hasStarted bool
 	// run is the request as its entry counts it, without agents.
 	run *board.Attempt
 }
 
-// record draws the load. It depends on the seed and the streams alone, so that
+// generateRequests draws the load. It depends on the seed and the streams alone, so that
 // all policies face the same requests at the same moments.
-func record(cfg Config) []*request {
+func generateRequests(cfg Config) []*request {
 	var all []*request
 	for i, s := range cfg.Streams {
 		r := rand.New(rand.NewPCG(cfg.Seed, uint64(i)))
-		all = append(all, s.record(r, i, cfg.For)...)
+		all = append(all, s.generate(r, i, cfg.Duration)...)
 	}
-	slices.SortStableFunc(all, func(a, b *request) int { return int(a.came - b.came) })
-	seen := make(map[string]bool)
+	slices.SortStableFunc(all, func(a, b *request) int { return int(a.arrivedAt - b.arrivedAt) })
+	seenChats := make(map[string]bool)
 	for i, x := range all {
-		x.first = !seen[x.chat]
-		seen[x.chat] = true
+		x.first = !seenChats[x.chat]
+		seenChats[x.chat] = true
 		x.work.ID = fmt.Sprint("r", i)
 	}
 	return all
 }
 
-func (s Stream) record(r *rand.Rand, stream int, end time.Duration) []*request {
+func (s Stream) generate(r *rand.Rand, stream int, end time.Duration) []*request {
 	if s.Until > 0 {
 		end = min(end, s.Until)
 	}
@@ -75,14 +75,14 @@
 func (s Stream) request(r *rand.Rand, stream int, at time.Duration) *request {
 	chat := int(float64(s.Chats) * math.Pow(r.Float64(), max(1, s.Skew)))
 	x := &request{
-		stream: stream,
-		chat:   fmt.Sprintf("%s-%d-%d", s.Workspace, s.Class, chat),
-		came:   at,
-		limit:  s.Limit,
-		answer: time.Duration((0.25 + 0.75*r.ExpFloat64()) * float64(s.Answer)),
+		stream:    stream,
+		chat:      fmt.Sprintf("%s-%d-%d", s.Workspace, s.Class, chat),
+		arrivedAt: at,
+		timeout:   s.Timeout,
+		answer:    time.Duration((0.25 + 0.75*r.ExpFloat64()) * float64(s.Answer)),
 	}
-	if gives := r.Float64() * float64(s.Answer); r.Float64() < s.Cancel {
-		x.cancel = time.Duration(gives) + time.Millisecond
+	if cancelDelay := r.Float64() * float64(s.Answer); r.Float64() < s.CancelRatio {
+		x.cancelAfter = time.Duration(cancelDelay) + time.Millisecond
 	}
 	x.work = chestnutstep.Work{Workspace: s.Workspace, Class: s.Class, Cost: s.Cost}
 	return x
--- a/trial/loads.go
+++ b/trial/loads.go
@@ -6,26 +6,26 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Churn is the recorded load on which policies are compared: a hundred engines
+// ChurnConfig is the recorded load on which policies are compared: a hundred engines
 // that run 8.5 requests each on average, chats that return after two minutes on
 // average, half of all requests given up, an engine restarting every 20 s, and
 // a third of the fleet taken out for a minute and a half when domain is set.
-func Churn(multiple float64, p Policy, domain bool) Config {
+func ChurnConfig(multiple float64, p Policy, domain bool) Config {
 	cfg := Config{
-		Seed: 20261202,
-		For:  30 * time.Minute,
-		Warm: 10 * time.Minute,
+		Seed:     20261202,
+		Duration: 30 * time.Minute,
+		Warmup:   10 * time.Minute,
 		Streams: []Stream{{
-			Workspace: "desk",
-			Class:     chestnutstep.ClassNormal,
-			Rate:      156,
-			Chats:     18700,
-			Answer:    6 * time.Second,
-			Prefill:   1500 * time.Millisecond,
-			Cost:      400,
-			Limit:     time.Minute,
-			Patience:  2 * time.Second,
-			Cancel:    0.5,
+			Workspace:   "desk",
+			Class:       chestnutstep.ClassNormal,
+			Rate:        156,
+			Chats:       18700,
+			Answer:      6 * time.Second,
+			Prefill:     1500 * time.Millisecond,
+			Cost:        400,
+			Timeout:     time.Minute,
+			Patience:    2 * time.Second,
+			CancelRatio: 0.5,
 		}},
 		Policy:  p,
 		Targets: 100,
@@ -33,16 +33,16 @@
 		Model: chestnutstep.Model{
 			Name: "chat", Multiple: multiple, Floor: 4, Slots: 32, QueueLimit: 64, ColdCap: 4,
 		},
-		Tries:     4,
-		Cache:     400,
-		Restart:   20 * time.Second,
-		Down:      5 * time.Second,
-		Fragile:   5 * time.Second,
-		Lag:       2 * time.Second,
-		ImportFor: 300 * time.Millisecond,
+		MaxTargets:      4,
+		CacheChats:      400,
+		RestartInterval: 20 * time.Second,
+		DownTime:        5 * time.Second,
+		FragileTime:     5 * time.Second,
+		NoticeDelay:     2 * time.Second,
+		ImportTime:      300 * time.Millisecond,
 	}
 	if domain {
-		cfg.Leave, cfg.Return = 15*time.Minute, 16*time.Minute+30*time.Second
+		cfg.LeaveAt, cfg.ReturnAt = 15*time.Minute, 16*time.Minute+30*time.Second
 	}
 	return cfg
 }
--- a/trial/loop.go
+++ b/trial/loop.go
@@ -12,28 +12,28 @@
 	do  func()
 }
 
-// loop runs events in the order of their moments, and those of one moment in
+// eventLoop runs events in the order of their moments, and those of one moment in
 // the order in which they were planned, so that a trial always runs alike.
-type loop struct {
+type eventLoop struct {
 	now    time.Duration
 	seq    int
 	events []event
 }
 
-func (l *loop) Len() int { return len(l.events) }
+func (l *eventLoop) Len() int { return len(l.events) }
 
-func (l *loop) Less(i, j int) bool {
+func (l *eventLoop) Less(i, j int) bool {
 	a, b := l.events[i], l.events[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
-func (l *loop) Swap(i, j int) { l.events[i], l.events[j] = l.events[j], l.events[i] }
+func (l *eventLoop) Swap(i, j int) { l.events[i], l.events[j] = l.events[j], l.events[i] }
 
 // Push and Pop serve container/heap.
-func (l *loop) Push(x any) { l.events = append(l.events, x.(event)) }
+func (l *eventLoop) Push(x any) { l.events = append(l.events, x.(event)) }
 
 // Pop takes the last event off.
-func (l *loop) Pop() any {
+func (l *eventLoop) Pop() any {
 	last := len(l.events) - 1
 	e := l.events[last]
 	l.events[last] = event{}
@@ -41,19 +41,19 @@
 	return e
 }
 
-func (l *loop) after(d time.Duration, do func()) {
+func (l *eventLoop) after(d time.Duration, do func()) {
 	l.seq++
 	heap.Push(l, event{at: l.now + max(0, d), seq: l.seq, do: do})
 }
 
-func (l *loop) every(d time.Duration, do func()) {
+func (l *eventLoop) every(d time.Duration, do func()) {
 	l.after(d, func() {
 		do()
 		l.every(d, do)
 	})
 }
 
-func (l *loop) runUntil(end time.Duration) {
+func (l *eventLoop) runUntil(end time.Duration) {
 	for len(l.events) > 0 && l.events[0].at <= end {
 		e := heap.Pop(l).(event)
 		l.now = e.at
@@ -62,4 +62,4 @@
 }
 
 // time is the moment on the clock that the decisions are given.
-func (l *loop) time() time.Time { return time.Unix(0, 0).Add(l.now) }
+func (l *eventLoop) time() time.Time { return time.Unix(0, 0).Add(l.now) }
--- a/trial/play_test.go
+++ b/trial/play_test.go
@@ -13,10 +13,10 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// TestPlays plays the loads in testdata and checks what callers get: "play"
+// TestScenarios plays the loads in testdata and checks what callers get: "play"
 // runs one policy on the streams of its input, "expect" compares figures of
 // the plays before it with bounds, or with each other.
-func TestPlays(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		figures := map[string]float64{}
 		streams := ""
@@ -26,7 +26,7 @@
 				streams = d.Input
 			case "play":
 				r := Run(scriptConfig(t, d, streams))
-				return note(figures, d.CmdArgs[0].Key, r)
+				return recordFigures(figures, d.CmdArgs[0].Key, r)
 			case "expect":
 				for _, line := range strings.Split(d.Input, "\n") {
 					expect(t, d, figures, line)
@@ -37,13 +37,13 @@
 	})
 }
 
-func number(t *testing.T, s string) float64 {
+func parseFloat(t *testing.T, s string) float64 {
 	f, err := strconv.ParseFloat(s, 64)
 	assert.NilError(t, err)
 	return f
 }
 
-func span(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
+func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
 // scriptConfig reads "play NAME key=value...".
 func scriptConfig(t *testing.T, d *datadriven.TestData, streams string) Config {
@@ -52,21 +52,21 @@
 		return unset
 	}
 	cfg := Config{
-		Seed:    7,
-		For:     span(arg("for", 120)),
-		Warm:    span(arg("warm", 20)),
-		Policy:  Policy{Hint: true, Home: true},
-		Targets: int(arg("targets", 6)),
-		Domains: 3,
-		Tries:   int(arg("tries", 4)),
-		Cache:   int(arg("cache", 300)),
-		Fragile: span(arg("fragile", 0)),
-		Down:    5 * time.Second,
-		Slow:    arg("slow", 0),
-		Leave:   span(arg("leave", 0)),
-		Return:  span(arg("return", 0)),
-		Lag:     2 * time.Second,
-		Weights: map[string]float64{"big": arg("big", 1)},
+		Seed:        7,
+		Duration:    seconds(arg("for", 120)),
+		Warmup:      seconds(arg("warm", 20)),
+		Policy:      Policy{Hint: true, Home: true},
+		Targets:     int(arg("targets", 6)),
+		Domains:     3,
+		MaxTargets:  int(arg("tries", 4)),
+		CacheChats:  int(arg("cache", 300)),
+		FragileTime: seconds(arg("fragile", 0)),
+		DownTime:    5 * time.Second,
+		SlowFactor:  arg("slow", 0),
+		LeaveAt:     seconds(arg("leave", 0)),
+		ReturnAt:    seconds(arg("return", 0)),
+		NoticeDelay: 2 * time.Second,
+		Weights:     map[string]float64{"big": arg("big", 1)},
 	}
 	slots := int(arg("slots", 16))
 	cfg.Model = chestnutstep.Model{
@@ -75,11 +75,11 @@
 	}
 	switch d.CmdArgs[0].Key {
 	case "whole":
-		cfg.Policy = All
+		cfg.Policy = FullPolicy
 	case "random":
 		cfg.Policy = Policy{Naive: true}
 	case "fifo":
-		cfg.Policy = Policy{Line: true}
+		cfg.Policy = Policy{FIFO: true}
 	}
 	for _, line := range strings.Split(streams, "\n") {
 		cfg.Streams = append(cfg.Streams, scriptStream(t, line, arg("times", 1)))
@@ -93,38 +93,38 @@
 	v := map[string]float64{"class": 1, "chats": 200, "skew": 1, "answer": 2, "prefill": 0.5, "cost": 200, "limit": 20, "patience": 1}
 	for _, word := range words[1:] {
 		key, value, _ := strings.Cut(word, "=")
-		v[key] = number(t, value)
+		v[key] = parseFloat(t, value)
 	}
 	return Stream{
 		Workspace: words[0], Class: chestnutstep.Class(v["class"]), Rate: v["rate"] * times,
-		From: span(v["from"]), Until: span(v["until"]), Chats: int(v["chats"]), Skew: v["skew"],
-		Answer: span(v["answer"]), Prefill: span(v["prefill"]), Cost: v["cost"],
-		Limit: span(v["limit"]), Patience: span(v["patience"]), Cancel: v["cancel"],
+		From: seconds(v["from"]), Until: seconds(v["until"]), Chats: int(v["chats"]), Skew: v["skew"],
+		Answer: seconds(v["answer"]), Prefill: seconds(v["prefill"]), Cost: v["cost"],
+		Timeout: seconds(v["limit"]), Patience: seconds(v["patience"]), CancelRatio: v["cancel"],
 	}
 }
 
-// note prints what callers got and keeps it for "expect".
-func note(figures map[string]float64, name string, r Result) string {
+// recordFigures prints what callers got and keeps it for "expect".
+func recordFigures(figures map[string]float64, name string, r Result) string {
 	var out strings.Builder
 	for i, s := range append(r.Streams, r.All) {
-		who := fmt.Sprintf("%s.%d", s.Workspace, i)
+		subject := fmt.Sprintf("%s.%d", s.Workspace, i)
 		if i == len(r.Streams) {
-			who = "all"
+			subject = "all"
 		}
-		key := name + "." + who + "."
+		key := name + "." + subject + "."
 		figures[key+"intime"] = 100 * s.InTime
 		figures[key+"wait95"] = s.Wait95.Seconds()
 		figures[key+"goodput"] = s.Goodput
 		figures[key+"reuse"] = 100 * s.Reuse
 		fmt.Fprintf(&out, "%-10s in time %3.0f%%  goodput %5.1f/s  wait95 %4.1f s  reuse %3.0f%%\n",
-			who, 100*s.InTime, s.Goodput, s.Wait95.Seconds(), 100*s.Reuse)
+			subject, 100*s.InTime, s.Goodput, s.Wait95.Seconds(), 100*s.Reuse)
 	}
-	figures[name+".largest"] = r.Largest99
+	figures[name+".largest"] = r.MaxToMean99
 	figures[name+".offers"] = r.Offers
-	figures[name+".after"] = float64(r.After)
+	figures[name+".after"] = float64(r.StartsAfterLeave)
 	figures[name+".crashes"] = float64(r.Crashes)
 	figures[name+".overcap"] = float64(r.OverCap)
-	fmt.Fprintf(&out, "largest/mean %.1f  offers %.1f  crashes %d  over cap %d  after leaving %d\n", r.Largest99, r.Offers, r.Crashes, r.OverCap, r.After)
+	fmt.Fprintf(&out, "largest/mean %.1f  offers %.1f  crashes %d  over cap %d  after leaving %d\n", r.MaxToMean99, r.Offers, r.Crashes, r.OverCap, r.StartsAfterLeave)
 	return out.String()
 }
 
@@ -136,11 +136,11 @@
 		if f, ok := figures[word]; ok {
 			return f
 		}
-		return number(t, word)
+		return parseFloat(t, word)
 	}
 	bound := value(words[2])
 	if len(words) == 5 {
-		bound *= number(t, words[4])
+		bound *= parseFloat(t, words[4])
 	}
 	have, ok := figures[words[0]]
 	if !ok || (words[1] == "<") != (have < bound) || have == bound {
--- a/trial/result.go
+++ b/trial/result.go
@@ -8,23 +8,23 @@
 // tally counts what the callers of one stream got.
 type tally struct {
 	requests int
-	// wanted leaves out those given up by their callers.
-	wanted   int
-	inTime   int
-	returned int
-	found    int
-	imported int
-	waits    []time.Duration
+	// notCanceled leaves out those given up by their callers.
+	notCanceled int
+	inTime      int
+	returned    int
+	found       int
+	imported    int
+	waits       []time.Duration
 }
 
-func (c *tally) came(r *request) {
+func (c *tally) recordArrival(r *request) {
 	c.requests++
-	if r.cancel == 0 {
-		c.wanted++
+	if r.cancelAfter == 0 {
+		c.notCanceled++
 	}
 }
 
-func (c *tally) started(wait time.Duration, returned, found, imported bool) {
+func (c *tally) recordStart(wait time.Duration, returned, found, imported bool) {
 	c.waits = append(c.waits, wait)
 	if !returned {
 		return
@@ -38,15 +38,15 @@
 	}
 }
 
-func (c *tally) answered(r *request) {
-	if r.cancel == 0 {
+func (c *tally) recordAnswer(r *request) {
+	if r.cancelAfter == 0 {
 		c.inTime++
 	}
 }
 
 func (c *tally) add(o tally) {
 	c.requests += o.requests
-	c.wanted += o.wanted
+	c.notCanceled += o.notCanceled
 	c.inTime += o.inTime
 	c.returned += o.returned
 	c.found += o.found
@@ -54,11 +54,11 @@
 	c.waits = append(c.waits, o.waits...)
 }
 
-func (c *tally) share(workspace string, d time.Duration) Share {
-	s := Share{
+func (c *tally) result(workspace string, d time.Duration) StreamResult {
+	s := StreamResult{
 		Workspace: workspace,
 		Requests:  c.requests,
-		InTime:    ratio(c.inTime, c.wanted),
+		InTime:    ratio(c.inTime, c.notCanceled),
 		Reuse:     ratio(c.found, c.returned),
 		Imported:  ratio(c.imported, c.returned),
 		Goodput:   float64(c.inTime) / d.Seconds(),
@@ -79,12 +79,12 @@
 // period is a Span that is still counted.
 type period struct {
 	tally
-	largest float64
+	maxToMean float64
 }
 
 // period returns the one of this moment.
 func (t *trial) period() *period {
-	n := int(t.now / spanLength)
+	n := int(t.now / intervalLength)
 	for len(t.periods) <= n {
 		t.periods = append(t.periods, &period{})
 	}
@@ -92,33 +92,33 @@
 }
 
 // series lists the spans of the load.
-func (t *trial) series() []Span {
-	var list []Span
+func (t *trial) series() []Interval {
+	var list []Interval
 	for i, s := range t.periods {
-		begin := time.Duration(i) * spanLength
-		if begin >= t.cfg.For {
+		begin := time.Duration(i) * intervalLength
+		if begin >= t.cfg.Duration {
 			break
 		}
-		share := s.share("", spanLength)
-		list = append(list, Span{Begin: begin, Reuse: share.Reuse, Imported: share.Imported, Wait: share.WaitMean, Largest: s.largest})
+		share := s.result("", intervalLength)
+		list = append(list, Interval{Begin: begin, Reuse: share.Reuse, Imported: share.Imported, Wait: share.WaitMean, MaxToMean: s.maxToMean})
 	}
 	return list
 }
 
 func (t *trial) result() Result {
-	r := Result{OverCap: t.overCap, OverRule: t.rule, OverTrue: ratio(t.over, t.starts), Crashes: t.crashes, Back: ratio(t.lastZero, t.last), After: t.late}
+	r := Result{OverCap: t.overCap, OverRule: t.overRule, OverTrueMean: ratio(t.overTrueMean, t.starts), Crashes: t.crashes, ReturnedShare: ratio(t.lastRunningZero, t.lastRunning), StartsAfterLeave: t.startsAfterLeave}
 	var all tally
 	for i, s := range t.cfg.Streams {
 		all.add(t.tallies[i])
-		r.Streams = append(r.Streams, t.tallies[i].share(s.Workspace, t.cfg.For-t.cfg.Warm))
+		r.Streams = append(r.Streams, t.tallies[i].result(s.Workspace, t.cfg.Duration-t.cfg.Warmup))
 	}
-	r.All = all.share("all", t.cfg.For-t.cfg.Warm)
+	r.All = all.result("all", t.cfg.Duration-t.cfg.Warmup)
 	r.Series = t.series()
 	r.Offers = float64(t.offers) / float64(max(1, all.requests))
-	slices.Sort(t.ratios)
-	if len(t.ratios) > 0 {
-		r.Largest = t.ratios[len(t.ratios)-1]
-		r.Largest99 = quantile(t.ratios, 0.99)
+	slices.Sort(t.maxToMeans)
+	if len(t.maxToMeans) > 0 {
+		r.MaxToMean = t.maxToMeans[len(t.maxToMeans)-1]
+		r.MaxToMean99 = quantile(t.maxToMeans, 0.99)
 	}
 	return r
 }
--- a/trial/rows.go
+++ b/trial/rows.go
@@ -11,28 +11,28 @@
 	Config Config
 }
 
-// curve are the multiples from which operators may choose; 0 is none.
-var curve = []float64{1.1, 1.25, 1.5, 2, 0}
+// multiples are the multiples from which operators may choose; 0 is none.
+var multiples = []float64{1.1, 1.25, 1.5, 2, 0}
 
 // Rows are the trials that show what each decision does, alone and together,
 // and the curve of reuse against evenness over the multiple.
 func Rows() []Row {
-	one := []float64{1.25}
+	onlyDefault := []float64{1.25}
 	var rows []Row
 	add := func(name string, multiples []float64, p Policy) {
 		for _, m := range multiples {
-			rows = append(rows, Row{Name: fmt.Sprintf("%s/multiple=%v", name, m), Config: Churn(m, p, false)})
+			rows = append(rows, Row{Name: fmt.Sprintf("%s/multiple=%v", name, m), Config: ChurnConfig(m, p, false)})
 		}
 	}
-	add("naive", one, Policy{Naive: true})
-	add("hash", curve, Policy{})
-	add("hint", curve, Policy{Hint: true})
-	add("hint+home", curve, Policy{Hint: true, Home: true})
-	add("home", one, Policy{Home: true})
-	add("home+moved", one, Policy{Home: true, Moved: true})
-	add("hint+home+know", one, Policy{Hint: true, Home: true, Know: true})
-	add("hint+home+know+drift", one, Policy{Hint: true, Home: true, Know: true, Drift: true})
-	add("all", curve, All)
+	add("naive", onlyDefault, Policy{Naive: true})
+	add("hash", multiples, Policy{})
+	add("hint", multiples, Policy{Hint: true})
+	add("hint+home", multiples, Policy{Hint: true, Home: true})
+	add("home", onlyDefault, Policy{Home: true})
+	add("home+moved", onlyDefault, Policy{Home: true, FollowMoved: true})
+	add("hint+home+know", onlyDefault, Policy{Hint: true, Home: true, ExactCache: true})
+	add("hint+home+know+drift", onlyDefault, Policy{Hint: true, Home: true, ExactCache: true, Drift: true})
+	add("all", multiples, FullPolicy)
 	return rows
 }
 
@@ -42,13 +42,13 @@
 func DomainRows() []Row {
 	var rows []Row
 	add := func(name string, p Policy) {
-		cfg := Churn(1.25, p, true)
-		cfg.Warm, cfg.For = 14*time.Minute, 22*time.Minute
+		cfg := ChurnConfig(1.25, p, true)
+		cfg.Warmup, cfg.Duration = 14*time.Minute, 22*time.Minute
 		rows = append(rows, Row{Name: name, Config: cfg})
 	}
 	add("naive", Policy{Naive: true})
-	add("home+know", Policy{Home: true, Know: true})
-	add("hint+home+know", Policy{Hint: true, Home: true, Know: true})
-	add("all", All)
+	add("home+know", Policy{Home: true, ExactCache: true})
+	add("hint+home+know", Policy{Hint: true, Home: true, ExactCache: true})
+	add("all", FullPolicy)
 	return rows
 }
--- a/trial/run.go
+++ b/trial/run.go
@@ -11,51 +11,51 @@
 	"chestnutstep.example/chestnutstep/route"
 )
 
-// samples is what one exchange between agents carries.
-const samples = 16
+// maxSamples is what one exchange between agents carries.
+const maxSamples = 16
 
 // trial is one run.
 type trial struct {
-	loop
-	cfg     Config
-	rand    *rand.Rand
-	view    *chestnutstep.View
-	table   *route.Table
-	targets []*target
-	byName  map[string]*target
-	hints   map[string]string
-	direct  *direct
-	load    []*request
-
-	tallies []tally
-	ratios  []float64
-	periods []*period
-	offers  int
-	overCap int
-	over    int
-	rule    int
-	starts  int
-	means   []float64
-	// last and lastZero sum what ran in the last minute, and in domain 0.
-	last, lastZero int
-	crashes        int
-	late           int
+	eventLoop
+	cfg      Config
+	rand     *rand.Rand
+	view     *chestnutstep.View
+	table    *route.Table
+	targets  []*target
+	byName   map[string]*target
+	hints    map[string]string
+	direct   *directFleet
+	requests []*request
+
+	tallies      []tally
+	maxToMeans   []float64
+	periods      []*period
+	offers       int
+	overCap      int
+	overTrueMean int
+	overRule     int
+	starts       int
+	means        []float64
+	// lastRunning and lastZero sum what ran in the last minute, and in domain 0.
+	lastRunning, lastRunningZero int
+	crashes                      int
+	startsAfterLeave             int
 }
 
 // Run plays the load and returns what callers got. The same configuration
 // always gives the same result.
 func Run(cfg Config) Result {
 	t := &trial{
-		cfg:     cfg,
-		rand:    rand.New(rand.NewPCG(cfg.Seed, 1<<32)),
-		byName:  make(map[string]*target),
-		hints:   make(map[string]string),
-		load:    record(cfg),
-		tallies: make([]tally, len(cfg.Streams)),
+		cfg:      cfg,
+		rand:     rand.New(rand.NewPCG(cfg.Seed, 1<<32)),
+		byName:   make(map[string]*target),
+		hints:    make(map[string]string),
+		requests: generateRequests(cfg),
+		tallies:  make([]tally, len(cfg.Streams)),
 	}
 	t.build()
 	t.schedule()
-	t.runUntil(cfg.For + drain)
+	t.runUntil(cfg.Duration + drain)
 	return t.result()
 }
 
@@ -89,11 +89,11 @@
 		domain:  i % max(1, t.cfg.Domains),
 		gate:    t.cfg.newGate(),
 		mean:    &mean.Sampler{Model: t.cfg.Model.Name, Target: self.Name},
-		moved:   make(map[string]*target),
+		movedTo: make(map[string]*target),
 		waiting: make(map[string]*request),
 		slow:    1,
 	}
-	g.cache.most = t.cfg.Cache
+	g.cache.capacity = t.cfg.CacheChats
 	g.cache.clear()
 	g.gate.SetLimits(t.time(), chestnutstep.Limits{Model: t.cfg.Model, Workspaces: t.cfg.Weights, IsOnlyTarget: t.cfg.Targets == 1})
 	t.targets = append(t.targets, g)
@@ -102,32 +102,32 @@
 
 // rebuild is what entries do when the host list changes.
 func (t *trial) rebuild() {
-	t.table = &route.Table{View: t.view, Skip: func(x *chestnutstep.Target) bool { return t.byName[x.Name].away }}
+	t.table = &route.Table{View: t.view, Skip: func(x *chestnutstep.Target) bool { return t.byName[x.Name].isOut }}
 	t.table.Build()
 	if t.direct != nil {
-		t.direct.look()
+		t.direct.updateView()
 	}
 }
 
 func (t *trial) schedule() {
-	for _, r := range t.load {
-		t.after(r.came, func() { t.arrive(r) })
+	for _, r := range t.requests {
+		t.after(r.arrivedAt, func() { t.arrive(r) })
 	}
 	t.every(time.Second, t.exchange)
-	t.every(time.Second, t.look)
-	if t.cfg.Restart > 0 {
-		t.every(t.cfg.Restart, func() { t.targets[t.rand.IntN(len(t.targets))].restart() })
+	t.every(time.Second, t.sampleLoads)
+	if t.cfg.RestartInterval > 0 {
+		t.every(t.cfg.RestartInterval, func() { t.targets[t.rand.IntN(len(t.targets))].restart() })
 	}
-	if t.cfg.Slow > 0 {
-		t.after(t.cfg.For/3, func() {
+	if t.cfg.SlowFactor > 0 {
+		t.after(t.cfg.Duration/3, func() {
 			t.targets[0].advance()
-			t.targets[0].slow = t.cfg.Slow
+			t.targets[0].slow = t.cfg.SlowFactor
 			t.targets[0].replan()
 		})
 	}
-	if t.cfg.Leave > 0 {
-		t.after(t.cfg.Leave, t.leave)
-		t.after(t.cfg.Return, t.comeBack)
+	if t.cfg.LeaveAt > 0 {
+		t.after(t.cfg.LeaveAt, t.leaveDomain)
+		t.after(t.cfg.ReturnAt, t.returnDomain)
 	}
 }
 
@@ -141,12 +141,12 @@
 	}
 	for _, g := range t.targets {
 		peer := t.targets[t.rand.IntN(len(t.targets))]
-		if g.down || peer.down || g.away || peer.away {
+		if g.down || peer.down || g.isOut || peer.isOut {
 			continue
 		}
-		told, heard := g.mean.Samples(now, samples), peer.mean.Samples(now, samples)
-		peer.mean.Merge(now, told)
-		g.mean.Merge(now, heard)
+		sent, received := g.mean.Samples(now, maxSamples), peer.mean.Samples(now, maxSamples)
+		peer.mean.Merge(now, sent)
+		g.mean.Merge(now, received)
 	}
 	for _, g := range t.targets {
 		m := g.mean.Mean(now)
@@ -156,35 +156,35 @@
 	}
 }
 
-// look notes how uneven the loads are.
-func (t *trial) look() {
-	if t.now > t.cfg.For {
+// sampleLoads notes how uneven the loads are.
+func (t *trial) sampleLoads() {
+	if t.now > t.cfg.Duration {
 		return
 	}
-	sum, n, most, zero := 0, 0, 0, 0
+	sum, n, largest, zero := 0, 0, 0, 0
 	for _, g := range t.targets {
-		if g.down || g.away {
+		if g.down || g.isOut {
 			continue
 		}
 		n++
 		sum += len(g.running)
-		most = max(most, len(g.running))
+		largest = max(largest, len(g.running))
 		if g.domain == 0 {
 			zero += len(g.running)
 		}
 	}
-	if t.now > t.cfg.For-time.Minute {
-		t.last += sum
-		t.lastZero += zero
+	if t.now > t.cfg.Duration-time.Minute {
+		t.lastRunning += sum
+		t.lastRunningZero += zero
 	}
 	if sum == 0 {
 		return
 	}
-	ratio := float64(most) * float64(n) / float64(sum)
+	ratio := float64(largest) * float64(n) / float64(sum)
 	s := t.period()
-	s.largest = max(s.largest, ratio)
-	if t.now >= t.cfg.Warm {
-		t.ratios = append(t.ratios, ratio)
+	s.maxToMean = max(s.maxToMean, ratio)
+	if t.now >= t.cfg.Warmup {
+		t.maxToMeans = append(t.maxToMeans, ratio)
 	}
 }
 
@@ -192,7 +192,7 @@
 func (t *trial) trueMean() float64 {
 	sum, n := 0, 0
 	for _, g := range t.targets {
-		if !g.down && !g.away {
+		if !g.down && !g.isOut {
 			sum += len(g.running) + len(g.waiting)
 			n++
 		}
@@ -200,12 +200,12 @@
 	return float64(sum) / float64(max(1, n))
 }
 
-// highest is the highest true mean of the last Stale seconds.
-func (t *trial) highest() float64 {
-	return max(t.trueMean(), slices.Max(t.means[max(0, len(t.means)-Stale):]))
+// highestMean is the highest true mean of the last Stale seconds.
+func (t *trial) highestMean() float64 {
+	return max(t.trueMean(), slices.Max(t.means[max(0, len(t.means)-MeanHistory):]))
 }
 
-func (t *trial) leave() {
+func (t *trial) leaveDomain() {
 	for _, g := range t.targets {
 		if g.domain == 0 {
 			g.gate.SetLeaving(t.time(), true)
@@ -214,10 +214,10 @@
 			t.after(2*time.Second, g.next)
 		}
 	}
-	t.after(t.cfg.Lag, func() { t.tellEntries(true) })
+	t.after(t.cfg.NoticeDelay, func() { t.setDomainOut(true) })
 }
 
-func (t *trial) comeBack() {
+func (t *trial) returnDomain() {
 	for _, g := range t.targets {
 		if g.domain == 0 {
 			if !t.cfg.WarmReturn {
@@ -225,19 +225,19 @@
 				g.started = t.now
 				g.gate.MarkCold(t.time())
 				if t.direct != nil {
-					t.direct.births[g.self.Name]++
+					t.direct.startCounts[g.self.Name]++
 				}
 			}
 			g.gate.SetLeaving(t.time(), false)
 		}
 	}
-	t.after(t.cfg.Lag, func() { t.tellEntries(false) })
+	t.after(t.cfg.NoticeDelay, func() { t.setDomainOut(false) })
 }
 
-func (t *trial) tellEntries(away bool) {
+func (t *trial) setDomainOut(out bool) {
 	for _, g := range t.targets {
 		if g.domain == 0 {
-			g.away = away
+			g.isOut = out
 		}
 	}
 	t.rebuild()
--- a/trial/surge.go
+++ b/trial/surge.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Surge is a load beyond what targets carry, before entries without agents. Targets
+// SurgeConfig is a load beyond what targets carry, before entries without agents. Targets
 // queue by urgency themselves and take nothing back, as engines do.
-type Surge struct {
+type SurgeConfig struct {
 	Seed    uint64
 	Entries int
 	Targets int
 	Slots   int
 	// Offered is the load against what the targets carry.
 	Offered float64
-	// Hot is the part of the requests that one of ten workspaces sends; 0 for a tenth.
-	Hot float64
+	// HotRatio is the part of the requests that one of ten workspaces sends; 0 for a tenth.
+	HotRatio float64
 	// Admit lets entries refuse what can't begin in time.
 	Admit bool
-	// Talk is how often entries tell each other what they have in progress; 0 for never.
-	Talk time.Duration
-	// Warm is the time from which on requests count, and For the end of the load.
-	Warm, For time.Duration
+	// ReportInterval is how often entries tell each other what they have in progress; 0 for never.
+	ReportInterval time.Duration
+	// Warmup is the time from which on requests count, and For the end of the load.
+	Warmup, Duration time.Duration
 }
 
 // SurgeResult is what callers got.
@@ -32,8 +32,8 @@
 	InTime, Refused float64
 	// Kinds is the part in time of each kind of request, the most urgent first.
 	Kinds []float64
-	// Small is the part in time of the requests of the workspaces that are not hot.
-	Small float64
+	// SmallInTime is the part in time of the requests of the workspaces that are not hot.
+	SmallInTime float64
 	// First95 is the time to the first byte of 95 in 100 that were served.
 	First95 time.Duration
 }
@@ -41,7 +41,7 @@
 // surgeKind is one kind of request: urgent ones that take long, less urgent ones that
 // take longer, and short ones that wait for the others.
 type surgeKind struct {
-	part      float64
+	share     float64
 	hold      time.Duration
 	objective time.Duration
 	limit     time.Duration
@@ -55,18 +55,18 @@
 
 const (
 	surgeWorkspaces = 10
-	// surgeBound is how many requests wait at a target for each of its slots.
-	surgeBound = 3
-	// surgeReading is what a target takes to read a prompt.
-	surgeReading = 30 * time.Millisecond
+	// maxQueueFactor is how many requests wait at a target for each of its slots.
+	maxQueueFactor = 3
+	// surgePrefill is what a target takes to read a prompt.
+	surgePrefill = 30 * time.Millisecond
 )
 
 // SurgeRow is one load of a comparison.
 type SurgeRow struct {
 	Offered float64
-	// Refusing is what callers get where entries refuse what can't begin in time, and
+	// WithAdmission is what callers get where entries refuse what can't begin in time, and
 	// Taking where they send on all they get.
-	Refusing, Taking SurgeResult
+	WithAdmission, WithoutAdmission SurgeResult
 }
 
 // offeredLoads are those of the comparison, against what the targets carry.
@@ -76,42 +76,42 @@
 func SurgeRows(seed uint64) []SurgeRow {
 	var rows []SurgeRow
 	for _, offered := range offeredLoads {
-		cfg := Surge{
+		cfg := SurgeConfig{
 			Seed: seed, Entries: 4, Targets: 9, Slots: 64, Offered: offered,
-			Talk: 50 * time.Millisecond, Warm: 5 * time.Second, For: time.Minute,
+			ReportInterval: 50 * time.Millisecond, Warmup: 5 * time.Second, Duration: time.Minute,
 		}
-		taking := PlaySurge(cfg)
+		taking := RunSurge(cfg)
 		cfg.Admit = true
-		rows = append(rows, SurgeRow{offered, PlaySurge(cfg), taking})
+		rows = append(rows, SurgeRow{offered, RunSurge(cfg), taking})
 	}
 	return rows
 }
 
-// PlaySurge plays a load beyond what targets carry.
-func PlaySurge(cfg Surge) SurgeResult {
+// RunSurge plays a load beyond what targets carry.
+func RunSurge(cfg SurgeConfig) SurgeResult {
 	s := newSurge(cfg)
-	if cfg.Talk > 0 {
-		s.every(cfg.Talk, s.talk)
+	if cfg.ReportInterval > 0 {
+		s.every(cfg.ReportInterval, s.exchangeReports)
 	}
 	s.after(0, s.arrive)
-	s.runUntil(cfg.For)
+	s.runUntil(cfg.Duration)
 	return s.result()
 }
 
-func (s *surge) result() SurgeResult {
+func (s *surgeRun) result() SurgeResult {
 	var r SurgeResult
 	asked, inTime := 0, 0
-	for _, k := range s.asked {
+	for _, k := range s.counts {
 		asked += k[0]
 		inTime += k[1]
 		r.Kinds = append(r.Kinds, ratio(k[1], k[0]))
 	}
-	r.Goodput = float64(inTime) / (s.cfg.For - s.cfg.Warm).Seconds()
+	r.Goodput = float64(inTime) / (s.cfg.Duration - s.cfg.Warmup).Seconds()
 	r.InTime, r.Refused = ratio(inTime, asked), ratio(s.refused, asked)
-	r.Small = ratio(s.small[1], s.small[0])
-	slices.Sort(s.firsts)
-	if len(s.firsts) > 0 {
-		r.First95 = quantile(s.firsts, 0.95)
+	r.SmallInTime = ratio(s.smallCounts[1], s.smallCounts[0])
+	slices.Sort(s.firstBytes)
+	if len(s.firstBytes) > 0 {
+		r.First95 = quantile(s.firstBytes, 0.95)
 	}
 	return r
 }
--- a/trial/surge_test.go
+++ b/trial/surge_test.go
@@ -9,10 +9,10 @@
 )
 
 // fleet is a small one whose targets carry about 350 requests a second.
-func surgeFleet(offered float64, admits bool) Surge {
-	return Surge{
+func surgeFleet(offered float64, admits bool) SurgeConfig {
+	return SurgeConfig{
 		Seed: 3, Entries: 4, Targets: 9, Slots: 64, Offered: offered, Admit: admits,
-		Talk: 50 * time.Millisecond, For: 40 * time.Second,
+		ReportInterval: 50 * time.Millisecond, Duration: 40 * time.Second,
 	}
 }
 
@@ -20,10 +20,10 @@
 // it is given lets each request wait behind others that will be late too: fewer are
 // served in time than at a lower load.
 func TestGoodputHoldsBeyondSaturation(t *testing.T) {
-	best := PlaySurge(surgeFleet(0.95, true)).Goodput
+	best := RunSurge(surgeFleet(0.95, true)).Goodput
 	for _, offered := range []float64{1.5, 2, 3} {
 		t.Run(fmt.Sprint(offered), func(t *testing.T) {
-			got, before := PlaySurge(surgeFleet(offered, true)), PlaySurge(surgeFleet(offered, false))
+			got, before := RunSurge(surgeFleet(offered, true)), RunSurge(surgeFleet(offered, false))
 			assert.Assert(t, got.Goodput >= 0.9*best, "%.1f in time a second, %.1f at the best", got.Goodput, best)
 			assert.Assert(t, before.Goodput < 0.8*best, "%.1f without refusals: the load shows nothing", before.Goodput)
 			for kind, part := range got.Kinds {
@@ -36,7 +36,7 @@
 // Below what the targets carry nothing is refused: every refusal would be of a request
 // that could have been served.
 func TestNothingIsRefusedBelowSaturation(t *testing.T) {
-	got := PlaySurge(surgeFleet(0.8, true))
+	got := RunSurge(surgeFleet(0.8, true))
 	assert.Equal(t, got.Refused, 0.0)
 	assert.Assert(t, got.InTime > 0.99, "%.3f", got.InTime)
 }
@@ -46,10 +46,10 @@
 // before they were refused the first time has to end first: three seconds.
 func TestSmallWorkspacesAreServedBesideAHotOne(t *testing.T) {
 	cfg := surgeFleet(3, true)
-	cfg.Hot = 5.0 / 6
-	cfg.Warm = 3 * time.Second
-	got := PlaySurge(cfg)
-	assert.Assert(t, got.Small >= 0.9, "%.2f of the others' requests in time", got.Small)
+	cfg.HotRatio = 5.0 / 6
+	cfg.Warmup = 3 * time.Second
+	got := RunSurge(cfg)
+	assert.Assert(t, got.SmallInTime >= 0.9, "%.2f of the others' requests in time", got.SmallInTime)
 }
 
 // Entries that hear nothing of each other count only their own requests: each takes all
@@ -57,8 +57,8 @@
 // below a safe share: four entries that take themselves for six give two thirds.
 func TestGoodputHoldsWithoutPeers(t *testing.T) {
 	cfg := surgeFleet(2, true)
-	cfg.Talk = 0
-	got := PlaySurge(cfg)
-	best := PlaySurge(surgeFleet(0.95, true)).Goodput
+	cfg.ReportInterval = 0
+	got := RunSurge(cfg)
+	best := RunSurge(surgeFleet(0.95, true)).Goodput
 	assert.Assert(t, got.Goodput >= best*2/3, "%.1f in time a second, %.1f at the best", got.Goodput, best)
 }
--- a/trial/target.go
+++ b/trial/target.go
@@ -17,24 +17,24 @@
 	gate   chestnutstep.Gate
 	mean   *mean.Sampler
 	cache  cache
-	// moved names, by chat, the target that took it last.
-	moved map[string]*target
-
-	running []*request
-	waiting map[string]*request
-	slow    float64
-	down    bool
-	away    bool
-	started time.Duration
-	last    time.Duration
-	plan    int
+	// movedTo names, by chat, the target that took it last.
+	movedTo map[string]*target
+
+	running     []*request
+	waiting     map[string]*request
+	slow        float64
+	down        bool
+	isOut       bool
+	started     time.Duration
+	advancedAt  time.Duration
+	planVersion int
 }
 
 // cache keeps the prefixes of the chats used last.
 type cache struct {
-	most  int
-	order list.List
-	items map[string]*list.Element
+	capacity int
+	order    list.List
+	items    map[string]*list.Element
 }
 
 func (c *cache) has(chat string) bool { return c.items[chat] != nil }
@@ -50,7 +50,7 @@
 		return
 	}
 	c.items[chat] = c.order.PushFront(chat)
-	if c.order.Len() > c.most {
+	if c.order.Len() > c.capacity {
 		delete(c.items, c.order.Remove(c.order.Back()).(string))
 	}
 }
@@ -58,15 +58,15 @@
 // start runs a request that the gate has let in, or any if the policy is naive.
 func (g *target) start(r *request) {
 	g.advance()
-	g.trial.started(g, r)
+	g.trial.recordStart(g, r)
 	prefill := g.prefill(r)
-	r.left = r.answer + prefill
+	r.remaining = r.answer + prefill
 	if g.trial.direct != nil {
-		g.trial.direct.began(r, prefill)
+		g.trial.direct.onStart(r, prefill)
 	}
 	g.cache.use(r.chat)
 	g.running = append(g.running, r)
-	if g.fragile() && len(g.running) > 2*g.trial.cfg.Model.ColdCap {
+	if g.isFragile() && len(g.running) > 2*g.trial.cfg.Model.ColdCap {
 		g.trial.crashes++
 		g.restart()
 		return
@@ -81,7 +81,7 @@
 		return 0
 	}
 	if g.trial.imports(g, r) {
-		return min(s.Prefill, g.trial.cfg.ImportFor)
+		return min(s.Prefill, g.trial.cfg.ImportTime)
 	}
 	return s.Prefill
 }
@@ -95,8 +95,8 @@
 	return t.cfg.Policy.Import && !g.cache.has(r.chat) && from != nil && from != g && from.cache.has(r.chat)
 }
 
-func (g *target) fragile() bool {
-	return g.started > 0 && g.trial.now-g.started < g.trial.cfg.Fragile
+func (g *target) isFragile() bool {
+	return g.started > 0 && g.trial.now-g.started < g.trial.cfg.FragileTime
 }
 
 // speed is the part of full speed that each running request gets.
@@ -107,26 +107,26 @@
 
 // advance brings the work that is left up to now.
 func (g *target) advance() {
-	done := time.Duration(float64(g.trial.now-g.last) * g.speed())
-	g.last = g.trial.now
+	done := time.Duration(float64(g.trial.now-g.advancedAt) * g.speed())
+	g.advancedAt = g.trial.now
 	for _, r := range g.running {
-		r.left -= done
+		r.remaining -= done
 	}
 }
 
 // replan plans the next end of an answer.
 func (g *target) replan() {
-	g.plan++
+	g.planVersion++
 	if len(g.running) == 0 {
 		return
 	}
-	left := g.running[0].left
+	shortest := g.running[0].remaining
 	for _, r := range g.running {
-		left = min(left, r.left)
+		shortest = min(shortest, r.remaining)
 	}
-	plan := g.plan
-	g.trial.after(time.Duration(float64(left)/g.speed())+time.Microsecond, func() {
-		if plan == g.plan {
+	plan := g.planVersion
+	g.trial.after(time.Duration(float64(shortest)/g.speed())+time.Microsecond, func() {
+		if plan == g.planVersion {
 			g.finish()
 		}
 	})
@@ -135,15 +135,15 @@
 // finish ends the answers that are whole.
 func (g *target) finish() {
 	g.advance()
-	var whole []*request
+	var finished []*request
 	for _, r := range g.running {
-		if r.left <= 0 {
-			whole = append(whole, r)
+		if r.remaining <= 0 {
+			finished = append(finished, r)
 		}
 	}
-	for _, r := range whole {
+	for _, r := range finished {
 		g.end(r, chestnutstep.OutcomeServed)
-		g.trial.answered(g, r)
+		g.trial.recordAnswer(g, r)
 	}
 	g.next()
 }
@@ -160,9 +160,9 @@
 	delete(g.waiting, r.work.ID)
 	g.gate.End(g.trial.time(), r.work.ID, o)
 	if g.trial.direct != nil {
-		g.trial.direct.ended(r, o)
+		g.trial.direct.onEnd(r, o)
 	}
-	r.at = nil
+	r.runningAt = nil
 	g.replan()
 }
 
@@ -178,8 +178,8 @@
 	for _, x := range n.Dropped {
 		r := g.waiting[x.ID]
 		delete(g.waiting, x.ID)
-		r.at = nil
-		g.trial.dropped(r, x.Decision)
+		r.runningAt = nil
+		g.trial.onDropped(r, x.Decision)
 	}
 }
 
@@ -188,18 +188,18 @@
 	g.down = true
 	g.cache.clear()
 	g.gate.MarkCold(g.trial.time())
-	lost := append([]*request(nil), g.running...)
-	for _, r := range lost {
+	interrupted := append([]*request(nil), g.running...)
+	for _, r := range interrupted {
 		g.end(r, chestnutstep.OutcomeFailed)
 	}
-	for _, r := range lost {
-		g.trial.broken(r)
+	for _, r := range interrupted {
+		g.trial.onTargetLost(r)
 	}
-	g.trial.after(g.trial.cfg.Down, func() {
+	g.trial.after(g.trial.cfg.DownTime, func() {
 		g.down = false
 		g.started = g.trial.now
 		if g.trial.direct != nil {
-			g.trial.direct.restarted(g)
+			g.trial.direct.onRestart(g)
 		}
 		g.next()
 	})
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -21,7 +21,7 @@
 // follower runs the watchers of all topics over one door of the stand-in store.
 type follower struct {
 	store  *stand.Store
-	door   *stand.Door
+	door   *stand.StoreServer
 	roster *roster.Roster
 	wake   chan struct{}
 	wait   time.Duration
@@ -32,7 +32,7 @@
 
 func newFollower(t *testing.T, store *stand.Store, wait time.Duration) *follower {
 	t.Helper()
-	f := &follower{store: store, door: store.Open(), roster: &roster.Roster{}, wake: make(chan struct{}, 1), wait: wait}
+	f := &follower{store: store, door: store.NewServer(), roster: &roster.Roster{}, wake: make(chan struct{}, 1), wait: wait}
 	t.Cleanup(f.door.Close)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -149,13 +149,13 @@
 // changes although the store has compacted its history while the watch was interrupted.
 func TestHistoryIsGone(t *testing.T) {
 	f := startFollower(t)
-	f.door.Set(stand.Busy)
+	f.door.SetFailure(stand.Unavailable)
 	waitUntil(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.lost == onceEach }, "the watches are lost")
 	f.store.Put("op/config", config(9))
 	f.store.Remove("servers/c")
 	f.store.Put("servers/a", serverRecord("draining"))
-	f.store.Forget()
-	f.door.Set(stand.None)
+	f.store.Compact()
+	f.door.SetFailure(stand.NoFailure)
 	waitUntil(t, f.hasVersion(9), "the version is read in full")
 	waitUntil(t, f.hasTargets("a", "b", "d", "e"), "the target still missing after the return is removed")
 	f.mu.Lock()
@@ -166,12 +166,12 @@
 // TestRejectedByStore guards against an entry that drops its facts, retries too rarely or floods
 // the store while the store rejects it, in each possible manner, and serves another entry.
 func TestRejectedByStore(t *testing.T) {
-	for _, trouble := range []stand.Trouble{stand.Busy, stand.Many, stand.Reset, stand.Silent, stand.Lost} {
+	for _, trouble := range []stand.Failure{stand.Unavailable, stand.TooManyRequests, stand.Reset, stand.Unresponsive, stand.AnswerLost} {
 		t.Run(string(trouble), func(t *testing.T) {
 			f := startFollower(t)
 			other := newFollower(t, f.store, time.Second)
 			waitUntil(t, other.hasVersion(3), "the other is served")
-			f.door.Set(trouble)
+			f.door.SetFailure(trouble)
 			before := f.door.Calls()
 			f.store.Put("op/config", config(4))
 			waitUntil(t, other.hasVersion(4), "the other is served")
@@ -179,7 +179,7 @@
 			assert.Equal(t, f.roster.Version(), uint64(3))
 			assert.Assert(t, f.hasTargets("a", "b", "c", "d", "e")(), "nothing is dropped")
 			assert.Assert(t, f.door.Calls()-before < 30, "%d calls", f.door.Calls()-before)
-			f.door.Set(stand.None)
+			f.door.SetFailure(stand.NoFailure)
 			waitUntil(t, f.hasVersion(4), "the entry follows the store again")
 		})
 	}
