--- a/gossip/bucket.go
+++ b/gossip/bucket.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// tokenBucket bounds the reads of one process: a rate over time, and a few saved up.
+// tokenBucket limits the reads of one process to a rate and a burst.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Time
 }
 
-// take spends one read, or says that none is left.
+// take consumes a token and reports whether there was one.
 func (b *tokenBucket) take(now time.Time, p plan) bool {
 	if b.refilledAt.IsZero() {
 		b.tokens, b.refilledAt = p.Burst, now
--- a/gossip/rumours.go
+++ b/gossip/events.go
@@ -9,34 +9,38 @@
 )
 
 const (
-	// maxSentEvents bounds the news of hosts in one message, near two kilobytes.
+	// maxSentEvents bounds the number of host events in one message, which is
+	// then about 2 KB large.
 	maxSentEvents = 64
-	// maxKeptEvents bounds what is remembered: the hosts of a large domain.
+	// maxKeptEvents bounds the number of remembered events. It covers the hosts
+	// of a large failure domain.
 	maxKeptEvents = 2048
-	// hostEventTTL is how long news goes round: several times what it needs to
-	// reach thousands. After that a process learns from lists and refusals.
+	// hostEventTTL is how long an event is distributed: several times what it
+	// takes to reach thousands of processes. After that, processes get the
+	// state from host lists and refusals.
 	hostEventTTL = 15 * time.Second
-	// eventSweepInterval is the time between two looks for news that is over.
+	// eventSweepInterval is the time between two removals of expired events.
 	eventSweepInterval = time.Second
 )
 
-// hostEvent is one piece of news about a host.
+// hostEvent is a change of the state of a host.
 type hostEvent struct {
 	host       member.Host
 	occurredAt time.Time
 }
 
-// hostEventLog keeps the news that go round. When there is more than one message
-// holds, each message carries a random choice: processes that all told the same
-// first would leave the rest untold.
+// hostEventLog holds the events that are being distributed. If there are more
+// than fit into one message, each message carries a random selection: if all
+// processes sent the same events first, the others would not spread.
 type hostEventLog struct {
 	list    []hostEvent
 	index   map[string]int // in list, by host
 	sweptAt time.Time
 }
 
-// add takes news and says whether it is: what goes round already is left as it
-// is, or each process that reads the list would send it round again.
+// add adds an event and reports whether it is new. An event with the same state
+// is left unchanged, because otherwise each process that reads the host list
+// would restart its distribution.
 func (rs *hostEventLog) add(now time.Time, h member.Host, age time.Duration) bool {
 	rs.expire(now)
 	if rs.index == nil {
@@ -57,7 +61,7 @@
 	return true
 }
 
-// sample returns the news for one message.
+// sample returns the events for one message.
 func (rs *hostEventLog) sample(now time.Time, r *rand.Rand) []hostEvent {
 	rs.expire(now)
 	n := min(maxSentEvents, len(rs.list))
--- a/gossip/news_test.go
+++ b/gossip/events_test.go
@@ -12,14 +12,14 @@
 	"chestnutstep.example/chestnutstep/member"
 )
 
-// The platform lists a whole failure domain as leaving at one moment, more hosts
-// than fit into a message. If each process told the same ones first, the rest
-// would go round last or never, and a user would notice requests that fail on
-// hosts that are gone.
+// TestHostsOfLeavingDomain guards against events that spread late or never when
+// a whole failure domain leaves and its hosts don't fit into one message. If
+// each process sent the same events first, the agents of the other hosts would
+// continue to take requests that fail once the hosts are gone.
 func TestHostsOfLeavingDomain(t *testing.T) {
 	for _, forwarding := range []bool{false, true} {
 		unawareAgents := unawareByRound(t, forwarding)
-		t.Logf("%d hosts, %d processes, helping %v: agents not aware of their own host after each %v: %v",
+		t.Logf("%d hosts, %d processes, forwarding %v: agents not aware of their own host after each %v: %v",
 			leaving, nodes, forwarding, eventPushInterval, unawareAgents)
 		assert.Equal(t, len(unawareAgents) <= 6, forwarding)
 	}
@@ -32,8 +32,8 @@
 	perRound = int(eventPushInterval / hostPushInterval)
 )
 
-// unawareByRound returns how many agents don't know that their host leaves, after
-// each round.
+// unawareByRound returns the number of agents that have not received the event
+// of their own host, after each round.
 func unawareByRound(t *testing.T, forwarding bool) []int {
 	r := rand.New(rand.NewPCG(5, 5))
 	now := time.Unix(0, 0)
@@ -51,8 +51,9 @@
 			callers[j] = append(callers[j], i)
 		}
 	}
-	// Each source tells the agents themselves besides, one every tellPause in an
-	// order of its own. The agent of host i is process i modulo nodes.
+	// Each source also sends events to the agents directly, one every
+	// hostPushInterval in its own random order. The agent of host i is process
+	// i modulo nodes.
 	var orders [sources][]int
 	for s := range sources {
 		orders[s] = r.Perm(leaving)
@@ -83,7 +84,7 @@
 	return n
 }
 
-// owner is the process on a host.
+// owner returns the index of the process on a host.
 func owner(h member.Host) int {
 	var i int
 	_, _ = fmt.Sscanf(h.Name, "h%d", &i)
@@ -92,7 +93,8 @@
 
 func host(i int) member.Host { return member.Host{Name: fmt.Sprint("h", i), Leaving: true} }
 
-// exchangeRound lets every process push to its neighbours once, all at the same time.
+// exchangeRound simulates one push by every process to its neighbours and
+// callers, all at the same time.
 func exchangeRound(t *testing.T, r *rand.Rand, now time.Time, neighbours []neighbourSet, callers [][]int, logs []hostEventLog, forwarding bool) {
 	received := make([][]hostEvent, len(logs))
 	for i := range logs {
--- a/gossip/exchange.go
+++ b/gossip/exchange.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// isolationTimeout is how long no exchange may go well until a process takes
-	// itself to be cut off from its peers and relies on the service.
+	// isolationTimeout is the time without a successful exchange after which a
+	// process considers itself isolated from its peers and relies on the
+	// service.
 	isolationTimeout = 10 * time.Second
-	// eventPushInterval is the least time between pushes of news of hosts. When a whole
-	// failure domain leaves, its hosts are told together, and not hundreds of
-	// times to the same neighbours.
+	// eventPushInterval is the minimum time between pushes of host events. When
+	// a whole failure domain leaves, its hosts are sent in batches instead of
+	// in hundreds of pushes to the same neighbours.
 	eventPushInterval = time.Second
 )
 
-// loop begins an exchange each interval.
+// loop begins an exchange every interval.
 func (n *Node) loop(ctx context.Context) {
 	for {
 		if a := n.nextNeighbour(time.Now()); a != "" {
@@ -35,11 +36,12 @@
 	}
 }
 
-// pushLoop tells the neighbours at once when a publication comes into force.
-// Each of them fetches it from here and tells its own: a change crosses the
-// fleet in a few fetches instead of a dozen intervals. News of hosts is pushed
-// alike, so that the agent of a leaving host, who keeps the promise that it
-// takes no new work, hears of it whoever read the list.
+// pushLoop notifies the neighbours as soon as a publication comes into force.
+// Each neighbour fetches it from this process and notifies its own neighbours,
+// so a change spreads through the fleet in a few fetches instead of a dozen
+// intervals. Host events are pushed in the same manner: the agent of a leaving
+// host guarantees that it takes no new work, so the event has to reach it
+// regardless of which process read the host list.
 func (n *Node) pushLoop(ctx context.Context) {
 	changed := n.Store.Changed()
 	var last time.Time
@@ -51,13 +53,14 @@
 		case <-ctx.Done():
 			return
 		}
-		changed = n.Store.Changed() // before the push: the next change may come during it
+		changed = n.Store.Changed() // before the push, because the next change can occur during it
 		last = time.Now()
 		n.push(ctx)
 	}
 }
 
-// batchEvents lets more news of hosts come together, but no publication wait.
+// batchEvents waits for up to d, so that more host events are pushed together.
+// It returns early when a publication changes.
 func (n *Node) batchEvents(ctx context.Context, changed <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -77,7 +80,8 @@
 	wg.Wait()
 }
 
-// exchangePeers lists the neighbours and those who chose this process.
+// exchangePeers returns the addresses of the neighbours and of the processes
+// that recently began an exchange with this one.
 func (n *Node) exchangePeers(now time.Time) []string {
 	n.nextNeighbour(now)
 	n.mu.Lock()
@@ -87,7 +91,8 @@
 	return slices.Compact(list)
 }
 
-// nextNeighbour returns whom to exchange with next.
+// nextNeighbour returns the address of the peer for the next exchange, or "" if
+// there is none.
 func (n *Node) nextNeighbour(now time.Time) string {
 	view := n.Store.View()
 	n.mu.Lock()
@@ -98,10 +103,10 @@
 	return n.neighbours.next(now, n.rand)
 }
 
-// resetNeighbours draws the circle from a new view. With the first one the neighbours
-// from the settings are given up: all processes are given the same few, and
-// kept as neighbours those would answer most of the fleet's exchanges for
-// minutes, hundreds a second in a fleet of thousands.
+// resetNeighbours updates the candidates from a new view. With the first view
+// it drops the neighbours that come from the settings: all processes are
+// configured with the same few peers, which would otherwise answer most of the
+// fleet's exchanges for minutes, hundreds per second in a fleet of thousands.
 func (n *Node) resetNeighbours(view *chestnutstep.View) {
 	if n.neighboursView == nil && view != nil {
 		n.neighbours.current = nil
@@ -110,9 +115,10 @@
 	n.neighboursView = view
 }
 
-// candidates are the agents of the publication, in service or not: one that is
-// out still has to learn when it comes back. The settings' peers count as well,
-// as they may be the only way out of a cut.
+// candidates returns the agents of the publication, in service or not, because
+// an agent that is out must receive the publication that brings it back. The
+// peers of the settings are included, as they can be the only connection across
+// a network partition.
 func (n *Node) candidates(view *chestnutstep.View) (sameModel, all []string) {
 	if view != nil {
 		model := n.model(view)
@@ -135,7 +141,8 @@
 	return sameModel, all
 }
 
-// model is what the publication says that this agent's target serves.
+// model returns the model of this agent's target according to the publication,
+// or Model if the publication doesn't list this agent.
 func (n *Node) model(view *chestnutstep.View) string {
 	own := view.Targets[n.Name]
 	if own == nil || own.Agent != n.Address {
@@ -144,7 +151,7 @@
 	return own.Model
 }
 
-// exchange swaps messages with one peer.
+// exchange sends a message to one peer and merges the reply.
 func (n *Node) exchange(ctx context.Context, address string, m *wire.GossipMessage) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -167,7 +174,8 @@
 	return wire.NewPeerClient(conn).Gossip(ctx, m)
 }
 
-// recordExchange notes that a peer answered.
+// recordExchange records a successful exchange and reports when it ends an
+// isolation.
 func (n *Node) recordExchange(now time.Time) {
 	n.mu.Lock()
 	n.lastExchange = now
@@ -179,7 +187,8 @@
 	}
 }
 
-// recordFailure notes that a peer did not answer, and says so once when none does.
+// recordFailure removes a neighbour that did not answer and reports once when
+// the process becomes isolated.
 func (n *Node) recordFailure(address string, err error) {
 	n.mu.Lock()
 	n.neighbours.remove(address)
@@ -193,7 +202,8 @@
 	}
 }
 
-// exchangeTimedOut says whether no peer has answered for long; mu is held.
+// exchangeTimedOut reports whether no exchange has succeeded within
+// isolationTimeout. The caller holds mu.
 func (n *Node) exchangeTimedOut(now time.Time) bool {
 	since := n.lastExchange
 	if since.IsZero() {
--- a/gossip/fuzz_test.go
+++ b/gossip/fuzz_test.go
@@ -12,8 +12,9 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// A peer may send anything: ages from the future, versions that nobody holds,
-// roots of any length. The process must go on and believe only what it checked.
+// FuzzGossip guards against malformed messages: ages in the future, versions
+// that no process holds, roots of any length. The process must not fail and
+// must apply only verified content.
 func FuzzGossip(f *testing.F) {
 	for _, m := range []*wire.GossipMessage{
 		{Name: "x", Address: "y", Version: 1 << 63, Root: []byte{1}},
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,11 +1,14 @@
-// Package gossip spreads what every process should know soon: the publication
-// in force, load samples, crash suspicions and hosts that leave. A few
-// processes watch the platform's service; each process exchanges short messages
-// with a few others and fetches what it lacks from whoever told it.
+// Package gossip distributes state that every process needs within seconds: the
+// publication in force, load samples, crash suspicions and leaving hosts. A few
+// processes, the watchers, watch the platform's configuration service. Each
+// process exchanges short messages with a few neighbours and fetches missing
+// publications from the peers that announced them. A process never replaces a
+// publication by an older one, and the fleet's reads of the service stay within
+// the published budget.
 //
-// What decides is kept apart from the network: plan.go says who reads the
-// service and how often, circle.go whom to exchange with, backoff.go and
-// bucket.go how to hold back.
+// The decisions don't depend on the network: plan.go decides which processes
+// read the service and how often, neighbours.go chooses the peers, backoff.go
+// and bucket.go limit retries and reads.
 package gossip
 
 import (
@@ -25,69 +28,73 @@
 
 const (
 	// DefaultInterval is the time between two exchanges that a process begins.
-	// Changes don't wait for it, as they are pushed at once; it bounds how long
-	// a lost push goes unnoticed, and how old load samples grow.
+	// Changes are pushed at once and don't wait for it. It bounds how long a
+	// lost push stays unnoticed and how old load samples become.
 	DefaultInterval = time.Second
-	// exchangeTimeout bounds one exchange, so that a frozen peer costs no more
-	// than one interval.
+	// exchangeTimeout bounds one exchange, so that an unresponsive peer costs
+	// at most one interval.
 	exchangeTimeout = time.Second
-	// fetchTimeout bounds one fetch of parts, a megabyte at most.
+	// fetchTimeout bounds one fetch of parts, which returns up to 1 MiB.
 	fetchTimeout = 5 * time.Second
 )
 
-// Node takes part in the gossip for one process. Set the exported fields before
-// Run; it implements wire.PeerServer.
+// Node runs the gossip protocol of one process and implements wire.PeerServer.
+// Set the exported fields before Run.
 type Node struct {
 	wire.UnimplementedPeerServer
 
-	// Store is what Run keeps up to date.
+	// Store holds the publication that Run keeps up to date.
 	Store *config.Store
-	// Name of the process, an agent's is its target's; Address is where it
-	// answers peers.
+	// Name is the process name; an agent uses the name of its target. Address
+	// is where the process answers peers.
 	Name, Address string
-	// Model is an agent's own, where the publication does not say it: half of
-	// its exchanges go to agents of the same model, whose load samples it can
-	// use. Empty for an entry.
+	// Model is the model of an agent's target, used when the publication
+	// doesn't list it. Half of an agent's exchanges go to agents of the same
+	// model, because it can use their load samples. Empty for an entry.
 	Model string
-	// Peers are addresses to ask before a publication is known.
+	// Peers are the addresses of the peers to contact before a publication is
+	// known.
 	Peers []string
-	// Platform is the service's base URL.
+	// Platform is the base URL of the platform's service.
 	Platform string
-	// HTTP reads the service; http.DefaultClient if nil.
+	// HTTP is the client that reads the service; nil means http.DefaultClient.
 	HTTP *http.Client
-	// Dial returns the connection to a peer, which the owner may share and pool.
+	// Dial returns the connection to a peer. The owner of the node can share
+	// and pool connections.
 	Dial func(address string) (grpc.ClientConnInterface, error)
 
-	// Members learns the host lists; nil switches that off.
+	// Members receives the host lists and host events; nil disables both.
 	Members *member.Tracker
-	// Sampler and Detector are carried if set. Lock guards both.
+	// Sampler and Detector supply and merge the load samples and suspicions of
+	// messages; nil disables each. Lock guards both.
 	Sampler  chestnutstep.Sampler
 	Detector chestnutstep.Detector
 	Lock     sync.Locker
-	// Weight is the share of full load that the target asks for.
+	// Weight returns the share of full load that this process's target
+	// requests.
 	Weight func() float64
-	// OnWeight is told another target's share.
+	// OnWeight is called with the share that another target requests.
 	OnWeight func(target string, weight float64)
 
-	// Interval between exchanges; DefaultInterval if 0.
+	// Interval is the time between exchanges; 0 means DefaultInterval.
 	Interval time.Duration
-	// OnNotice is told of what operators should see; it must not block.
+	// OnNotice is called with notices for operators; it must not block.
 	OnNotice func(Notice)
-	// OnTraffic is told the bytes of each message; it must not block.
+	// OnTraffic is called with the size of each message; it must not block.
 	OnTraffic func(Traffic)
-	// Seed makes the random choices repeatable; drawn if 0.
+	// Seed makes the random choices reproducible; 0 means a random seed.
 	Seed uint64
 
 	mu             sync.Mutex
 	rand           *rand.Rand
 	neighbours     neighbourSet
-	neighboursView *chestnutstep.View // that the circle was chosen from
+	neighboursView *chestnutstep.View // that the candidates come from
 	recent         recentPeers
 	hostEvents     hostEventLog
-	eventsReady    chan struct{} // there is news to push
+	eventsReady    chan struct{} // signals host events to push
 	hostPushes     chan member.Host
 	bucket         tokenBucket
-	lastExchange   time.Time // of the last exchange that went well
+	lastExchange   time.Time // last successful exchange
 	startedAt      time.Time
 	isolated       bool
 
@@ -97,41 +104,41 @@
 	platformDown bool
 }
 
-// NoticeKind names a notice.
+// NoticeKind identifies the kind of a notice.
 type NoticeKind string
 
-// The notices.
+// Kinds of notices.
 const (
 	NoticeUnreachable     NoticeKind = "unreachable" // a peer does not answer
 	NoticePeersLost       NoticeKind = "lost"        // no peer answers
 	NoticePeersFound      NoticeKind = "found"       // a peer answers again
-	NoticeHostLeaving     NoticeKind = "leaving"     // a host leaves
-	NoticeHostBack        NoticeKind = "back"        // a host no longer leaves
-	NoticeWatcher         NoticeKind = "watcher"     // this process began or ceased to watch the service
+	NoticeHostLeaving     NoticeKind = "leaving"     // a host is leaving
+	NoticeHostBack        NoticeKind = "back"        // a host is no longer leaving
+	NoticeWatcher         NoticeKind = "watcher"     // this process started or stopped watching the service
 	NoticePlatformDown    NoticeKind = "down"        // the service does not answer
 	NoticePlatformUp      NoticeKind = "up"          // the service answers again
-	NoticePlatformStale   NoticeKind = "stale"       // the service went back
-	NoticePartUnavailable NoticeKind = "part"        // a part is not to be had
-	NoticeShortList       NoticeKind = "short"       // a host list named too few hosts
+	NoticePlatformStale   NoticeKind = "stale"       // the service returned older state
+	NoticePartUnavailable NoticeKind = "part"        // a part is unavailable or corrupt
+	NoticeShortList       NoticeKind = "short"       // a host list contained too few hosts
 )
 
-// Notice is something an operator should see.
+// Notice is an event to report to operators.
 type Notice struct {
 	Kind NoticeKind
-	// Subject is the peer's address, the host, or what was read.
+	// Subject is the peer's address, the host, or the name of the value read.
 	Subject string
 	Err     error
 }
 
-// Traffic is one exchange or fetch that this process began or answered.
+// Traffic describes one exchange or fetch that this process began or answered.
 type Traffic struct {
-	// In and Out are the bytes of the messages, without framing.
+	// In and Out are the sizes of the messages in bytes, without framing.
 	In, Out int
-	// Failed says that an exchange that this process began went wrong.
+	// Failed reports whether an exchange begun by this process failed.
 	Failed bool
 }
 
-// Run takes part until ctx ends.
+// Run runs the protocol until ctx is done and returns the error of ctx.
 func (n *Node) Run(ctx context.Context) error {
 	n.init()
 	var wg sync.WaitGroup
@@ -148,7 +155,8 @@
 	loop(ctx)
 }
 
-// init is called by Run and by the services, whichever comes first.
+// init sets defaults. Run and the RPC handlers call it; only the first call has
+// an effect.
 func (n *Node) init() {
 	n.initOnce.Do(func() {
 		if n.Seed == 0 {
@@ -183,8 +191,8 @@
 	}
 }
 
-// jitter spreads d by a fifth to either side, so that processes that started
-// together don't act together for ever.
+// jitter varies d by up to 20% in either direction, so that processes started
+// at the same time don't stay synchronized.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gossip/hosts.go
+++ b/gossip/hosts.go
@@ -18,20 +18,22 @@
 )
 
 const (
-	// maxHostListBytes bounds a host list in bytes.
+	// maxHostListBytes bounds the size of a host list in bytes.
 	maxHostListBytes = 4 << 20
-	// hostPushInterval is the time between two messages to the agents of leaving hosts.
-	// At fifty a second and some 300 bytes each it stays within what a process
-	// may spend.
+	// hostPushInterval is the time between two messages to the agents of
+	// leaving hosts. 50 messages per second of about 300 bytes each stay within
+	// the traffic limit of a process.
 	hostPushInterval = 20 * time.Millisecond
-	// forwarderDivisor is one in how many processes tells the agents of a host when it
-	// hears news of it: about a hundred of three thousand, some of whom hear it in
-	// the first second, and nine in a fleet of three hundred.
+	// forwarderDivisor is the inverse of the fraction of processes that forward
+	// a host event to the agents on the host: about 100 of 3,000 processes,
+	// some of which receive the event within the first second, and 9 in a fleet
+	// of 300.
 	forwarderDivisor = 32
 )
 
-// hostsLoop reads the host list, from the first publication on: before it, the
-// few reads that a process may make go to the root.
+// hostsLoop reads the host list periodically. It waits for the first
+// publication, because before that the few permitted reads are needed for the
+// root.
 func (n *Node) hostsLoop(ctx context.Context) {
 	if n.Members == nil || n.Platform == "" || !n.awaitPublication(ctx) {
 		return
@@ -53,7 +55,8 @@
 	}
 }
 
-// awaitPublication waits for the first publication.
+// awaitPublication waits for the first publication. It returns false if ctx is
+// done first.
 func (n *Node) awaitPublication(ctx context.Context) bool {
 	changed := n.Store.Changed()
 	if n.Store.View() != nil {
@@ -86,15 +89,15 @@
 	return list, len(raw), err
 }
 
-// hostLine is a line of the platform's list.
+// hostLine is an element of the platform's host list.
 type hostLine struct {
 	Host  string `json:"host"`
 	State string `json:"state"`
 }
 
-// leavingState is what the platform calls a host that takes no new work. Any
-// other state counts as live: a word that this program does not know must not
-// take a host out of service.
+// leavingState is the platform's state of a host that takes no new work. Any
+// other state counts as live: a state that this program doesn't support must
+// not take a host out of service.
 const leavingState = "leaving"
 
 func parseHosts(raw []byte) ([]member.Host, error) {
@@ -109,9 +112,9 @@
 	return list, nil
 }
 
-// applyHostList takes a host list and lets its news go round. Whoever reads news
-// tells the agents concerned, all of them in random order, as others who read
-// the same list do.
+// applyHostList applies a host list and distributes its events. Each process
+// that reads an event also sends it to the agents on the host. The order is
+// random, because other processes that read the same list do the same.
 func (n *Node) applyHostList(list []member.Host) {
 	now := time.Now()
 	events, ok := n.Members.ApplyList(now, list)
@@ -128,8 +131,8 @@
 	}
 }
 
-// queueHostPush queues news for the agents on the host itself. A full queue drops it: the
-// news goes round as well.
+// queueHostPush queues an event for the agents on its host. If the queue is
+// full, the event is dropped, because it is also sent in regular messages.
 func (n *Node) queueHostPush(h member.Host) {
 	select {
 	case n.hostPushes <- h:
@@ -137,17 +140,18 @@
 	}
 }
 
-// isForwarder says whether a process that hears news of a host tells its agents. One
-// in helpShare does, chosen by hash, so that some who hear it early do and the
-// agents don't hear it from everyone.
+// isForwarder reports whether a process forwards an event of a host to the
+// agents on it. One in forwarderDivisor processes does, selected by hash, so
+// that some that receive the event early forward it and the agents don't get it
+// from every process.
 func isForwarder(process, host string) bool {
 	return xxhash.Sum64String(process+"\x00"+host)%forwarderDivisor == 0
 }
 
-// hostPushLoop tells the agents on hosts with news. Most of them would hear it from
-// their neighbours, but when hundreds of hosts leave together each message
-// carries only some of the news, and the last agents would hear of their own
-// host many seconds after the first.
+// hostPushLoop sends queued host events to the agents on the hosts. Most agents
+// would receive them from their neighbours. But when hundreds of hosts leave
+// together, each message carries only some of the events, and the last agents
+// would receive the event of their own host many seconds after the first.
 func (n *Node) hostPushLoop(ctx context.Context) {
 	for {
 		select {
@@ -177,7 +181,7 @@
 	}
 }
 
-// agentsOn lists the addresses of the agents on a host.
+// agentsOn returns the addresses of the agents on a host.
 func agentsOn(view *chestnutstep.View, host string) []string {
 	var list []string
 	for i := range view.Publication.Targets {
--- a/gossip/message.go
+++ b/gossip/message.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// maxSamples and suspicionsMax bound what a message carries of each, and
-	// what is taken from one: a peer that sends more is not listened to longer.
-	// With 16 samples the mean errs 7% in a surge, with 8 it errs 10%, and every
-	// 10% stand as much higher on the most loaded target.
+	// maxSamples and maxSuspicions bound the number of each in a message, sent
+	// or received; the excess of a larger message is ignored. With 16 samples
+	// the error of the mean is 7% in a surge, with 8 it is 10%, and the load of
+	// the most loaded target rises by the same percentage.
 	maxSamples    = 16
 	maxSuspicions = 8
 )
 
-// message is what this process tells in an exchange.
+// message returns the message for a regular exchange.
 func (n *Node) message(now time.Time) *wire.GossipMessage {
 	m := n.shortMessage(now)
 	n.appendLoads(now, m)
 	return m
 }
 
-// shortMessage is a message without loads and suspicions, for what is said at once to
-// many: they have heard those in their regular exchanges.
+// shortMessage returns a message without load samples and suspicions, for
+// pushes to many peers, which receive those in their regular exchanges.
 func (n *Node) shortMessage(now time.Time) *wire.GossipMessage {
 	st := n.Store.Stamp()
 	digest, _ := hex.DecodeString(st.Digest)
@@ -60,8 +60,8 @@
 	}
 }
 
-// mergeMessage takes a peer's message; from is where the peer answers Fetch, "" if
-// unknown.
+// mergeMessage merges a message of a peer. from is the address where the peer
+// answers Fetch, "" if unknown.
 func (n *Node) mergeMessage(now time.Time, m *wire.GossipMessage, from string) {
 	st := config.Stamp{Version: m.GetVersion(), Digest: hex.EncodeToString(m.GetRoot())}
 	if from != "" && st.Version > 0 && n.Store.ShouldFetch(st) {
@@ -74,7 +74,8 @@
 	}
 }
 
-// mergeLoads turns ages into times by this process's own clock.
+// mergeLoads merges samples and suspicions. It converts their ages to times of
+// the local clock.
 func (n *Node) mergeLoads(now time.Time, m *wire.GossipMessage) {
 	n.Lock.Lock()
 	defer n.Lock.Unlock()
@@ -111,7 +112,8 @@
 	}
 }
 
-// addHostEvent lets news of a host go round, and says whether it is news.
+// addHostEvent adds an event to the events to distribute, and reports whether
+// it is new.
 func (n *Node) addHostEvent(now time.Time, h member.Host, age time.Duration) bool {
 	n.mu.Lock()
 	isNew := n.hostEvents.add(now, h, age)
@@ -131,8 +133,8 @@
 	return true
 }
 
-// timeOfAge is the time that lies an age back; a negative age is taken as none, as
-// nothing was seen in the future.
+// timeOfAge returns the time that lies age nanoseconds before now. A negative
+// age counts as 0, because an observation can't be in the future.
 func timeOfAge(now time.Time, age int64) time.Time {
 	return now.Add(-time.Duration(max(age, 0)))
 }
--- a/gossip/carry_test.go
+++ b/gossip/message_test.go
@@ -14,7 +14,7 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// directConn is a connection to a node in the same process.
+// directConn is a connection that calls a node in the same process.
 type directConn struct {
 	grpc.ClientConnInterface
 	node *Node
@@ -26,7 +26,7 @@
 	return err
 }
 
-// recordingSampler keeps what it learns.
+// recordingSampler records what is merged into it.
 type recordingSampler struct {
 	stubSampler
 	merged   []chestnutstep.Sample
@@ -45,9 +45,9 @@
 func (j detector) Suspicions(time.Time, int) []chestnutstep.Suspicion { return j.l.suspects }
 func (j detector) Merge(_ time.Time, list []chestnutstep.Suspicion)   { j.l.suspects = list }
 
-// Loads and suspicions cross from one process to another as ages, because no two
-// clocks are compared: sent as times, a host whose clock is a minute ahead would
-// make old samples look fresh, and its own load would outlive it everywhere.
+// TestSamplesAndSuspicionsCarryAges guards against sending timestamps instead
+// of ages. With timestamps, a host whose clock is a minute ahead would make old
+// samples look fresh, and its load would outlive it on all other processes.
 func TestSamplesAndSuspicionsCarryAges(t *testing.T) {
 	now := time.Now()
 	var sent, received recordingSampler
--- a/gossip/circle.go
+++ b/gossip/neighbours.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// maxNeighbours is how many neighbours a process exchanges with in turn. A
-	// random peer for each exchange would spread news as fast, but open and
-	// close a connection each second, and with TLS the handshakes would cost
-	// more than all that is exchanged. With six each, and as many that chose
-	// this process, a cut that leaves it connected to no one is unlikely, and a
-	// push reaches thousands in five steps.
+	// maxNeighbours is the number of neighbours that a process exchanges with
+	// in turn. A random peer for each exchange would spread changes as fast,
+	// but it would open and close a connection every second, and the TLS
+	// handshakes would cost more than the messages. With six neighbours, and
+	// about as many processes that chose this one, a partition that isolates a
+	// single process is unlikely, and a push reaches thousands of processes in
+	// five steps.
 	maxNeighbours = 6
-	// neighbourRotationInterval is how long a neighbour stays. Replacing one now and then
-	// reconnects a circle whose members are cut off together.
+	// neighbourRotationInterval is the time between replacements of a
+	// neighbour. They reconnect a group of processes that are neighbours only
+	// of each other.
 	neighbourRotationInterval = time.Minute
 )
 
-// neighbourSet chooses whom a process exchanges with. Every second place goes to a
+// neighbourSet chooses the peers of a process. Every second neighbour is a
 // process of the same model if there is one.
 type neighbourSet struct {
 	all, sameModel []string
@@ -28,13 +30,15 @@
 	rotatedAt      time.Time
 }
 
-// setCandidates says who may be chosen from now on; near are those of the same model.
+// setCandidates replaces the candidates and removes neighbours that are no
+// longer among them. sameModel lists the candidates of the same model.
 func (c *neighbourSet) setCandidates(sameModel, all []string) {
 	c.sameModel, c.all = sameModel, all
 	c.current = slices.DeleteFunc(c.current, func(a string) bool { return !slices.Contains(all, a) })
 }
 
-// next returns the address for the next exchange, or "" when there is nobody.
+// next returns the address for the next exchange, or "" if there are no
+// candidates.
 func (c *neighbourSet) next(now time.Time, r *rand.Rand) string {
 	if c.rotatedAt.IsZero() {
 		c.rotatedAt = now
@@ -51,8 +55,8 @@
 	return c.current[c.cursor]
 }
 
-// fill draws neighbours for the empty places. It tries a few times only: in a
-// small fleet there are fewer processes than places.
+// fill draws neighbours at random up to maxNeighbours. The number of attempts
+// is limited, because a small fleet has fewer processes than that.
 func (c *neighbourSet) fill(r *rand.Rand) {
 	const tries = 4 * maxNeighbours
 	for range tries {
@@ -69,7 +73,7 @@
 	}
 }
 
-// remove gives up a neighbour that did not answer.
+// remove removes a neighbour that did not answer.
 func (c *neighbourSet) remove(address string) {
 	c.current = slices.DeleteFunc(c.current, func(a string) bool { return a == address })
 }
--- a/gossip/net_test.go
+++ b/gossip/net_test.go
@@ -27,11 +27,12 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// waitTimeout is how long a script waits for what must come about. It is no
-// verdict on speed: what it waits for takes a fraction of a second.
+// waitTimeout is how long a script waits for an expected state. It is not a
+// limit on speed: the state is usually reached within a fraction of a second.
 const waitTimeout = 20 * time.Second
 
-// testFleet is a small fleet over real sockets, with a platform that misbehaves.
+// testFleet is a small fleet on real sockets with a fake platform that can
+// misbehave.
 type testFleet struct {
 	t            *testing.T
 	platform     fake.Platform
@@ -41,8 +42,8 @@
 
 	mu         sync.Mutex
 	cut        map[string]bool // by node name
-	split      map[string]bool // those who can talk only to each other
-	lag        time.Duration   // of calls between processes
+	split      map[string]bool // nodes that can reach only each other
+	lag        time.Duration   // added to calls between processes
 	nodes      []*process
 	refusalLog []string
 }
@@ -52,11 +53,11 @@
 	parts map[string][]byte
 }
 
-// process is one node and what it said.
+// process is one node and the stamps of the publications that it put in force.
 type process struct {
 	*Node
 	fleet *testFleet
-	// name and address outlive the node, which is made anew at each start.
+	// name and address outlive the node, which is created again at each start.
 	name, address string
 	listen        net.Listener
 	stop          func()
@@ -77,7 +78,7 @@
 	w.srv.Close()
 }
 
-// add makes a process whose address is known and that is not started yet.
+// add adds a process with a bound address and doesn't start it.
 func (w *testFleet) add(name string) {
 	l, err := net.Listen("tcp", loopback())
 	assert.NilError(w.t, err)
@@ -85,8 +86,9 @@
 	w.nodes = append(w.nodes, p)
 }
 
-// loopback is an address of this test run alone. On 127.0.0.1 the connections of
-// other programs may take the port of a process that is stopped for a moment.
+// loopback returns an address that only this test run uses. On 127.0.0.1, a
+// connection of another program could take the port of a process that is
+// stopped for a moment.
 func loopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1:0", 64+pid>>8&63, pid&255)
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// launch starts a process that knows nothing but its settings.
+// launch starts a process that has no state but its settings.
 func (p *process) launch(peers []string) {
 	var conns []*grpc.ClientConn
 	p.Node = &Node{
@@ -146,7 +148,7 @@
 	}
 }
 
-// recordChange checks on every change that a process never goes back.
+// recordChange fails the test if a process goes back to an older publication.
 func (p *process) recordChange(c config.Change) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
@@ -169,7 +171,7 @@
 	p.fleet.refusalLog = append(p.fleet.refusalLog, fmt.Sprintf("%s refused %d as %s", p.name, r.Stamp.Version, kind))
 }
 
-// link is a connection that a cut swallows.
+// link is a connection that fails while its path is cut.
 type link struct {
 	grpc.ClientConnInterface
 	from *process
@@ -185,7 +187,7 @@
 }
 
 // RoundTrip reads the service unless the process is cut off from it. An answer
-// that comes after the cut, to a watch that waited, is lost as well.
+// that arrives after the cut, such as that of a waiting watch, is lost as well.
 func (p *process) RoundTrip(r *http.Request) (*http.Response, error) {
 	if p.fleet.isCut(p.name, "platform") {
 		return nil, errors.New("cut")
@@ -215,8 +217,8 @@
 	return w.cut[from] || w.cut[to] || w.split[from] != w.split[to]
 }
 
-// publication lists the agents of this world; the domain that is out tells
-// contents apart.
+// publication returns a publication with the agents of this fleet. out sets
+// whether the domain is out, which distinguishes contents of the same version.
 func (w *testFleet) publication(version uint64, out bool) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Version: version,
@@ -233,8 +235,8 @@
 	return p
 }
 
-// The scripts in testdata/net run a small fleet and a platform over real
-// sockets through what may go wrong with publishing.
+// TestNet runs the scripts in testdata/net on a small fleet and a fake platform
+// over real sockets. They cover failures during publishing.
 func TestNet(t *testing.T) {
 	datadriven.Walk(t, "testdata/net", func(t *testing.T, path string) {
 		w := newTestFleet(t)
@@ -324,7 +326,7 @@
 	return ""
 }
 
-// held lists the versions that each process had in force since it started.
+// held lists the versions that each process has put in force since it started.
 func (w *testFleet) held(names []string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -339,7 +341,7 @@
 	return b.String()
 }
 
-// awaitRefused waits until the processes refused a version.
+// awaitRefused waits until the processes have refused a version.
 func (w *testFleet) awaitRefused(d *datadriven.TestData, names []string) string {
 	var version uint64
 	d.ScanArgs(w.t, "version", &version)
@@ -355,7 +357,7 @@
 	return "not refused by all:\n" + w.refusals()
 }
 
-// refusals lists what processes refused, each once.
+// refusals lists the refusals, sorted.
 func (w *testFleet) refusals() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -363,7 +365,7 @@
 	return strings.Join(w.refusalLog, "\n") + "\n"
 }
 
-// keys are the arguments without a value.
+// keys returns the arguments without a value.
 func keys(d *datadriven.TestData) []string {
 	var list []string
 	for _, a := range d.CmdArgs {
@@ -374,7 +376,8 @@
 	return list
 }
 
-// publish puts parts and then the root on the platform, or leaves some out.
+// publish puts the parts and then the root on the platform; "rootonly" and
+// "partsonly" omit the others.
 func (w *testFleet) publish(d *datadriven.TestData) {
 	var version uint64
 	d.ScanArgs(w.t, "version", &version)
@@ -393,7 +396,8 @@
 	}
 }
 
-// await waits until the processes hold a version, or believe hosts to leave.
+// await waits until the processes hold a version, or consider a host to be
+// leaving.
 func (w *testFleet) await(d *datadriven.TestData, names []string) string {
 	var version uint64
 	var host string
--- a/gossip/return_test.go
+++ b/gossip/outage_test.go
@@ -8,13 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// outage plays how often 3,050 processes ask a service that is down for ten
-// minutes and comes back, second by second, with the real decisions.
+// outage simulates, second by second, the reads of 3,050 processes from a
+// service that is down for ten minutes and returns. It uses the real plan,
+// token bucket and backoff.
 type outage struct {
 	r     *rand.Rand
 	plan  func(i int) plan
 	naive bool
-	// noJitter leaves out the jitter of pauses.
+	// noJitter disables the jitter of pauses.
 	noJitter       bool
 	readsPerSecond [1200]int // by second
 }
@@ -27,7 +28,7 @@
 	}
 	for s, n := range o.readsPerSecond {
 		switch {
-		case s >= 30 && s < 600: // the first seconds hold what was under way
+		case s >= 30 && s < 600: // the first seconds include reads that were in flight
 			maxWhileDown = max(maxWhileDown, n)
 		case s >= 600:
 			maxAfter = max(maxAfter, n)
@@ -69,9 +70,10 @@
 	return time.Duration(float64(d) * (0.8 + 0.4*o.r.Float64()))
 }
 
-// The service goes down for ten minutes and returns. Were all processes to ask
-// each second, it would meet half again what it stands, and go down again; one
-// would notice a service that never recovers until the fleet is stopped.
+// TestReadRateAfterOutage guards against a fleet that keeps the service down.
+// If all processes read every second after an outage of ten minutes, the load
+// would exceed the capacity of the service by half, and it would fail again
+// until the fleet is stopped.
 func TestReadRateAfterOutage(t *testing.T) {
 	known := func(i int) plan {
 		return makePlan(planInput{ReadRate: 50, Nodes: processes, IsWatcher: i < maxWatchers})
@@ -80,7 +82,7 @@
 	for _, c := range []struct {
 		name string
 		o    outage
-		// limit reads in a second, and whether it is kept.
+		// limit is a number of reads per second, within whether it is kept.
 		limit  int
 		within bool
 	}{
--- a/gossip/plan.go
+++ b/gossip/plan.go
@@ -10,76 +10,84 @@
 )
 
 const (
-	// maxWatchers is how many processes watch the service when the budget
-	// allows. The chance that all of them are on one side of a cut, or stop at
-	// one time, falls with each; beyond a dozen or so the gain is nothing,
-	// while each one costs a waiting call and a copy of every change. It does
-	// not grow with the fleet, as the service does not either.
+	// maxWatchers bounds the number of processes that watch the service when
+	// the budget allows. Each watcher reduces the probability that all of them
+	// are on one side of a partition or stop at the same time. Beyond about a
+	// dozen there is no further gain, while each one costs a waiting call and a
+	// copy of every change. The number is independent of the size of the fleet,
+	// because the service doesn't scale with the fleet.
 	maxWatchers = 16
-	// watcherReadRate is the least budget that makes a watcher worth having: a
-	// waiting call every ten seconds, a host list now and then, and a change.
+	// watcherReadRate is the minimum budget of a watcher in reads per second.
+	// It covers a waiting call every ten seconds, an occasional read of the
+	// host list, and changes.
 	watcherReadRate = 0.5
-	// watchTimeout is how long one watch waits. Longer would save calls and notice
-	// a service later that dropped the connection without a word.
+	// watchTimeout is how long one watch waits. A longer timeout would save
+	// calls but delay the detection of a service that dropped the connection
+	// without closing it.
 	watchTimeout = 10 * time.Second
-	// watcherBudgetRatio of the budget goes to the watchers and commonShare to all
-	// processes alike. What is left covers processes that disagree for a while
-	// about who watches.
+	// watcherBudgetRatio is the share of the budget for the watchers,
+	// commonBudgetRatio the share that all processes divide equally. The rest
+	// covers periods in which processes disagree about which of them watch.
 	watcherBudgetRatio = 0.5
 	commonBudgetRatio  = 0.25
-	// minReadInterval is the least time between direct reads of a process that does not
-	// watch: in a small fleet its share would allow far more than it needs.
+	// minReadInterval is the minimum time between direct reads of a process
+	// that doesn't watch. In a small fleet its share of the budget would allow
+	// far more reads than it needs.
 	minReadInterval = 5 * time.Second
-	// connectedIntervalFactor stretches that time while peers answer. A direct read is then
-	// only the guard against all watchers being cut off or stale at once.
+	// connectedIntervalFactor multiplies the read intervals while peers answer.
+	// Direct reads are then needed only in case all watchers are isolated or
+	// stale at the same time.
 	connectedIntervalFactor = 8
-	// minHostsInterval is the least time between two reads of the host list.
+	// minHostsInterval is the minimum time between two reads of the host list.
 	minHostsInterval = time.Second
-	// hostsBytesPerSecond is what reading host lists may cost a process, in bytes a
-	// second: a third of what it may spend on control traffic in all.
+	// hostsBytesPerSecond bounds the traffic of host lists per process, in
+	// bytes per second. It is a third of the limit for all control traffic of a
+	// process.
 	hostsBytesPerSecond = 8 << 10
-	// burstWindow is how much of its share a process may save up.
+	// burstWindow is the period whose unused reads a process can accumulate.
 	burstWindow = 10 * time.Second
-	// initialReadRate is the share in reads a second while no budget is known: one
-	// read, and a next try after ten seconds. Thousands that start together
-	// stay below what the service stands.
+	// initialReadRate is the rate in reads per second while no budget is known:
+	// one read, and another after ten seconds. Thousands of processes that
+	// start together stay below the capacity of the service.
 	initialReadRate = 0.1
 )
 
-// planInput is what a plan rests on.
+// planInput holds the values that a plan is computed from.
 type planInput struct {
-	// ReadRate is the published budget of the whole fleet, in calls a second.
+	// ReadRate is the published budget of the whole fleet, in reads per second.
 	ReadRate float64
-	// Nodes is the number of processes that share it.
+	// Nodes is the number of processes that share the budget.
 	Nodes int
-	// IsWatcher says that this process is among the watchers.
+	// IsWatcher reports whether this process is a watcher.
 	IsWatcher bool
-	// IsIsolated says that no peer answers this process.
+	// IsIsolated reports whether no peer answers this process.
 	IsIsolated bool
-	// HostListBytes is the size of the last host list, in bytes.
+	// HostListBytes is the size of the last host list in bytes.
 	HostListBytes int
 }
 
-// plan is what one process may read from the service.
+// plan limits the reads of the service by one process.
 //
-// It answers the load that a whole fleet puts on a service that does not grow
-// with it: when all start at once, when a change is published, when the service
-// returns after an outage. Each process derives its own share from figures that
-// all of them know, so that the sum holds without anyone counting. Without it,
-// 3,000 processes that each read once a second would need half again what the
-// service stands, and a fleet that starts would fetch a hundred parts each.
+// The service doesn't scale with the fleet and has to sustain the load when all
+// processes start at once, when a change is published, and when it returns
+// after an outage. Each process derives its own share from values that all
+// processes have, so the sum stays within the budget without coordination.
+// Without a plan, 3,000 processes that each read once per second would exceed
+// the capacity of the service by half, and each process of a starting fleet
+// would fetch a hundred parts.
 type plan struct {
-	// Rate in reads a second over a longer time, and Burst in reads.
+	// Rate is the sustained rate in reads per second, and Burst the number of
+	// reads that can be made at once.
 	Rate  float64
 	Burst float64
-	// ReadInterval is the time between direct reads of the root by a process that does
-	// not watch.
+	// ReadInterval is the time between direct reads of the root by a process
+	// that doesn't watch.
 	ReadInterval time.Duration
 	// HostsInterval is the time between reads of the host list.
 	HostsInterval time.Duration
 }
 
-// makePlan divides the budget.
+// makePlan computes the share of the budget of one process.
 func makePlan(f planInput) plan {
 	if f.ReadRate <= 0 || f.Nodes <= 0 {
 		return plan{Rate: initialReadRate, Burst: 1, ReadInterval: rateInterval(initialReadRate), HostsInterval: rateInterval(initialReadRate)}
@@ -99,26 +107,26 @@
 	return p
 }
 
-// rateInterval is the time between reads at a rate.
+// rateInterval returns the time between reads at a rate in reads per second.
 func rateInterval(rate float64) time.Duration {
 	seconds := min(1/rate, math.MaxInt32)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// watcherCount is how many processes watch under a budget.
+// watcherCount returns the number of watchers for a budget in reads per second.
 func watcherCount(reads float64) int {
 	n := int(reads * watcherBudgetRatio / watcherReadRate)
 	return min(max(n, 1), maxWatchers)
 }
 
-// chooseWatchers returns the n processes that watch: those whose names hash
-// highest, out of the steady ones if there are enough, and filled up from the
-// others. All processes that see the same lists agree without talking, and when
-// one leaves only its place changes hands.
+// chooseWatchers returns the names of the n watchers: the steady candidates
+// whose names have the highest hashes, followed by others if there are too few.
+// All processes with the same lists choose the same watchers without
+// communication, and when a watcher leaves, only one watcher is replaced.
 //
-// The others count because operators may take all that there is out of service:
-// with nobody left to watch, the publication that brings it back would wait for
-// the next direct read.
+// The others are needed because operators can take all targets out of service.
+// Without a watcher, the publication that brings them back would not be noticed
+// until the next direct read.
 func chooseWatchers(steady, others []string, n int) []string {
 	names := highestScores(steady, n)
 	return append(names, highestScores(others, n-len(names))...)
@@ -129,7 +137,7 @@
 	score uint64
 }
 
-// compareScores puts the highest score first.
+// compareScores orders by descending score, then by name.
 func compareScores(a, b scored) int {
 	if c := cmp.Compare(b.score, a.score); c != 0 {
 		return c
@@ -137,8 +145,8 @@
 	return cmp.Compare(a.name, b.name)
 }
 
-// highestScores returns the n candidates whose names hash highest. It goes through
-// them once, as n is small and they are thousands.
+// highestScores returns the n candidates whose names have the highest hashes,
+// in one pass, because n is small and there are thousands of candidates.
 func highestScores(candidates []string, n int) []string {
 	top := make([]scored, 0, n+1)
 	for _, c := range candidates {
--- a/gossip/pull.go
+++ b/gossip/pull.go
@@ -15,38 +15,42 @@
 )
 
 const (
-	// maxRootFailures is how often the root is asked for. A peer that names a version
-	// which nobody holds must not keep this process from lower ones for long.
+	// maxRootFailures is the number of failed attempts to fetch a root. A peer
+	// that announces a version that no process holds must not keep this process
+	// from fetching lower versions.
 	maxRootFailures = 4
-	// minPullPause is the time before the second round; within it some peer has
-	// often fetched what this one lacks. It doubles up to pullLast: while parts
-	// are not to be had, thousands of processes ask each other for them.
+	// minPullPause is the pause before the second round of a pull. Within it
+	// some peer has often fetched the missing parts. The pause doubles up to
+	// maxPullPause, because thousands of processes ask each other while parts
+	// are unavailable.
 	minPullPause = 100 * time.Millisecond
 	maxPullPause = 3 * time.Second
-	// maxPullPeers is how many peers are asked in a round.
+	// maxPullPeers is the number of peers asked in one round.
 	maxPullPeers = 3
-	// maxSources bounds how many who told of a publication are remembered.
+	// maxSources bounds the number of remembered sources of a publication.
 	maxSources = 8
 )
 
-// pullRequest is a publication that this process heard of and does not hold.
+// pullRequest is a publication that was announced to this process and is not in
+// force yet.
 type pullRequest struct {
 	stamp config.Stamp
-	// root is nil until it was fetched.
+	// root is nil until it is fetched.
 	root []byte
-	// sources are peers that said they hold it.
+	// sources are the addresses of peers that announced the publication.
 	sources []string
 }
 
-// puller holds the highest publication that is wanted. One is fetched at a
-// time; a higher one takes its place.
+// puller holds the highest pending publication. Only one is fetched at a time;
+// a higher one replaces it.
 type puller struct {
 	mu      sync.Mutex
 	pending pullRequest
 	wake    chan struct{}
 }
 
-// request notes that a publication is to be had from somewhere.
+// request adds a publication or further sources of the pending one. It ignores
+// publications that are lower than the pending one.
 func (p *puller) request(w pullRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +79,8 @@
 	}
 }
 
-// drop forgets a publication unless a higher one took its place.
+// drop removes a publication whose root is unknown, unless a higher one has
+// replaced it.
 func (p *puller) drop(st config.Stamp) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,8 +89,8 @@
 	}
 }
 
-// wait sleeps, but not longer than until a higher publication or another
-// source is heard of. It says whether ctx is still alive.
+// wait sleeps for d, or until a higher publication or another source is
+// announced. It reports whether ctx is not done.
 func (p *puller) wait(ctx context.Context, d time.Duration, st config.Stamp) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -93,7 +98,7 @@
 	case <-t.C:
 	case <-p.wake:
 		if p.current().stamp == st {
-			return clock.Sleep(ctx, d/4) // told again by the same peers, time after time
+			return clock.Sleep(ctx, d/4) // the same peers can repeat the announcement frequently
 		}
 	case <-ctx.Done():
 	}
@@ -108,7 +113,7 @@
 	return w
 }
 
-// pullLoop fetches what is wanted.
+// pullLoop fetches pending publications.
 func (n *Node) pullLoop(ctx context.Context) {
 	for {
 		select {
@@ -120,10 +125,10 @@
 	}
 }
 
-// pull fetches the highest publication that is wanted until it is in force or
-// refused. One whose root is not to be had is dropped until someone tells of it
-// again; one whose root is known is kept, as it may have come from the service,
-// which says so only once.
+// pull fetches the highest pending publication until it is in force or refused.
+// If its root is unavailable, the publication is dropped until it is announced
+// again. If the root is known, it is kept, because the root can come from the
+// service, which reports it only once.
 func (n *Node) pull(ctx context.Context) {
 	pause := minPullPause
 	rootFailures := 0
@@ -146,7 +151,8 @@
 	}
 }
 
-// pullOnce asks for what is missing once and says whether the matter is settled.
+// pullOnce tries once to fetch everything that is missing. It reports whether
+// the publication needs no further attempt.
 func (n *Node) pullOnce(ctx context.Context, w pullRequest) bool {
 	peers := n.pullPeers(w)
 	if w.root == nil {
@@ -174,8 +180,8 @@
 	return true
 }
 
-// pullPeers are those who told of the publication, the last one first, and
-// neighbours, who may hold some of the parts.
+// pullPeers returns the sources of the publication, latest first, followed by
+// neighbours in random order, which can hold some of the parts.
 func (n *Node) pullPeers(w pullRequest) []string {
 	list := slices.Clone(w.sources)
 	slices.Reverse(list)
@@ -191,8 +197,9 @@
 	return firstN(list, maxPullPeers)
 }
 
-// fetchRoot gets the root from a peer and checks that it is the one wanted, or
-// one that replaces what is in force as well.
+// fetchRoot fetches the root from the first peer that returns one. The root is
+// saved with the request only if its digest matches; another one is returned as
+// well, as it can still replace the publication in force.
 func (n *Node) fetchRoot(ctx context.Context, w pullRequest, peers []string) []byte {
 	for _, a := range peers {
 		reply, err := n.fetch(ctx, a, &wire.FetchRequest{Version: w.stamp.Version})
@@ -205,7 +212,7 @@
 	return nil
 }
 
-// verifiedRoot returns the root if it has the digest.
+// verifiedRoot returns the root if it has the digest, and nil otherwise.
 func verifiedRoot(root []byte, digest string) []byte {
 	if config.Hash(root) != digest {
 		return nil
@@ -213,7 +220,8 @@
 	return root
 }
 
-// fetchParts gets parts from a peer and returns those that are still missing.
+// fetchParts fetches parts from a peer and returns the hashes that are still
+// missing.
 func (n *Node) fetchParts(ctx context.Context, address string, missing []string) []string {
 	for len(missing) > 0 {
 		reply, err := n.fetch(ctx, address, &wire.FetchRequest{Hashes: firstN(missing, maxFetchHashes)})
@@ -230,7 +238,8 @@
 	return nil
 }
 
-// addParts stores the parts that are what their hash says.
+// addParts stores the parts whose content matches their hash and returns their
+// hashes.
 func (n *Node) addParts(parts []*wire.Part) []string {
 	var added []string
 	for _, p := range parts {
@@ -258,9 +267,9 @@
 	return reply, nil
 }
 
-// readParts reads missing parts from the service as far as this process's share
-// of the budget allows, in random order: processes that fetch the same
-// publication then read different parts and get the rest from each other.
+// readParts reads missing parts from the service within this process's share of
+// the budget. The order is random, so that processes that fetch the same
+// publication read different parts and get the others from each other.
 func (n *Node) readParts(ctx context.Context, missing []string) {
 	n.mu.Lock()
 	n.rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
--- a/gossip/reader.go
+++ b/gossip/reader.go
@@ -13,35 +13,36 @@
 	"chestnutstep.example/chestnutstep/config"
 )
 
-// readTimeout bounds one read beyond the time that a watch waits.
+// readTimeout bounds one read, in addition to the time that a watch waits.
 const readTimeout = 5 * time.Second
 
-// ErrStatus says that the service answered with an unexpected status.
+// ErrStatus reports an unexpected HTTP status from the service.
 type ErrStatus struct {
 	Name   string
 	Status int
 }
 
-// Error names what was read.
+// Error returns the name of the value read and the status.
 func (err ErrStatus) Error() string {
 	return fmt.Sprintf("read %s: status %d", err.Name, err.Status)
 }
 
-// IsErrStatus checks whether the service answered with an unexpected status.
+// IsErrStatus reports whether an error is an ErrStatus.
 func IsErrStatus(err error) bool {
 	return errors.As(err, new(ErrStatus))
 }
 
-// value is what the service answered.
+// value is an answer of the service.
 type value struct {
 	content  []byte
 	revision uint64
-	// notModified says that nothing above the revision asked for is there.
+	// notModified reports that the service has no revision newer than the
+	// requested one.
 	notModified bool
 }
 
-// readValue reads a value. With a revision it returns only what is newer, and waits
-// for it.
+// readValue reads a value. If after is above 0, it returns only newer revisions
+// and waits up to wait for one. It returns ErrStatus for an unexpected status.
 func (n *Node) readValue(ctx context.Context, name string, after uint64, wait time.Duration) (value, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
--- a/gossip/recent.go
+++ b/gossip/recent.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// maxRecentPeers bounds how many callers are remembered; a process is chosen by
-	// about circleSize others.
+	// maxRecentPeers bounds the number of remembered peers. About maxNeighbours
+	// other processes choose a given process.
 	maxRecentPeers = 32
-	// recentPeerTTL is several turns of a caller's circle.
+	// recentPeerTTL covers several rounds of a peer through its neighbours.
 	recentPeerTTL = 3 * maxNeighbours * time.Second
 )
 
-// recentPeers remembers who began an exchange with this process. News is pushed to
-// them too: nobody can choose an entry as neighbour, as no publication lists
-// it, but an entry chooses agents.
+// recentPeers holds the addresses of the processes that began an exchange with
+// this one. Changes are pushed to them too: entries are not listed in a
+// publication, so no process can choose an entry as neighbour, but entries
+// choose agents.
 type recentPeers struct {
 	seen map[string]time.Time
 }
--- a/gossip/seed_test.go
+++ b/gossip/seed_test.go
@@ -9,10 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// All processes of a fleet are started with the same few peers in their
-// settings. If they kept them as neighbours once they know the publication, four
-// agents would answer two exchanges of three of the whole fleet, and users of
-// those four targets would notice slow answers after every start of the fleet.
+// TestSeedPeersReplacedByPublication guards against overloaded seed peers. All
+// processes are configured with the same few peers. If they kept them as
+// neighbours after the first publication, four agents would answer two thirds
+// of the fleet's exchanges, and their targets would be slow after every start
+// of the fleet.
 func TestSeedPeersReplacedByPublication(t *testing.T) {
 	const processCount = 300
 	p := bigFleet(1)
@@ -37,7 +38,7 @@
 		}
 	}
 	for _, a := range seeds {
-		// Chance gives each about one.
+		// A random choice selects each about once.
 		assert.Assert(t, chosenBy[a] <= 10, "%d of %d processes keep %s", chosenBy[a], processCount, a)
 	}
 }
--- a/gossip/serve.go
+++ b/gossip/serve.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// maxFetchBytes bounds the parts of one reply. It stays clear of gRPC's limit
-	// for a message, and lets a process answer while it serves requests.
+	// maxFetchBytes bounds the total size of the parts in one reply. It is well
+	// below gRPC's message limit and small enough to answer while the process
+	// serves requests.
 	maxFetchBytes = 1 << 20
-	// maxFetchHashes bounds the parts that one request may name.
+	// maxFetchHashes bounds the number of parts that one request can name.
 	maxFetchHashes = 256
 )
 
-// Gossip answers an exchange that another process began.
+// Gossip answers an exchange that another process began. It returns no error.
 func (n *Node) Gossip(_ context.Context, m *wire.GossipMessage) (*wire.GossipMessage, error) {
 	n.init()
 	now := time.Now()
@@ -32,9 +33,10 @@
 	return reply, nil
 }
 
-// Fetch hands out the root in force and parts by content hash, also parts that
-// this process holds but can't use yet. It sends what it has: the caller checks
-// each part by its hash and asks elsewhere for the rest.
+// Fetch returns the root in force if its version is at least the requested one,
+// and parts by content hash, including parts of publications that are not
+// complete yet. Unknown parts are omitted: the caller verifies each part by its
+// hash and requests the rest from other peers. It returns no error.
 func (n *Node) Fetch(_ context.Context, req *wire.FetchRequest) (*wire.FetchReply, error) {
 	n.init()
 	reply := new(wire.FetchReply)
--- a/gossip/share.go
+++ b/gossip/share.go
@@ -9,8 +9,9 @@
 	"chestnutstep.example/chestnutstep/config"
 )
 
-// currentPlan derives this process's share of reads from the publication in force,
-// or from the root that is being fetched.
+// currentPlan computes this process's share of reads from the publication in
+// force, or from the root that is being fetched. list is the size of the last
+// host list in bytes.
 func (n *Node) currentPlan(now time.Time, list int) plan {
 	f := planInput{HostListBytes: list}
 	if view := n.Store.View(); view != nil {
@@ -25,7 +26,8 @@
 	return makePlan(f)
 }
 
-// allowRead takes one read from this process's share.
+// allowRead takes one read from this process's share and reports whether there
+// was one.
 func (n *Node) allowRead(now time.Time) bool {
 	p := n.currentPlan(now, 0)
 	n.mu.Lock()
@@ -33,7 +35,8 @@
 	return n.bucket.take(now, p)
 }
 
-// updateWatcher says whether this process is among the watchers, by its own view.
+// updateWatcher updates and returns whether this process is a watcher according
+// to its own view.
 func (n *Node) updateWatcher(now time.Time, view *chestnutstep.View) bool {
 	isWatcher := slices.Contains(n.watchers(now, view), n.Name)
 	n.mu.Lock()
@@ -46,8 +49,9 @@
 	return isWatcher
 }
 
-// watchers lists who watches, by this process's view. Agents that are out of
-// service or whose host leaves come last: they may stop any moment.
+// watchers returns the names of the watchers according to this process's view.
+// Agents that are out of service or on a leaving host come last, because they
+// can stop at any moment.
 func (n *Node) watchers(now time.Time, view *chestnutstep.View) []string {
 	var steady, others []string
 	for i := range view.Publication.Targets {
--- a/gossip/spread_test.go
+++ b/gossip/spread_test.go
@@ -21,19 +21,20 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// Sizes of the fleet that the figures are for.
+// Sizes of the simulated fleet.
 const (
 	agents    = 2700
 	entries   = 350
 	processes = agents + entries
-	// changesPerSecond a second: 11,000 a day.
+	// changesPerSecond corresponds to 11,000 changes per day.
 	changesPerSecond = 11000.0 / 86400
-	// hopDelay is the time from one process's having a publication in force to the
-	// next one's, who was told: a message, two fetches and putting it in force.
+	// hopDelay is the time from a publication coming into force at one process
+	// to it coming into force at a peer that was notified: a message, two
+	// fetches and applying it.
 	hopDelay = 30 * time.Millisecond
 )
 
-// event is something that happens to a process of the model.
+// event is a simulated event at one process.
 type event struct {
 	at   time.Time
 	node int
@@ -54,30 +55,30 @@
 	return e
 }
 
-// simulation plays the spread of one change with the real choice of neighbours and
-// watchers, and a clock of its own.
+// simulation simulates the spread of one change on a virtual clock, with the
+// real choice of neighbours and watchers.
 type simulation struct {
 	r          *rand.Rand
 	events     eventHeap
 	neighbours [processes]neighbourSet
 	recent     [processes]recentPeers
 	learnedAt  [processes]time.Time
-	// push switches the telling at once; lost is the share of calls that fail.
+	// push enables pushes; lossRate is the fraction of calls that fail.
 	push     bool
 	lossRate float64
 
 	exchanges, pushes int
 }
 
-// run returns when half and all of the processes held the change, after the
-// watchers among the agents did.
+// run returns the time from when the watchers among the agents have the change
+// until half and all of the processes have it.
 func (m *simulation) run(t *testing.T) (half, all time.Duration) {
 	names := make([]string, agents)
 	for i := range names {
 		names[i] = fmt.Sprintf("%d", i)
 	}
 	start := time.Unix(0, 0)
-	warm := start.Add(20 * time.Second) // neighbours know each other by then
+	warm := start.Add(20 * time.Second) // recentPeers is filled by then
 	for i := range processes {
 		m.neighbours[i].setCandidates(nil, names)
 		heap.Push(&m.events, event{at: start.Add(time.Duration(m.r.Int64N(int64(time.Second)))), node: i, kind: "tick"})
@@ -92,7 +93,7 @@
 	for len(times) < processes {
 		e := heap.Pop(&m.events).(event)
 		if e.at.After(warm.Add(time.Minute)) {
-			t.Fatalf("only %d of %d processes heard within a minute", len(times), processes)
+			t.Fatalf("only %d of %d processes received the change within a minute", len(times), processes)
 		}
 		switch e.kind {
 		case "tick":
@@ -108,7 +109,8 @@
 	return times[processes/2], times[processes-1]
 }
 
-// tick is a regular exchange: whoever knows more tells the other.
+// tick simulates a regular exchange, in which the change spreads in either
+// direction.
 func (m *simulation) tick(e event, warm time.Time) {
 	heap.Push(&m.events, event{at: e.at.Add(time.Duration((0.8 + 0.4*m.r.Float64()) * float64(time.Second))), node: e.node, kind: "tick"})
 	var peer int
@@ -146,9 +148,10 @@
 	}
 }
 
-// A change has to reach 3,050 processes well within 15 seconds, also when a
-// fifth of the calls fail. Told only in regular exchanges it takes several
-// rounds; a user would notice a domain that was taken out being served on.
+// TestSpreadTime guards against a change that takes too long to reach 3,050
+// processes, even when 20% of the calls fail. With regular exchanges only, it
+// takes several rounds, during which a domain that was taken out still receives
+// requests.
 func TestSpreadTime(t *testing.T) {
 	for _, c := range []struct {
 		push  bool
@@ -168,7 +171,7 @@
 	}
 }
 
-// countingConn counts the bytes on a connection, both ways.
+// countingConn counts the bytes of a connection in both directions.
 type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
@@ -196,9 +199,10 @@
 func (s *stubSampler) SetLocal(time.Time, chestnutstep.Sample)      {}
 func (s *stubSampler) Mean(time.Time) (m chestnutstep.Mean)         { return m }
 
-// The bytes that a process spends on gossip, from real messages on real
-// connections with the interval of the default, have to stay far below 26 KB a
-// second, at rest and with 11,000 changes a day.
+// TestControlBytes guards against gossip traffic beyond the limit per process.
+// It measures real messages on real connections with the default interval: the
+// traffic has to stay far below 26 KB per second, both idle and with 11,000
+// changes per day.
 func TestControlBytes(t *testing.T) {
 	root, parts := config.Pack(bigFleet(1))
 	node := func(name string) *Node {
@@ -228,7 +232,7 @@
 	a.init()
 	a.Dial = func(string) (grpc.ClientConnInterface, error) { return conn, nil }
 	measure := func(name string, n int, call func()) float64 {
-		call() // the first opens the connection
+		call() // the first call opens the connection
 		before := in.Load() + out.Load()
 		for range n {
 			call()
@@ -237,7 +241,7 @@
 		t.Logf("%s: %.0f bytes, both ways", name, each)
 		return each
 	}
-	regular := measure("exchange with 8 samples", 100, func() { a.exchange(t.Context(), "b", a.message(time.Now())) })
+	regular := measure("regular exchange", 100, func() { a.exchange(t.Context(), "b", a.message(time.Now())) })
 	brief := measure("push", 100, func() { a.exchange(t.Context(), "b", a.shortMessage(time.Now())) })
 	r, err := config.ParseRoot(root)
 	assert.NilError(t, err)
@@ -246,9 +250,9 @@
 		_, err = a.fetch(t.Context(), "b", &wire.FetchRequest{Hashes: r.Parts[len(r.Parts)-1:]})
 	})
 	assert.NilError(t, err)
-	// Each process begins one exchange a second and answers one. A change costs
-	// it about 17 pushes begun and answered (TestSpread), and the fetch, which
-	// it passes on to one other on average.
+	// Each process begins one exchange per second and answers one. A change
+	// costs about 17 pushes begun and answered (see TestSpreadTime), and the
+	// fetch, which the process serves to one other process on average.
 	idle := 2 * regular
 	withChanges := idle + changesPerSecond*(2*17*brief+2*fetch)
 	t.Logf("%d parts of %d bytes; message of %d bytes; at rest %.0f bytes a second, with 11,000 changes a day %.0f",
@@ -264,7 +268,7 @@
 	return n
 }
 
-// bigFleet is a publication of the size that the figures are for.
+// bigFleet returns a publication of the simulated size.
 func bigFleet(version uint64) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{Version: version, Budget: chestnutstep.Budget{ReadRate: 50}}
 	for _, d := range []string{"a", "b", "c"} {
@@ -283,8 +287,9 @@
 	return p
 }
 
-// The whole fleet's reads must stay within the published budget whatever each
-// process believes of itself, or the service that they share falls over.
+// TestPlanStaysWithinBudget guards against an overloaded service: the reads of
+// all processes together must stay within the published budget, whether or not
+// processes consider themselves isolated.
 func TestPlanStaysWithinBudget(t *testing.T) {
 	for _, reads := range []float64{0.5, 1, 5, 50, 400, 2000} {
 		for _, nodes := range []int{1, 7, 300, processes} {
@@ -295,7 +300,7 @@
 				sum := float64(w)*watching.Rate + float64(nodes-w)*common.Rate
 				assert.Assert(t, sum <= reads*1.0001, "reads %v, nodes %d: %v", reads, nodes, sum)
 				if nodes == processes && reads == 50 {
-					t.Logf("50 reads, 3,050 processes, lonely %v: watcher %.2f a second, hosts each %v; others a direct read each %v; sum %.1f",
+					t.Logf("50 reads, 3,050 processes, isolated %v: watcher %.2f a second, hosts each %v; others a direct read each %v; sum %.1f",
 						isolated, watching.Rate, watching.HostsInterval.Round(time.Millisecond), common.ReadInterval.Round(time.Second), sum)
 				}
 			}
--- a/gossip/watch.go
+++ b/gossip/watch.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// peerHeadStart is how long a starting process waits for its peers before it
-	// reads the service: the service may be stale, and a process that put an old
-	// publication in force would serve by it until it heard better.
+	// peerHeadStart is how long a starting process waits for its peers before
+	// it reads the service. The service can be stale, and a process that puts
+	// an old publication in force serves by it until it receives a newer one.
 	peerHeadStart = 2 * time.Second
 	// maxStartDelay spreads the first reads of processes that start together.
 	maxStartDelay = time.Second
 )
 
-// readLoop watches the root, or reads it now and then.
+// readLoop watches the root if this process is a watcher, and otherwise reads
+// it periodically.
 func (n *Node) readLoop(ctx context.Context) {
 	if n.Platform == "" || !n.awaitStart(ctx) {
 		return
@@ -45,7 +46,8 @@
 	}
 }
 
-// nextRead says whether this process may read now, and whether it watches.
+// nextRead takes a read from the budget. It returns the current plan and
+// reports whether this process is a watcher and whether the read is allowed.
 func (n *Node) nextRead(now time.Time) (p plan, watcher, allowed bool) {
 	p = n.currentPlan(now, 0)
 	n.mu.Lock()
@@ -53,8 +55,8 @@
 	return p, n.isWatcher, n.bucket.take(now, p)
 }
 
-// readRoot reads the root beyond a revision, and notes whether the service
-// answers.
+// readRoot reads the root if it is newer than a revision, and records whether
+// the service answers. A watcher waits for a newer root.
 func (n *Node) readRoot(ctx context.Context, revision uint64, watcher bool) (value, error) {
 	var wait time.Duration
 	if watcher {
@@ -67,7 +69,8 @@
 	return v, err
 }
 
-// awaitReadBudget waits until this process's share allows a read again.
+// awaitReadBudget waits for d before the next attempt to read. A process that
+// isn't a watcher stops waiting when it becomes one.
 func (n *Node) awaitReadBudget(ctx context.Context, watcher bool, d time.Duration) {
 	if watcher {
 		clock.Sleep(ctx, d)
@@ -76,7 +79,8 @@
 	n.awaitWatcher(ctx, d)
 }
 
-// awaitStart gives the peers a while to answer first.
+// awaitStart delays the first read, so that peers can answer first. It reports
+// whether ctx is not done.
 func (n *Node) awaitStart(ctx context.Context) bool {
 	n.mu.Lock()
 	delay := time.Duration(n.rand.Int64N(int64(maxStartDelay)))
@@ -96,10 +100,10 @@
 	return ctx.Err() == nil
 }
 
-// awaitWatcher sleeps between direct reads, but not longer than until a publication
-// makes this process a watcher. It looks before it waits: a publication that
-// came into force right before would otherwise go unseen, and the process would
-// not watch for as long as it was meant to sleep.
+// awaitWatcher sleeps for d between direct reads, or until a publication makes
+// this process a watcher. It checks the view before it waits: otherwise a
+// publication that came into force just before would be missed, and the process
+// would not watch until d has passed.
 func (n *Node) awaitWatcher(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -124,7 +128,7 @@
 	return backoff(failures, n.rand)
 }
 
-// recordPlatformRead notes whether the service answers, and tells when that changes.
+// recordPlatformRead records whether the service answers and reports changes.
 func (n *Node) recordPlatformRead(err error) {
 	n.mu.Lock()
 	wasDown := n.platformDown
@@ -138,9 +142,9 @@
 	}
 }
 
-// applyRoot hands a root on to be fetched and returns the revision to wait beyond.
-// A service that was restored from a copy counts on from an older revision: a
-// watch for the newer one would wait for ever, and changes would go unseen.
+// applyRoot requests the publication of a root and returns the revision for the
+// next read. A service that was restored from a backup continues from an older
+// revision: a watch for the newer revision would wait forever and miss changes.
 func (n *Node) applyRoot(v value, revision uint64) uint64 {
 	if v.notModified {
 		if v.revision < revision {
