--- a/cmd/chestnutstep/check.go
+++ b/cmd/chestnutstep/check.go
@@ -20,13 +20,13 @@
 	file    string
 	against string
 	loads   []string
-	// settings, routing and deploy are files of the users' platform.
+	// settings, routing and deploy are paths of files of the platform.
 	settings string
 	routing  string
 	deploy   string
 }
 
-// checkCommand returns the subcommand and what runs when it is used.
+// checkCommand returns the check subcommand and the function that runs it.
 func checkCommand() (*flaggy.Subcommand, func() error) {
 	o := &checkOptions{}
 	c := flaggy.NewSubcommand("check")
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// runPlatform checks the platform's files, and says whether there were any.
+// runPlatform checks the platform's files. It reports whether any were given
+// and returns the first error.
 func (o *checkOptions) runPlatform(w io.Writer) (bool, error) {
 	settings := func(file string, raw []byte) error {
 		_, err := platform.ParseSettings(file, raw)
@@ -106,14 +107,14 @@
 	return config.Parse(path, raw)
 }
 
-// parseLoads reads TARGET=NUMBER.
+// parseLoads parses loads of the form TARGET=NUMBER.
 func parseLoads(list []string) ([]chestnutstep.Sample, error) {
 	var loads []chestnutstep.Sample
 	for _, s := range list {
 		target, number, ok := strings.Cut(s, "=")
 		load, err := strconv.ParseFloat(number, 64)
 		if !ok || err != nil {
-			return nil, errors.Newf("--load wants TARGET=NUMBER, got %q", s)
+			return nil, errors.Newf("--load: expected TARGET=NUMBER, got %q", s)
 		}
 		loads = append(loads, chestnutstep.Sample{Target: target, Load: load})
 	}
--- a/cmd/chestnutstep/check_test.go
+++ b/cmd/chestnutstep/check_test.go
@@ -20,7 +20,9 @@
   "budget": {"reads": 10},
 }`
 
-// What check accepts, pack splits, and a process puts together again.
+// TestCheckAndPack guards against check, pack and config disagreeing on the
+// format: a publication that check accepts is split by pack into files from
+// which config restores it.
 func TestCheckAndPack(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "one.json")
@@ -53,7 +55,8 @@
 	assert.Equal(t, p.Version, uint64(2))
 }
 
-// A file with mistakes is refused with all of them, and nothing is written.
+// TestPackRefuses guards against packing an invalid publication. The error
+// lists all mistakes, and no files are written.
 func TestPackRefuses(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "bad.json")
--- a/cmd/chestnutstep/main.go
+++ b/cmd/chestnutstep/main.go
@@ -1,5 +1,7 @@
-// Command chestnutstep is the router fleet's one program: an entry, an agent,
-// and the operators' tools.
+// Command chestnutstep is the program of the router fleet: it runs an entry or
+// an agent, and contains the operators' tools. Its subcommands read settings
+// files, publications or the admin addresses of processes, and exit with status
+// 1 on an error.
 package main
 
 import (
@@ -9,7 +11,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// command is a subcommand and what runs when it is used.
+// command is a subcommand and the function that runs it.
 type command struct {
 	flags *flaggy.Subcommand
 	run   func() error
@@ -32,7 +34,7 @@
 	flaggy.ShowHelpAndExit("name a subcommand")
 }
 
-// version of the program, shown by --version.
+// version is the version shown by --version.
 const version = "0.1.0"
 
 func commands() []command {
--- a/cmd/chestnutstep/pack.go
+++ b/cmd/chestnutstep/pack.go
@@ -18,7 +18,7 @@
 	dir  string
 }
 
-// packCommand returns the subcommand and what runs when it is used.
+// packCommand returns the pack subcommand and the function that runs it.
 func packCommand() (*flaggy.Subcommand, func() error) {
 	o := &packOptions{}
 	c := flaggy.NewSubcommand("pack")
@@ -28,8 +28,9 @@
 	return c, func() error { return o.run(os.Stdout) }
 }
 
-// run writes the parts before the root. Whoever copies the files to the platform
-// in the order in which they are printed shows no root whose parts are missing.
+// run writes the parts before the root. If the files are copied to the platform
+// in the order in which they are printed, the platform never has a root whose
+// parts are missing.
 func (o *packOptions) run(w io.Writer) error {
 	p, err := readPublication(o.file)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return o.write(w, config.RootName, root)
 }
 
-// write makes one file and says whether it is new. A part that is there
-// already is the same, as its name is its content.
+// write writes one file and prints whether it is new. An existing part is not
+// written again, because its name is the hash of its content.
 func (o *packOptions) write(w io.Writer, name string, raw []byte) error {
 	path := filepath.Join(o.dir, filepath.FromSlash(name))
 	if _, err := os.Stat(path); err == nil && name != config.RootName {
--- a/cmd/chestnutstep/serve.go
+++ b/cmd/chestnutstep/serve.go
@@ -16,7 +16,7 @@
 	"chestnutstep.example/chestnutstep/platform"
 )
 
-// entryCommand returns the subcommand that runs an entry.
+// entryCommand returns the entry subcommand and the function that runs it.
 func entryCommand() (*flaggy.Subcommand, func() error) {
 	c, path := serveFlags("entry", "take callers' requests and bring them to targets")
 	metrics := ""
@@ -33,7 +33,7 @@
 	}
 }
 
-// runDirect runs an entry on the platform whose settings file is named.
+// runDirect runs an entry without agents, with the platform's settings file.
 func runDirect(file, metrics string) error {
 	parse := func(path string) (*config.DirectSettings, error) { return directSettings(path, metrics) }
 	raw, err := os.ReadFile(file)
@@ -56,8 +56,8 @@
 	return serve(n.Run)
 }
 
-// directSettings reads the platform's settings, and adds the port of the
-// command line.
+// directSettings loads the platform's settings and sets the metrics port from
+// the command line.
 func directSettings(path, metrics string) (*config.DirectSettings, error) {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return s, nil
 }
 
-// agentCommand returns the subcommand that runs an agent.
+// agentCommand returns the agent subcommand and the function that runs it.
 func agentCommand() (*flaggy.Subcommand, func() error) {
 	c, path := serveFlags("agent", "stand beside one target and decide what it takes")
 	return c, func() error {
--- a/cmd/chestnutstep/status.go
+++ b/cmd/chestnutstep/status.go
@@ -23,7 +23,7 @@
 	name  string
 }
 
-// statusCommand returns the subcommand and what runs when it is used.
+// statusCommand returns the status subcommand and the function that runs it.
 func statusCommand() (*flaggy.Subcommand, func() error) {
 	o := &statusOptions{}
 	c := flaggy.NewSubcommand("status")
