--- a/cmd/standin/call.go
+++ b/cmd/standin/call.go
@@ -16,7 +16,7 @@
 	"chestnutstep.example/chestnutstep/load"
 )
 
-// callOptions is what `standin call` was told.
+// callOptions are the arguments of the call subcommand.
 type callOptions struct {
 	entries []string
 	keys    []string
@@ -30,6 +30,8 @@
 	plan    load.Plan
 }
 
+// callCommand returns the call subcommand, a load generator that sends chats
+// and actions to entries.
 func callCommand() command {
 	c := flaggy.NewSubcommand("call")
 	c.Description = "callers: chats that return, cancels, and actions repeated through another entry"
@@ -80,7 +82,7 @@
 		fmt.Fprintln(os.Stderr, err)
 	}
 	if n := r.CountKind(fake.Truncated) + r.CountKind(fake.Misdelivered); n > 0 {
-		return errors.Newf("%d answers were silently short or another's", n)
+		return errors.Newf("%d answers were truncated or belonged to another request", n)
 	}
 	return actionErr
 }
@@ -93,7 +95,7 @@
 			return err
 		}
 		if !d.SameAnswer || d.Times != 1 {
-			return errors.Newf("%s: %s then %s, took effect %d times", d.Name, d.First.Kind, d.Second.Kind, d.Times)
+			return errors.Newf("action %s: answers %s and %s, took effect %d times", d.Name, d.First.Kind, d.Second.Kind, d.Times)
 		}
 	}
 	return nil
--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -15,13 +15,15 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// demoOptions is what `standin demo` was told.
+// demoOptions are the arguments of the demo subcommand.
 type demoOptions struct {
 	seed int
 	hold bool
 	keep bool
 }
 
+// demoCommand returns the demo subcommand, which runs a fleet on loopback and
+// checks its guarantees.
 func demoCommand() command {
 	c := flaggy.NewSubcommand("demo")
 	c.Description = "starts a fleet of separate processes on loopback, plays the main job, checks the promises"
@@ -37,14 +39,14 @@
 	defer stop()
 	dir, err := os.MkdirTemp("", "standin-")
 	if err != nil {
-		return errors.Wrap(err, "directory")
+		return errors.Wrap(err, "create temporary directory")
 	}
 	if !p.keep {
 		defer os.RemoveAll(dir)
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "program")
+		return errors.Wrap(err, "find executable")
 	}
 	f := demo.Fleet(filepath.Dir(self), dir)
 	defer f.Close()
@@ -62,8 +64,8 @@
 	return err
 }
 
-// printFleet prints where the processes are, so that operators' commands can be
-// tried on them.
+// printFleet prints the addresses of the processes, so that operators' commands
+// can be tried on them.
 func printFleet(f *fleet.Fleet) {
 	for _, t := range f.Targets {
 		fmt.Printf("%-10s %-10s target %s agent %s admin %s\n", t.Name, t.Domain, t.Backend.Address, t.Agent.Address, t.Agent.Admin)
--- a/cmd/standin/engine.go
+++ b/cmd/standin/engine.go
@@ -8,6 +8,7 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
+// engineCommand returns the engine subcommand, an emulated model engine.
 func engineCommand() command {
 	c := flaggy.NewSubcommand("engine")
 	c.Description = "a model engine that batches, caches prefixes and starts cold"
--- a/cmd/standin/lab.go
+++ b/cmd/standin/lab.go
@@ -22,6 +22,8 @@
 	out     io.Writer
 }
 
+// labCommand returns the lab subcommand, a simulation that compares routing
+// policies on a virtual clock.
 func labCommand() command {
 	c := flaggy.NewSubcommand("lab")
 	c.Description = "plays one load against policies, on a clock of its own, and prints what callers got"
@@ -34,7 +36,7 @@
 	return command{c, l.run}
 }
 
-// rows are the policies to be played.
+// rows returns the policies to simulate.
 func (l *labOptions) rows() []trial.Row {
 	if l.domain {
 		return trial.DirectDomainRows(l.seed)
@@ -47,7 +49,8 @@
 	return rows
 }
 
-// run prints a row for each policy.
+// run simulates each policy, prints a table row for it, and draws the plots if
+// requested.
 func (l *labOptions) run() error {
 	if l.surge {
 		return l.runSurge()
@@ -70,7 +73,8 @@
 	return drawPlots(l.plot, lines)
 }
 
-// runSurge prints a row for each load, where entries refuse and where they take all.
+// runSurge simulates each offered load with and without admission control and
+// prints a table row for it.
 func (l *labOptions) runSurge() error {
 	w := tabwriter.NewWriter(l.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "offered\tin time a second\tin time\trefused\tfirst byte 95%\ttaking all: in time a second\tin time\tfirst byte 95%")
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -14,6 +14,8 @@
 	"chestnutstep.example/chestnutstep/bench"
 )
 
+// loadCommand returns the load subcommand, a benchmark of the fleet against a
+// plain proxy.
 func loadCommand() command {
 	c := flaggy.NewSubcommand("load")
 	c.Description = "measures the fleet against a naive pass-through in the same run"
@@ -31,12 +33,12 @@
 	defer stop()
 	dir, err := os.MkdirTemp("", "standin-")
 	if err != nil {
-		return errors.Wrap(err, "directory")
+		return errors.Wrap(err, "create temporary directory")
 	}
 	defer os.RemoveAll(dir)
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "program")
+		return errors.Wrap(err, "find executable")
 	}
 	b.Bin, b.Dir = filepath.Dir(self), dir
 	if b.Streams > 0 {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,7 @@
-// Command standin plays the systems outside the fleet: the platform, model
-// engines, plain services and callers.
+// Command standin emulates the systems outside the fleet: the platform, model
+// engines, plain services and callers. It also runs the demo, the benchmarks
+// and the simulations of policies. The servers print the address on which they
+// listen.
 package main
 
 import (
@@ -9,7 +11,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// command is one subcommand: its flags and what runs when it is used.
+// command is a subcommand and the function that runs it.
 type command struct {
 	flags *flaggy.Subcommand
 	run   func() error
--- a/cmd/standin/pass.go
+++ b/cmd/standin/pass.go
@@ -7,6 +7,8 @@
 	"chestnutstep.example/chestnutstep/load"
 )
 
+// proxyCommand returns the pass subcommand, a proxy without routing decisions
+// as a baseline for comparisons.
 func proxyCommand() command {
 	c := flaggy.NewSubcommand("pass")
 	c.Description = "a naive pass-through to compare with: one hop, a random target, plain retry"
--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -6,6 +6,8 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
+// platformCommand returns the platform subcommand, an emulated configuration
+// service with a host list.
 func platformCommand() command {
 	c := flaggy.NewSubcommand("platform")
 	c.Description = "the configuration service and the host list; POST /control/v/NAME sets a value"
--- a/cmd/standin/plot.go
+++ b/cmd/standin/plot.go
@@ -14,19 +14,19 @@
 	"chestnutstep.example/chestnutstep/trial"
 )
 
-// Width and height of one chart, on a screen.
+// Size of one chart, for display on a screen.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// plotLine is what one policy gave over time.
+// plotLine is the time series of one policy.
 type plotLine struct {
 	name   string
 	series []trial.Interval
 }
 
-// charts are drawn one below the other.
+// charts are drawn below each other.
 var charts = []struct {
 	title string
 	value func(s trial.Interval) float64
@@ -36,7 +36,7 @@
 	{"largest load against the mean", func(s trial.Interval) float64 { return s.MaxToMean }},
 }
 
-// drawPlots draws what policies gave over time.
+// drawPlots writes an SVG file that plots the results of policies over time.
 func drawPlots(file string, lines []plotLine) error {
 	var plots []*plot.Plot
 	for _, c := range charts {
@@ -57,7 +57,8 @@
 	return writePlots(file, plots)
 }
 
-// drawSurge draws goodput and the time to the first byte against the offered load.
+// drawSurge writes an SVG file that plots goodput and the time to the first
+// byte against the offered load.
 func drawSurge(file string, rows []trial.SurgeRow) error {
 	var plots []*plot.Plot
 	for _, c := range []struct {
@@ -81,7 +82,7 @@
 	return writePlots(file, plots)
 }
 
-// writePlots puts charts into one SVG file, one below the other.
+// writePlots writes charts below each other into one SVG file.
 func writePlots(file string, plots []*plot.Plot) error {
 	canvas := vgsvg.New(plotWidth, plotHeight*vg.Length(len(plots)))
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1}
@@ -93,19 +94,19 @@
 		return errors.Wrap(err, "plot")
 	}
 	if _, err := canvas.WriteTo(f); err != nil {
-		_ = f.Close() // the first error is the one to tell
+		_ = f.Close() // the first error is returned
 		return errors.Wrap(err, "plot")
 	}
 	return errors.Wrap(f.Close(), "plot")
 }
 
-// curve is one line of a chart.
+// curve is a named line of a chart.
 type curve struct {
 	name   string
 	points plotter.XYs
 }
 
-// newPlot draws curves over one axis.
+// newPlot returns a chart with the curves over a common x axis.
 func newPlot(title, xLabel string, curves []curve) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
--- a/cmd/standin/plot_test.go
+++ b/cmd/standin/plot_test.go
@@ -12,7 +12,8 @@
 	"chestnutstep.example/chestnutstep/trial"
 )
 
-// Whoever compares policies wants one picture with a line of each in each chart.
+// TestDrawPlots guards against charts that omit a policy: every chart must
+// contain a line for each.
 func TestDrawPlots(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "lab.svg")
 	series := []trial.Interval{{Reuse: 0.5, Wait: time.Second, MaxToMean: 1.2}, {Begin: time.Minute, Reuse: 0.7, MaxToMean: 1.4}}
@@ -26,7 +27,8 @@
 	assert.Assert(t, drawPlots(filepath.Join(t.TempDir(), "no", "such"), nil) != nil)
 }
 
-// Whoever asks what a full fleet does wants goodput against load, with and without refusals.
+// TestDrawSurge guards against charts that omit one of the two variants, with
+// and without refusals.
 func TestDrawSurge(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "surge.svg")
 	rows := []trial.SurgeRow{
--- a/cmd/standin/scale.go
+++ b/cmd/standin/scale.go
@@ -14,6 +14,8 @@
 	"chestnutstep.example/chestnutstep/bench"
 )
 
+// scaleCommand returns the scale subcommand, a benchmark of the control traffic
+// of a large fleet.
 func scaleCommand() command {
 	c := flaggy.NewSubcommand("scale")
 	c.Description = "measures a fleet of many processes at rest and under changes"
@@ -26,7 +28,7 @@
 	return command{c, func() error { return scale(s) }}
 }
 
-// scaleTimeout bounds a run whatever happens.
+// scaleTimeout bounds a whole run.
 const scaleTimeout = 2 * time.Minute
 
 func scale(s *bench.Scale) error {
@@ -36,12 +38,12 @@
 	defer cancel()
 	dir, err := os.MkdirTemp("", "standin-")
 	if err != nil {
-		return errors.Wrap(err, "directory")
+		return errors.Wrap(err, "create temporary directory")
 	}
 	defer os.RemoveAll(dir)
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "program")
+		return errors.Wrap(err, "find executable")
 	}
 	s.Bin, s.Dir = filepath.Dir(self), dir
 	return s.Run(ctx)
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -12,18 +12,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// shutdownTimeout is how long a stand-in that is asked to stop lets answers end.
+// shutdownTimeout is how long in-flight answers can continue after a signal to
+// stop.
 const shutdownTimeout = 2 * time.Second
 
-// server is a stand-in's HTTP server and how it ended.
+// server is the HTTP server of an emulated system; done receives the error that
+// ended it.
 type server struct {
 	http.Server
 	listener net.Listener
 	done     chan error
 }
 
-// serve listens and prints the address, so that port 0 can be used, until the
-// process is told to stop.
+// serve listens on address and serves h until SIGTERM or SIGINT. It prints the
+// address that it listens on, so that port 0 can be used.
 func serve(address string, h http.Handler) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/standin/service.go
+++ b/cmd/standin/service.go
@@ -8,6 +8,7 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
+// serviceCommand returns the service subcommand, an emulated plain service.
 func serviceCommand() command {
 	c := flaggy.NewSubcommand("service")
 	c.Description = "a plain service: POST /bookings, POST /edits, GET /slots"
