--- a/fleet/control.go
+++ b/fleet/control.go
@@ -14,35 +14,36 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// ErrTimeout says that a condition did not come true in time.
+// ErrTimeout reports a condition that was not met within a time limit.
 type ErrTimeout struct {
 	Condition string
 	Limit     time.Duration
-	// Cause is what was seen last.
+	// Cause is the error of the last check.
 	Cause error
 }
 
 func (e *ErrTimeout) Error() string {
-	out := e.Condition + ": not within " + e.Limit.String()
+	out := e.Condition + ": not met within " + e.Limit.String()
 	if e.Cause != nil {
 		out += ": " + e.Cause.Error()
 	}
 	return out
 }
 
-// IsErrTimeout reports whether err says that a condition did not come true.
+// IsErrTimeout reports whether an error is an ErrTimeout.
 func IsErrTimeout(err error) bool {
 	var e *ErrTimeout
 	return errors.As(err, &e)
 }
 
-// waitTimeout is generous: a slow machine must not fail a test.
+// waitTimeout is generous, so that a slow machine doesn't fail a test.
 const waitTimeout = 60 * time.Second
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// WaitFor looks at a condition until it holds.
+// WaitFor calls check until it returns nil. After waitTimeout, or when ctx is
+// done, it returns ErrTimeout with the last error of check.
 func WaitFor(ctx context.Context, condition string, check func() error) error {
 	end := time.Now().Add(waitTimeout)
 	for {
@@ -100,24 +101,24 @@
 	return errors.Wrap(json.Unmarshal(raw, v), r.URL.Path)
 }
 
-// SetFault makes a target misbehave.
+// SetFault sets the faults that a back end injects.
 func (t *Target) SetFault(ctx context.Context, f fake.Fault) error {
 	return post(ctx, t.Backend.Address, "/control/fault", f)
 }
 
-// Load reads a target's own report.
+// Load returns the load that the back end itself reports.
 func (t *Target) Load(ctx context.Context) (fake.Load, error) {
 	var l fake.Load
 	return l, get(ctx, t.Backend.Address, "/control/load", &l)
 }
 
-// Status reads what a process says of itself.
+// Status returns the status that the process reports on its admin address.
 func (p *Process) Status(ctx context.Context) (admin.Status, error) {
 	var s admin.Status
 	return s, get(ctx, p.Admin, "/status", &s)
 }
 
-// WaitReady waits until every agent and entry that runs is ready.
+// WaitReady waits until every running agent and entry is ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, p := range f.processes() {
 		if err := p.WaitReady(ctx); err != nil {
@@ -127,17 +128,18 @@
 	return nil
 }
 
-// WaitReady waits until the process says that it is ready.
+// WaitReady waits until the process reports that it is ready. It returns
+// ErrTimeout if the process doesn't, or has ended.
 func (p *Process) WaitReady(ctx context.Context) error {
 	return WaitFor(ctx, p.Name+" ready", func() error {
 		if !p.Running() {
-			return errors.Newf("it ended: %v", p.err)
+			return errors.Newf("process ended: %v", p.err)
 		}
 		return get(ctx, p.Admin, "/ready", nil)
 	})
 }
 
-// WaitPublished waits until every agent and entry that runs has put the last
+// WaitPublished waits until every running agent and entry has put the last
 // publication in force, and returns how long that took.
 func (f *Fleet) WaitPublished(ctx context.Context) (time.Duration, error) {
 	start := time.Now()
@@ -148,7 +150,7 @@
 				return err
 			}
 			if s.Publication.Version < f.Publication.Version {
-				return errors.Newf("version %d, not %d", s.Publication.Version, f.Publication.Version)
+				return errors.Newf("version %d in force, expected %d", s.Publication.Version, f.Publication.Version)
 			}
 			return nil
 		})
@@ -159,7 +161,7 @@
 	return time.Since(start), nil
 }
 
-// processes lists the agents and entries that run.
+// processes returns the running agents and entries.
 func (f *Fleet) processes() []*Process {
 	var out []*Process
 	for _, t := range f.Targets {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,9 +1,12 @@
 // Package fleet starts a small fleet as separate processes on loopback: the
-// platform, engines, plain services, an agent beside each, and entries. The
-// demo, the failure tests with real processes and the load benchmark share it.
+// emulated platform, engines and plain services, an agent for each back end,
+// and entries. The demo, the failure tests with real processes and the load
+// benchmark use it. Its inputs are the directory of the two programs and the
+// number of processes of each kind. Close kills every process that the fleet
+// started.
 //
-// Each host gets an address of its own in 127.0.0.0/8, so that ports are the
-// same on all hosts, as in production, and two fleets do not collide.
+// Each host gets its own address in 127.0.0.0/8, so that ports are the same on
+// all hosts, as in production, and two fleets don't collide.
 package fleet
 
 import (
@@ -22,8 +25,8 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// Ports, the same on every host. They lie below the range that the kernel
-// hands out for outgoing connections.
+// Ports, the same on every host. They are below the range that the kernel uses
+// for outgoing connections.
 const (
 	portTarget   = 17200
 	portAgent    = 17100
@@ -35,27 +38,29 @@
 
 // Fleet is a running fleet. Set the exported fields, then call Start.
 type Fleet struct {
-	// Bin is the directory with the two programs.
+	// Bin is the directory with the chestnutstep and standin programs.
 	Bin string
-	// Dir takes settings and the processes' output.
+	// Dir is the directory for settings files and logs of the processes.
 	Dir string
-	// DomainCount is the number of failure domains, each with Engines engines.
+	// DomainCount is the number of failure domains, each with EnginesPerDomain
+	// engines.
 	DomainCount, EnginesPerDomain int
-	// ServiceCount and Entries are spread over the failure domains.
+	// ServiceCount and EntryCount are the numbers of plain services and
+	// entries, which are distributed over the failure domains.
 	ServiceCount, EntryCount int
-	// EngineFlags and ServiceFlags are passed to the stand-ins.
+	// EngineFlags and ServiceFlags are passed to the emulated back ends.
 	EngineFlags, ServiceFlags []string
-	// Naive puts plain pass-throughs in the entries' place and starts no agents:
-	// what the fleet is compared with.
+	// Naive starts plain proxies instead of entries and no agents, as a
+	// baseline for comparisons.
 	Naive bool
-	// Settings changes the settings of a process before it starts, if set.
+	// Settings modifies the settings of a process before it starts, if set.
 	Settings func(*Settings)
-	// Customize changes the first publication, if set.
+	// Customize modifies the first publication, if set.
 	Customize func(*chestnutstep.Publication)
 
-	// Publication is what was published last.
+	// Publication is the last publication.
 	Publication *chestnutstep.Publication
-	// Platform and what runs on the hosts, once started.
+	// Platform, Targets and Entries are the processes, set by Start.
 	Platform *Process
 	Targets  []*Target
 	Entries  []*Process
@@ -64,7 +69,7 @@
 	started  []*Process
 }
 
-// Target is a back end and the agent beside it.
+// Target is a back end and its agent.
 type Target struct {
 	Name    string
 	Host    string
@@ -74,11 +79,12 @@
 	Agent   *Process
 }
 
-// client talks to stand-ins and admin addresses. It has a limit, as the
-// process on the other side may be stopped by a test.
+// client sends requests to emulated systems and admin addresses. It has a
+// timeout, because a test can suspend the process that answers.
 var client = &http.Client{Timeout: 5 * time.Second}
 
-// Start starts everything, publishes, and waits until all are ready.
+// Start starts all processes, publishes the first publication and waits until
+// all are ready. The caller must call Close even if Start fails.
 func (f *Fleet) Start(ctx context.Context) error {
 	if err := f.claimNetwork(); err != nil {
 		return err
@@ -120,8 +126,8 @@
 	return nil
 }
 
-// StartProxy starts a naive pass-through to the same targets on a host of its
-// own, beside the fleet's entries.
+// StartProxy starts a plain proxy to the same targets, in addition to the
+// fleet's entries. The proxy gets a host address of its own.
 func (f *Fleet) StartProxy(ctx context.Context) (*Process, error) {
 	p := &Process{Name: "pass", Address: fmt.Sprintf("%s:%d", f.nextIP(), portEntry)}
 	return p, f.startProxy(ctx, p)
@@ -148,8 +154,8 @@
 	return flags
 }
 
-// claimNetwork finds a loopback network that no other fleet uses: the platform's
-// address is bound as long as the fleet runs.
+// claimNetwork finds a loopback network that no other fleet uses. It tries to
+// bind the platform's address, which a running fleet keeps bound.
 func (f *Fleet) claimNetwork() error {
 	for n := range 200 {
 		f.prefix = fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+n)%200, 1+(os.Getpid()/200+n)%250)
@@ -167,12 +173,12 @@
 	return fmt.Sprintf("%s.%d", f.prefix, f.lastHost)
 }
 
-// domainName names the n-th failure domain.
+// domainName returns the name of the n-th failure domain.
 func domainName(n int) string {
 	return "domain-" + string(rune('a'+n))
 }
 
-// addProcesses lays targets and entries out over hosts.
+// addProcesses assigns targets and entries to hosts and failure domains.
 func (f *Fleet) addProcesses() {
 	for d := range f.DomainCount {
 		for i := range f.EnginesPerDomain {
@@ -216,7 +222,7 @@
 	return f.start(t.Backend, "standin", append([]string{t.Kind, "--listen", t.Backend.Address}, flags...)...)
 }
 
-// StartAgent starts the agent beside a target, also again after it ended.
+// StartAgent starts the agent of a target, or restarts it after it ended.
 func (f *Fleet) StartAgent(t *Target) error {
 	s := &Settings{
 		Name:   t.Name,
@@ -228,7 +234,7 @@
 	return f.startWith(t.Agent, "agent", s)
 }
 
-// StartEntry starts an entry, also again after it ended.
+// StartEntry starts an entry, or restarts it after it ended.
 func (f *Fleet) StartEntry(p *Process) error {
 	if f.Naive {
 		return f.start(p, "standin", f.proxyFlags(p)...)
@@ -255,23 +261,23 @@
 	}
 	raw, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "marshal settings")
 	}
 	path := filepath.Join(f.Dir, p.Name+".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "write settings")
 	}
 	return f.start(p, "chestnutstep", role, "--settings", path)
 }
 
-// Close ends every process that the fleet started.
+// Close kills every process that the fleet started and waits for their end.
 func (f *Fleet) Close() {
 	for _, p := range f.started {
 		p.Kill()
 	}
 }
 
-// URLs returns the entries' base URLs.
+// URLs returns the base URLs of the entries.
 func (f *Fleet) URLs() []string {
 	var out []string
 	for _, d := range f.Entries {
@@ -280,7 +286,7 @@
 	return out
 }
 
-// Target returns a target by name, or nil.
+// Target returns the target with the name, or nil.
 func (f *Fleet) Target(name string) *Target {
 	for _, t := range f.Targets {
 		if t.Name == name {
@@ -290,7 +296,7 @@
 	return nil
 }
 
-// Executions reads a target's own log.
+// Executions returns the requests that the back end itself logged as executed.
 func (t *Target) Executions(ctx context.Context) ([]fake.Execution, error) {
 	var out []fake.Execution
 	return out, get(ctx, t.Backend.Address, "/control/log", &out)
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -22,7 +22,7 @@
 	IP      string
 	Address string
 	Admin   string
-	// Log is the file that its output goes to.
+	// Log is the path of the file with the output of the process.
 	Log string
 
 	cmd  *exec.Cmd
@@ -31,7 +31,7 @@
 }
 
 // start runs a program of the fleet. The kernel kills it when this process
-// dies, so that a test that panics leaves nothing behind.
+// ends, so that a test that panics leaves no processes behind.
 func (f *Fleet) start(p *Process, program string, args ...string) error {
 	p.Log = filepath.Join(f.Dir, p.Name+".log")
 	out, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -56,7 +56,7 @@
 	close(p.done)
 }
 
-// Running says whether the process has not ended.
+// Running reports whether the process has not ended.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -66,7 +66,8 @@
 	}
 }
 
-// Kill ends the process at once, as a power cut would, and waits for its end.
+// Kill ends the process with SIGKILL, which emulates a power failure, and waits
+// for its end.
 func (p *Process) Kill() {
 	if p.cmd == nil || p.cmd.Process == nil {
 		return
@@ -75,36 +76,36 @@
 	<-p.done
 }
 
-// Stop asks the process to stop; Ended tells when it has.
+// Stop sends SIGTERM to the process. Done is closed when the process has ended.
 func (p *Process) Stop() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Suspend pauses the process.
+// Suspend stops the process with SIGSTOP.
 func (p *Process) Suspend() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on, as if it had slept.
+// Resume continues a suspended process with SIGCONT.
 func (p *Process) Resume() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err says how the process ended, once it has.
+// Err waits for the process to end and returns the error of its exit.
 func (p *Process) Err() error {
 	<-p.done
 	return p.err
 }
 
-// Usage is what a process used so far.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Resident memory in bytes.
+	// Resident is the resident memory in bytes.
 	Resident int64
-	// CPU time, user and system.
+	// CPU is the user and system CPU time.
 	CPU time.Duration
 }
 
-// clockTick is the unit of CPU times in /proc, which Linux fixes for programs.
+// clockTick is the unit of CPU times in /proc, which is fixed on Linux.
 const clockTick = 10 * time.Millisecond
 
-// Usage reads what the process used from /proc.
+// Usage reads the resource usage of the process from /proc.
 func (p *Process) Usage() (Usage, error) {
 	var u Usage
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
@@ -127,8 +128,9 @@
 	return u, nil
 }
 
-// parseCPUTime reads user and system time, fields 14 and 15 of /proc/PID/stat. They are
-// counted from behind the command's name, which may hold spaces.
+// parseCPUTime returns the sum of user and system time, fields 14 and 15 of
+// /proc/PID/stat. It counts fields after the command name, because the name can
+// contain spaces. It returns 0 if there are too few fields.
 func parseCPUTime(stat string) time.Duration {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	const user, system = 14 - 3, 15 - 3
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -25,7 +25,7 @@
 	ProfileChat  = "chat"  // streamed chats
 	ProfileQuick = "quick" // urgent, short
 	ProfileBook  = "book"  // needs a ticket
-	ProfileSlots = "slots" // idempotent look-ups at the service
+	ProfileSlots = "slots" // idempotent reads from the service
 )
 
 // Keys are the callers' keys by workspace.
@@ -35,7 +35,7 @@
 	"archive":  "key-of-archive",
 }
 
-// initialPublication builds the publication that the fleet starts with.
+// initialPublication returns the publication that the fleet starts with.
 func (f *Fleet) initialPublication() *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Models: []chestnutstep.Model{
@@ -87,7 +87,8 @@
 	}
 }
 
-// SetDomainOut takes a failure domain out of service, or brings it back.
+// SetDomainOut publishes a change that takes a failure domain out of service or
+// brings it back.
 func (f *Fleet) SetDomainOut(ctx context.Context, name string, out bool) error {
 	return f.Publish(ctx, func(p *chestnutstep.Publication) {
 		for i := range p.Domains {
@@ -98,24 +99,26 @@
 	})
 }
 
-// Publish changes the publication, raises its version and puts it on the
-// platform: the parts first, so that a reader of the root finds them.
+// Publish applies a change to the publication, increases its version, and
+// writes it to the platform. Parts are written before the root, so that a
+// reader of the root finds them. It returns an error if the changed publication
+// is invalid.
 func (f *Fleet) Publish(ctx context.Context, change func(*chestnutstep.Publication)) error {
 	next := f.initialPublication()
 	if f.Publication != nil {
 		raw, err := json.Marshal(f.Publication)
 		if err != nil {
-			return errors.Wrap(err, "publication")
+			return errors.Wrap(err, "copy publication")
 		}
 		next = &chestnutstep.Publication{}
 		if err := json.Unmarshal(raw, next); err != nil {
-			return errors.Wrap(err, "publication")
+			return errors.Wrap(err, "copy publication")
 		}
 	}
 	change(next)
 	next.Version++
 	if err := config.Check(next); err != nil {
-		return errors.Wrap(err, "publication")
+		return errors.Wrap(err, "check publication")
 	}
 	root, parts := config.Pack(next)
 	for hash, raw := range parts {
@@ -130,24 +133,26 @@
 	return f.save()
 }
 
-// save writes the publication where an operator can try changes on it.
+// save writes the publication to a file, which operators can modify to try
+// changes.
 func (f *Fleet) save() error {
 	raw, err := json.MarshalIndent(f.Publication, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "publication")
+		return errors.Wrap(err, "marshal publication")
 	}
 	path := filepath.Join(f.Dir, "publication.json")
-	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "publication")
+	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "write publication")
 }
 
-// putValue puts a value on the platform, which may still be starting.
+// putValue writes a value to the platform. It retries, because the platform can
+// still be starting.
 func (f *Fleet) putValue(ctx context.Context, name string, raw []byte) error {
 	return WaitFor(ctx, "publish "+name, func() error {
 		return put(ctx, http.MethodPost, f.Platform.Address, "/control/v/"+name, raw)
 	})
 }
 
-// SetPlatformMode makes the platform misbehave.
+// SetPlatformMode sets the faults that the platform injects.
 func (f *Fleet) SetPlatformMode(ctx context.Context, m fake.Mode) error {
 	return post(ctx, f.Platform.Address, "/control/mode", m)
 }
--- a/fleet/settings.go
+++ b/fleet/settings.go
@@ -1,8 +1,8 @@
 package fleet
 
 // Settings is the settings file of a process, with the fields that a fleet on
-// loopback needs. It is not config.Settings: what is written here is what an
-// operator would type, defaults left out.
+// loopback needs. It is not config.Settings, because it is written as an
+// operator would write it, without defaults.
 type Settings struct {
 	Name     string          `json:"name"`
 	Host     string          `json:"host"`
@@ -18,16 +18,16 @@
 	Linger   string          `json:"linger,omitempty"`
 }
 
-// TargetSettings says which target an agent stands beside.
+// TargetSettings identifies the target of an agent.
 type TargetSettings struct {
 	Name string `json:"name"`
 	URL  string `json:"url"`
 	Kind string `json:"kind"`
 }
 
-// region is the only one of a fleet on loopback.
+// region is the only region of a fleet on loopback.
 const region = "region-1"
 
-// maxPeers is how many agents a process is told of before it knows a
-// publication: enough that one is up.
+// maxPeers is the number of agents that are configured as peers of a process
+// until it has a publication. With four, at least one is usually running.
 const maxPeers = 4
