--- a/load/action.go
+++ b/load/action.go
@@ -10,30 +10,32 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// Actor does what must happen once, and repeats it as an impatient caller does.
+// Actor emulates a caller that performs actions that must take effect once, and
+// repeats each of them through another entry.
 type Actor struct {
 	Caller *fake.Caller
-	// Profile of the actions; it is one that needs tickets.
+	// Profile is the profile of the actions; it requires tickets.
 	Profile string
-	// Path at the service.
+	// Path is the path of the actions at the service.
 	Path string
 }
 
-// ActionResult is one action and its repeat.
+// ActionResult is the result of an action and of its repetition.
 type ActionResult struct {
 	Name   string
 	Ticket string
-	// First and Second are the answers through two entries.
+	// First and Second are the answers received through two entries.
 	First, Second fake.Result
-	// Times is how often the service says that the action took effect, by the
-	// second answer; 0 when that is not known.
+	// Times is how often the action took effect according to the second answer;
+	// 0 if unknown.
 	Times int
-	// SameAnswer says that both answers were whole and alike.
+	// SameAnswer reports whether both answers were complete and identical.
 	SameAnswer bool
 }
 
-// Do takes a ticket at an entry, acts through it, and repeats the action with
-// the same ticket through the next entry.
+// Do gets a ticket from an entry, sends the action through it, and repeats the
+// action with the same ticket through the next entry. It returns an error if it
+// gets no ticket; failed actions are in the result.
 func (a *Actor) Do(ctx context.Context, name string, entry int) (ActionResult, error) {
 	d := ActionResult{Name: name}
 	n := len(a.Caller.Entries)
@@ -42,7 +44,7 @@
 		return d, err
 	}
 	if len(tickets) != 1 {
-		return d, errors.Newf("asked for one ticket, got %d", len(tickets))
+		return d, errors.Newf("expected one ticket, got %d", len(tickets))
 	}
 	d.Ticket = tickets[0]
 	d.First = a.Send(ctx, name, d.Ticket, entry%n)
@@ -51,7 +53,7 @@
 	return d, nil
 }
 
-// Send acts once through an entry.
+// Send sends the action once through an entry.
 func (a *Actor) Send(ctx context.Context, name, ticket string, entry int) fake.Result {
 	body, _ := json.Marshal(fake.Action{Action: name})
 	return a.Caller.Do(ctx, fake.Request{
--- a/load/load.go
+++ b/load/load.go
@@ -1,7 +1,7 @@
-// Package load plays recorded loads: chats that return after pauses, most of
-// whose requests are cancelled before they finish. A load is fixed by its
-// seed, so that two versions are compared on the same one, and everything that
-// callers got is counted.
+// Package load is a load generator. It sends the requests of chats that return
+// after pauses, with a share of requests that are canceled before they finish.
+// A plan with a seed determines the load, so that two versions can be compared
+// under the same load. A report counts all results that callers get.
 package load
 
 import (
@@ -13,19 +13,21 @@
 
 // Turn is one request of a chat.
 type Turn struct {
-	// Pause before it, since the turn before ended.
+	// Pause is the time since the end of the previous turn.
 	Pause time.Duration
-	// PromptTokens is the caller's new text in tokens, Output the answer's length.
+	// PromptTokens is the number of tokens of the caller's new text,
+	// OutputTokens that of the answer.
 	PromptTokens, OutputTokens int
-	// CancelAfter gives up after so many tokens; 0 reads to the end.
+	// CancelAfter is the number of tokens after which the caller cancels; 0
+	// means that it reads to the end.
 	CancelAfter int
 }
 
-// Chat is one caller's conversation.
+// Chat is the conversation of one caller.
 type Chat struct {
 	Workspace string
 	Name      string
-	// HistoryTokens is how many tokens the first prompt brings along.
+	// HistoryTokens is the number of tokens that precede the first prompt.
 	HistoryTokens int
 	Turns         []Turn
 }
@@ -34,24 +36,26 @@
 type Plan struct {
 	Seed  uint64
 	Chats int
-	// Turns is the mean number of turns of a chat, Pause the mean pause.
+	// Turns is the mean number of turns of a chat, Pause the mean pause between
+	// them.
 	Turns int
 	Pause time.Duration
-	// StartSpread spreads the chats' first turns.
+	// StartSpread is the period over which the chats start.
 	StartSpread time.Duration
-	// Workspaces with Skew: the share of the n-th is proportional to n^-Skew.
+	// Workspaces are the workspaces of the chats. The share of the n-th one is
+	// proportional to n^-Skew.
 	Workspaces []string
 	Skew       float64
-	// HistoryTokens and Output are means, in tokens.
+	// HistoryTokens and OutputTokens are means in tokens.
 	HistoryTokens, OutputTokens int
-	// CancelRatio is the share of requests that are given up before the end.
+	// CancelRatio is the share of requests that are canceled before the end.
 	CancelRatio float64
 }
 
-// meanPromptTokens is the mean length of a question.
+// meanPromptTokens is the mean length of a prompt in tokens.
 const meanPromptTokens = 40
 
-// GenerateChats draws the chats of a plan. The same plan gives the same chats.
+// GenerateChats returns the chats of a plan. Equal plans give equal chats.
 func (p Plan) GenerateChats() []Chat {
 	r := rand.New(rand.NewPCG(p.Seed, 0))
 	chats := make([]Chat, p.Chats)
@@ -87,7 +91,8 @@
 	return t
 }
 
-// drawExponential is an exponential number of the given mean, at least 1.
+// drawExponential draws an exponentially distributed number with the given
+// mean, at least 1.
 func drawExponential(r *rand.Rand, mean int) int {
 	return 1 + int(r.ExpFloat64()*float64(max(mean-1, 0)))
 }
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -24,13 +24,18 @@
 	CancelRatio:   0.5,
 }
 
-func TestRecordIsFixedBySeed(t *testing.T) {
+// TestChatsAreFixedBySeed guards against a load that differs between runs with
+// the same seed.
+func TestChatsAreFixedBySeed(t *testing.T) {
 	assert.DeepEqual(t, smallPlan.GenerateChats(), smallPlan.GenerateChats())
 	other := smallPlan
 	other.Seed++
 	assert.Assert(t, fmt.Sprint(other.GenerateChats()) != fmt.Sprint(smallPlan.GenerateChats()))
 }
 
+// TestPlayerCountsResults guards against results that are counted wrongly: with
+// a healthy engine, answers are complete or canceled, and none is truncated,
+// broken or misdelivered.
 func TestPlayerCountsResults(t *testing.T) {
 	engine := &fake.Engine{BaseStep: 50 * time.Microsecond}
 	r := play(t, engine, 1)
@@ -41,9 +46,10 @@
 	assert.Assert(t, r.FirstByte.Count() > 0 && r.FirstByte.Quantile(1) >= r.FirstByte.Quantile(0.5))
 }
 
-// An engine ends some answers early and some belong to another request. The
-// naive pass-through hands both on as if they were complete, and a caller
-// would act on half a plan or on another member's.
+// TestPlayerCountsTruncatedAndMisdelivered guards against undetected bad
+// answers. The engine ends some answers early or sends those of another
+// request. The plain proxy passes them on as if they were complete, so the
+// caller has to detect them.
 func TestPlayerCountsTruncatedAndMisdelivered(t *testing.T) {
 	engine := &fake.Engine{BaseStep: 50 * time.Microsecond}
 	engine.SetFault(fake.Fault{Short: 2})
--- a/load/player.go
+++ b/load/player.go
@@ -12,30 +12,32 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// Player plays chats through entries as their callers would.
+// Player sends the requests of chats to entries as their callers would.
 type Player struct {
-	// Entries are base URLs; each request goes to the next one.
+	// Entries are base URLs; each request of a chat goes to the next one.
 	Entries []string
-	// Keys of the workspaces.
+	// Keys are the callers' keys by workspace.
 	Keys map[string]string
-	// Profile of all requests.
+	// Profile is the profile of all requests.
 	Profile string
-	// MaxTries bounds how often a request is sent when it was refused with a time
-	// to come back, or its answer broke.
+	// MaxTries is the maximum number of attempts for a request that was refused
+	// with a Retry-After time, that found the entry unreachable, or whose
+	// answer broke off; values below 1 mean 1.
 	MaxTries int
-	// Timeout of a request; 0 leaves it to the profile.
+	// Timeout is the timeout of a request; 0 means the timeout of the profile.
 	Timeout time.Duration
-	// IDPrefix goes before the names of requests. Two runs need two: a request whose
-	// name an agent still knows, with other content, is refused as spent.
+	// IDPrefix is the prefix of request IDs. Two runs need different prefixes:
+	// a request with an ID that an agent still holds and with different content
+	// is refused as spent.
 	IDPrefix string
-	// Report is where results go.
+	// Report receives the results.
 	Report *Report
 
 	callers  map[string]*fake.Caller
 	sessions sync.WaitGroup
 }
 
-// session is one chat under way.
+// session is a chat in progress.
 type session struct {
 	player  *Player
 	chat    Chat
@@ -44,7 +46,8 @@
 	hint    string
 }
 
-// Play plays the chats and returns when all have ended or ctx is done.
+// Play sends the requests of the chats, all chats concurrently, and returns
+// when all have ended or ctx is done.
 func (p *Player) Play(ctx context.Context, chats []Chat) {
 	p.callers = map[string]*fake.Caller{}
 	for name, key := range p.Keys {
@@ -87,8 +90,8 @@
 	s.history = prompt + res.Tokens
 }
 
-// try sends a request until it has an answer that a caller would settle for.
-// Only the last result counts as the request's.
+// try sends a request until its result needs no retry. Only the last result is
+// reported.
 func (s *session) try(ctx context.Context, req fake.Request, prompt int) fake.Result {
 	c := s.player.callers[s.chat.Workspace]
 	var res fake.Result
@@ -107,7 +110,8 @@
 	return res
 }
 
-// shouldRetry says whether a sensible caller sends the request once more.
+// shouldRetry reports whether a well-behaved caller would send the request
+// again.
 func shouldRetry(res fake.Result) bool {
 	switch res.Kind {
 	case fake.Refused:
--- a/load/pass.go
+++ b/load/proxy.go
@@ -11,22 +11,25 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// Proxy is the naive version that chestnutstep is measured against: one hop to
-// a random target, no decisions, and plain retry if Tries is above 1. It
-// doubles actions and passes short answers on as whole; tests show that.
+// Proxy is the baseline that chestnutstep is compared with: one hop to a random
+// target, no routing decisions, and plain retries if MaxTries is above 1. It
+// can execute actions twice and passes truncated answers on as complete, as
+// tests show.
 type Proxy struct {
-	// Targets are base URLs of engines, Services of plain services, which get
-	// the paths that the services know.
+	// Targets are base URLs of engines. Services are base URLs of plain
+	// services, which get the requests for /bookings, /edits and /slots.
 	Targets, Services []string
-	// MaxTries bounds the targets that a request is sent to.
+	// MaxTries is the maximum number of attempts per request; values below 1
+	// mean 1.
 	MaxTries int
-	// Client calls targets; nil is a default one.
+	// Client sends requests to targets; nil means http.DefaultClient.
 	Client *http.Client
-	// PickIndex chooses a target, in place of chance, when set.
+	// PickIndex chooses a target out of n; nil means a random choice.
 	PickIndex func(n int) int
 }
 
-// ServeHTTP passes one request on.
+// ServeHTTP forwards one request. It answers with status 502 if all attempts
+// fail.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -47,7 +50,8 @@
 	}
 	out.Header.Set(chestnutstep.HeaderRequestID, r.Header.Get(chestnutstep.HeaderIdempotencyKey))
 	out.Header.Set(chestnutstep.HeaderChat, r.Header.Get(chestnutstep.HeaderChat))
-	// The workspace is named by the key: this version checks no one.
+	// The key is passed on as the workspace, because the proxy doesn't check
+	// keys.
 	out.Header.Set(fake.HeaderWorkspace, strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer "))
 	res, err := p.client().Do(out)
 	if err != nil {
--- a/load/report.go
+++ b/load/report.go
@@ -12,21 +12,21 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// Histograms run from a microsecond to a minute with three digits: finer than
-// what a loopback shows, and a few hundred kilobytes large.
+// Histograms cover 1 microsecond to 1 minute with three significant digits.
+// This is finer than the noise on loopback, and takes a few hundred kilobytes.
 const (
 	histogramMin    = 1
 	histogramMax    = 60_000_000
 	histogramDigits = 3
 )
 
-// Histogram is a histogram of durations, safe for many goroutines.
+// Histogram is a histogram of durations. It is safe for concurrent use.
 type Histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
-// Add records one duration. Those over a minute count as a minute.
+// Add records a duration. Durations above one minute count as one minute.
 func (t *Histogram) Add(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,7 +36,8 @@
 	_ = t.h.RecordValue(min(max(d.Microseconds(), histogramMin), histogramMax))
 }
 
-// Quantile returns the duration below which a share q, from 0 to 1, lies.
+// Quantile returns the q-quantile of the durations, with q from 0 to 1, or 0 if
+// there are none.
 func (t *Histogram) Quantile(q float64) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +47,7 @@
 	return time.Duration(t.h.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
-// Count returns how many durations were added.
+// Count returns the number of recorded durations.
 func (t *Histogram) Count() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,15 +57,16 @@
 	return t.h.TotalCount()
 }
 
-// Count is how often something happened, by name.
+// Count is the number of occurrences of the named item.
 type Count struct {
 	Name string `json:"name"`
 	N    int    `json:"n"`
 }
 
-// Report counts what callers got.
+// Report counts the results that callers get. It is safe for concurrent use.
 type Report struct {
-	// FirstByte is the time to the first byte, Gap the time between pieces.
+	// FirstByte holds the times to the first byte, EventGap the times between
+	// successive reads of an answer.
 	FirstByte, EventGap Histogram
 
 	mu         sync.Mutex
@@ -76,7 +78,8 @@
 	errs       []error
 }
 
-// Add counts one result for a prompt of so many tokens.
+// Add counts the result of a request with a prompt of the given number of
+// tokens.
 func (r *Report) Add(workspace string, prompt int, res fake.Result) {
 	if res.FirstByte > 0 {
 		r.FirstByte.Add(res.FirstByte)
@@ -106,14 +109,15 @@
 	return err
 }
 
-// CountKind returns how many answers were of a kind.
+// CountKind returns the number of results of a kind.
 func (r *Report) CountKind(k fake.ResultKind) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.kinds[string(k)]
 }
 
-// ReuseRatio is the share of the whole answers' prompts that was found in a cache.
+// ReuseRatio returns the share of prompt tokens that were found in a cache,
+// from 0 to 1, over the complete answers.
 func (r *Report) ReuseRatio() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,14 +127,15 @@
 	return float64(r.cached) / float64(r.prompt)
 }
 
-// Codes lists refusals by status and code.
+// Codes returns the numbers of refusals by status and code, in descending
+// order.
 func (r *Report) Codes() []Count {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return sortCounts(r.codes)
 }
 
-// Errors returns the first n errors of answers that were not whole.
+// Errors returns up to n of the first errors of failed requests.
 func (r *Report) Errors(n int) []error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,7 +159,7 @@
 	return out
 }
 
-// Summary is a report as it is printed.
+// Summary is the printable form of a report.
 type Summary struct {
 	Kinds      []Count `json:"kinds"`
 	Refusals   []Count `json:"refusals"`
@@ -167,7 +172,7 @@
 	GapP99   float64 `json:"gap_p99"`
 }
 
-// Summary returns the figures so far.
+// Summary returns a summary of the results so far.
 func (r *Report) Summary() Summary {
 	s := Summary{Reuse: r.ReuseRatio(), Refusals: r.Codes()}
 	s.FirstP50, s.FirstP99 = ms(r.FirstByte.Quantile(0.5)), ms(r.FirstByte.Quantile(0.99))
