--- a/chart/chart.go
+++ b/chart/chart.go
@@ -1,7 +1,8 @@
-// Package chart reads state charts from text files and interprets them, so that
-// the chart which the docs show is the chart that the code obeys.
+// Package chart parses state charts from text files and interprets them. The
+// documentation is checked against the same files, so the charts shown there
+// are the ones that the code enforces.
 //
-// A chart file has one item a line, and its first state is the start:
+// A chart file has one item per line. The first state is the initial state:
 //
 //	chart NAME TEXT
 //	state NAME TEXT
@@ -15,11 +16,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is a state of a chart with its meaning.
+// State is a state of a chart and its description.
 type State struct {
 	Name string
 	Text string
-	// Final states have no moves: what is said of them stays true.
+	// Final states have no outgoing transitions.
 	Final bool
 }
 
@@ -31,8 +32,8 @@
 	Text  string
 }
 
-// Chart is a checked state chart. It is never changed after Parse, so that it
-// is read without a lock.
+// Chart is a checked state chart. It is immutable after Parse and safe for
+// concurrent use.
 type Chart struct {
 	Name        string
 	Text        string
@@ -48,9 +49,10 @@
 	event string
 }
 
-// Parse reads and checks a chart. It returns ErrChart for an unknown name, a
-// second move for one state and event, a state that can't be reached, a move
-// out of a final state, and a state that is neither final nor left.
+// Parse parses and checks a chart. It returns ErrChart for a syntax error, an
+// unknown or duplicate state, a second transition for the same state and event,
+// an unreachable state, a transition out of a final state, and a state that is
+// not final but has no outgoing transition.
 func Parse(text string) (*Chart, error) {
 	c := &Chart{next: map[transitionKey]string{}, states: map[string]*State{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -67,8 +69,8 @@
 	return c, nil
 }
 
-// MustParse parses a chart that is embedded in the program. A bad one is a fault of
-// the build, so that it stops the program at its start.
+// MustParse parses a chart that is embedded in the program. It panics if the
+// chart is invalid, because that is an error of the build.
 func MustParse(text string) *Chart {
 	c, err := Parse(text)
 	if err != nil {
@@ -123,17 +125,18 @@
 	return ""
 }
 
-// InitialState returns the first state.
+// InitialState returns the name of the first state.
 func (c *Chart) InitialState() string { return c.States[0].Name }
 
-// IsFinal says that no event leaves the state.
+// IsFinal reports whether a state is final. It returns false for an unknown
+// state.
 func (c *Chart) IsFinal(state string) bool {
 	s := c.states[state]
 	return s != nil && s.Final
 }
 
-// Next returns the state that an event leads to, or ErrTransition when the
-// chart has no such move.
+// Next returns the state that an event leads to. If the chart has no such
+// transition, it returns the unchanged state and ErrTransition.
 func (c *Chart) Next(state, event string) (string, error) {
 	to, ok := c.next[transitionKey{state, event}]
 	if !ok {
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The scripts in testdata check charts with one fault each, and walk a sound one.
+// TestScripts runs the scripts in testdata/parse, which parse charts with one
+// fault each and follow the transitions of a valid one.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/parse", func(t *testing.T, path string) {
 		var c *Chart
@@ -46,9 +47,10 @@
 	return out.String()
 }
 
-// A target that operators took out, or that leaves, restarts: it goes silent,
-// comes back and looks healthy. It must not get work by that, or an operator
-// sees requests on a host that is being replaced.
+// TestRestartDoesNotReturnTarget guards against a restart that returns a target
+// to service. A target that operators took out, or that is leaving, becomes
+// unresponsive, answers again and seems healthy. It must not get requests,
+// because its host can be about to be replaced.
 func TestRestartDoesNotReturnTarget(t *testing.T) {
 	for _, state := range []string{"out", "leaving"} {
 		at := state
--- a/chart/check.go
+++ b/chart/check.go
@@ -31,9 +31,9 @@
 	return ""
 }
 
-// checkFinalStates compares the states that are marked final with those that no move
-// leaves. A state that was left without a move by mistake would hold whatever
-// reaches it for ever.
+// checkFinalStates checks that exactly the final states have no outgoing
+// transition. A state without one that is not meant to be final would never be
+// left.
 func (c *Chart) checkFinalStates() string {
 	hasExit := map[string]bool{}
 	for _, m := range c.Transitions {
--- a/chart/doc.go
+++ b/chart/doc.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// Doc writes the chart as Markdown: a Mermaid diagram and a table of moves. The
-// docs are checked against it, so that they can't drift from the code.
+// Doc returns the chart as Markdown: a Mermaid diagram and tables of states and
+// transitions. A test compares the documentation with it, so that it stays
+// consistent with the code.
 func (c *Chart) Doc() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n\n", c.Text)
--- a/chart/doc_test.go
+++ b/chart/doc_test.go
@@ -11,11 +11,12 @@
 	"chestnutstep.example/chestnutstep/ticket"
 )
 
-// page is seen from testdata, where golden files are.
+// page is relative to testdata, where golden files are expected.
 const page = "../../docs/design/charts.md"
 
-// A chart changes and its page does not. Whoever reads the page at night, to see
-// what a ticket's state means, acts on what is no longer so.
+// TestChartsPageIsCurrent guards against a page that differs from the charts
+// after a change, so that operators would act on outdated descriptions of
+// states.
 func TestChartsPageIsCurrent(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# State charts\n\nWritten from the chart files that the code interprets, by `go test ./chart -update`.\n")
--- a/chart/embed.go
+++ b/chart/embed.go
@@ -1,6 +1,6 @@
 package chart
 
-import _ "embed" // the chart files are part of the program
+import _ "embed" // for the go:embed directives
 
 //go:embed target.chart
 var targetText string
@@ -8,8 +8,9 @@
 //go:embed publication.chart
 var publicationText string
 
-// Target is the life of a target as the agent beside it sees it.
+// Target is the state chart of a target as observed by its agent.
 var Target = MustParse(targetText)
 
-// Publication is the life of one version of the configuration at a process.
+// Publication is the state chart of one version of the publication in a
+// process.
 var Publication = MustParse(publicationText)
--- a/chart/error.go
+++ b/chart/error.go
@@ -6,8 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTransition says that a chart has no move for an event in a state: the
-// caller of Next acts on something that can't happen, or a second time.
+// ErrTransition reports that a chart has no transition for an event in a state.
+// The caller of Next handles an event that can't occur in this state, or
+// handles it twice.
 type ErrTransition struct {
 	Chart string
 	State string
@@ -18,14 +19,14 @@
 	return fmt.Sprintf("chart %s: no move from %q on %q", e.Chart, e.State, e.Event)
 }
 
-// IsErrTransition checks whether an error is an ErrTransition.
+// IsErrTransition reports whether an error is an ErrTransition.
 func IsErrTransition(err error) bool {
 	var e ErrTransition
 	return errors.As(err, &e)
 }
 
-// ErrChart says what is wrong with a chart file. Line counts from 1 and is 0
-// when the fault is in no single line.
+// ErrChart reports a fault in a chart file. Line counts from 1 and is 0 if the
+// fault is not in a single line.
 type ErrChart struct {
 	Chart   string
 	Line    int
@@ -39,7 +40,7 @@
 	return fmt.Sprintf("chart %s, line %d: %s", e.Chart, e.Line, e.Problem)
 }
 
-// IsErrChart checks whether an error is an ErrChart.
+// IsErrChart reports whether an error is an ErrChart.
 func IsErrChart(err error) bool {
 	var e ErrChart
 	return errors.As(err, &e)
