--- a/script/script.go
+++ b/script/script.go
@@ -1,5 +1,7 @@
-// Package script holds what scripted and random tests of several packages share:
-// a loop over the lines of a script, fixed seeds, and the size of the heap.
+// Package script contains helpers for scripted and randomized tests of several
+// packages: a runner for scripts with one command per line, a fixed seed for
+// random tests, and a measurement of the heap. Random tests run the same cases
+// every time unless a flag changes the seed.
 package script
 
 import (
@@ -13,16 +15,17 @@
 	"time"
 )
 
-// seed of all random tests. It is fixed so that CI gives the same verdict every
-// time; a run with another one is a flag away.
+// seed is the seed of all random tests. It is fixed, so that CI gives the same
+// result every time; the flag -rapid.seed sets another one.
 const seed = "20261202"
 
-// steps of a random state machine, on average: enough for a ticket to be minted,
-// held, run, forgotten and asked for again.
+// steps is the mean number of steps of a random state machine test. It is
+// enough for a ticket to be minted, held, run, forgotten and requested again.
 const steps = "60"
 
-// Main runs a package's tests, random ones with a fixed seed and this many cases
-// each. Flags of the command line go first.
+// Main runs the tests of a package, with a fixed seed and the given number of
+// cases for each random test. Flags on the command line take precedence. It
+// doesn't return.
 func Main(m *testing.M, cases int) {
 	flags := map[string]string{
 		"rapid.seed":       seed,
@@ -39,12 +42,13 @@
 	os.Exit(m.Run())
 }
 
-// Epoch is when tests begin: far from the zero time, which stands for "unset".
+// Epoch is the start time of tests. It differs from the zero time, which stands
+// for an unset time.
 var Epoch = time.Unix(1000, 0)
 
-// RunLines runs each line of a script as one command, split into words, and returns
-// the lines with what came of them. It plays "pass DURATION" itself, by moving
-// the clock.
+// RunLines runs each line of a script as a command, split into words, and
+// returns the lines with their results. It handles the command "pass DURATION"
+// itself by advancing now.
 func RunLines(lines string, now *time.Time, step func(words []string) string) string {
 	var out strings.Builder
 	for line := range strings.Lines(lines) {
@@ -66,8 +70,8 @@
 	return "ok"
 }
 
-// HeapBytes returns the bytes in use after a collection, for benchmarks that print
-// what something costs to keep.
+// HeapBytes returns the bytes of heap in use after a garbage collection, for
+// benchmarks that report the memory of a data structure.
 func HeapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
