--- a/chart/chart.go
+++ b/chart/chart.go
@@ -108,19 +108,19 @@
 }
 
 func (c *Chart) addTransition(rest string) string {
-	f := strings.SplitN(rest, " ", 4)
-	if len(f) < 3 {
+	fields := strings.SplitN(rest, " ", 4)
+	if len(fields) < 3 {
 		return "a move needs from, event and to"
 	}
-	m := Transition{From: f[0], Event: f[1], To: f[2]}
-	if len(f) == 4 {
-		m.Text = f[3]
+	m := Transition{From: fields[0], Event: fields[1], To: fields[2]}
+	if len(fields) == 4 {
+		m.Text = fields[3]
 	}
-	at := transitionKey{m.From, m.Event}
-	if _, ok := c.next[at]; ok {
+	key := transitionKey{m.From, m.Event}
+	if _, ok := c.next[key]; ok {
 		return "second move from " + m.From + " on " + m.Event
 	}
-	c.next[at] = m.To
+	c.next[key] = m.To
 	c.Transitions = append(c.Transitions, m)
 	return ""
 }
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -82,23 +82,23 @@
 	return send(r, nil)
 }
 
-func send(r *http.Request, v any) error {
-	w, err := client.Do(r)
+func send(req *http.Request, v any) error {
+	res, err := client.Do(req)
 	if err != nil {
 		return err
 	}
-	defer w.Body.Close()
-	raw, err := io.ReadAll(w.Body)
+	defer res.Body.Close()
+	raw, err := io.ReadAll(res.Body)
 	if err != nil {
 		return err
 	}
-	if w.StatusCode >= http.StatusMultipleChoices {
-		return errors.Newf("%s %s: %s: %s", r.Method, r.URL.Path, w.Status, raw)
+	if res.StatusCode >= http.StatusMultipleChoices {
+		return errors.Newf("%s %s: %s: %s", req.Method, req.URL.Path, res.Status, raw)
 	}
 	if v == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(raw, v), r.URL.Path)
+	return errors.Wrap(json.Unmarshal(raw, v), req.URL.Path)
 }
 
 // SetFault sets the faults that a back end injects.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -109,8 +109,8 @@
 			return err
 		}
 	}
-	for _, d := range f.Entries {
-		if err := f.StartEntry(d); err != nil {
+	for _, p := range f.Entries {
+		if err := f.StartEntry(p); err != nil {
 			return err
 		}
 	}
@@ -118,8 +118,8 @@
 }
 
 func (f *Fleet) startNaive(ctx context.Context) error {
-	for _, d := range f.Entries {
-		if err := f.startProxy(ctx, d); err != nil {
+	for _, p := range f.Entries {
+		if err := f.startProxy(ctx, p); err != nil {
 			return err
 		}
 	}
@@ -280,8 +280,8 @@
 // URLs returns the base URLs of the entries.
 func (f *Fleet) URLs() []string {
 	var out []string
-	for _, d := range f.Entries {
-		out = append(out, "http://"+d.Address)
+	for _, p := range f.Entries {
+		out = append(out, "http://"+p.Address)
 	}
 	return out
 }
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -54,8 +54,8 @@
 			Name: t.Name, Host: t.Host, Model: modelFor(t.Kind), Agent: t.Agent.Address, Weight: 1,
 		})
 	}
-	for _, d := range f.Entries {
-		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: "host-" + d.Name, Domain: d.Domain, HasEntry: true})
+	for _, entry := range f.Entries {
+		p.Hosts = append(p.Hosts, chestnutstep.Host{Name: "host-" + entry.Name, Domain: entry.Domain, HasEntry: true})
 	}
 	for _, name := range []string{"darkroom", "prairie", "archive"} {
 		sum := sha256.Sum256([]byte(Keys[name]))
--- a/gossip/events.go
+++ b/gossip/events.go
@@ -40,7 +40,8 @@
 
 // add adds an event and reports whether it is new. An event with the same state
 // is left unchanged, because otherwise each process that reads the host list
-// would restart its distribution.
+// would restart its distribution. New events are not stored while the log is
+// full.
 func (rs *hostEventLog) add(now time.Time, h member.Host, age time.Duration) bool {
 	rs.expire(now)
 	if rs.index == nil {
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -3,7 +3,7 @@
 // processes, the watchers, watch the platform's configuration service. Each
 // process exchanges short messages with a few neighbours and fetches missing
 // publications from the peers that announced them. A process never replaces a
-// publication by an older one, and the fleet's reads of the service stay within
+// publication with an older one, and the fleet's reads of the service stay within
 // the published budget.
 //
 // The decisions don't depend on the network: plan.go decides which processes
--- a/gossip/plan.go
+++ b/gossip/plan.go
@@ -88,19 +88,19 @@
 }
 
 // makePlan computes the share of the budget of one process.
-func makePlan(f planInput) plan {
-	if f.ReadRate <= 0 || f.Nodes <= 0 {
+func makePlan(in planInput) plan {
+	if in.ReadRate <= 0 || in.Nodes <= 0 {
 		return plan{Rate: initialReadRate, Burst: 1, ReadInterval: rateInterval(initialReadRate), HostsInterval: rateInterval(initialReadRate)}
 	}
-	common := f.ReadRate * commonBudgetRatio / float64(f.Nodes)
+	common := in.ReadRate * commonBudgetRatio / float64(in.Nodes)
 	rate := common
-	if f.IsWatcher {
-		rate += f.ReadRate * watcherBudgetRatio / float64(watcherCount(f.ReadRate))
+	if in.IsWatcher {
+		rate += in.ReadRate * watcherBudgetRatio / float64(watcherCount(in.ReadRate))
 	}
 	p := plan{Rate: rate, Burst: max(1, rate*burstWindow.Seconds())}
 	p.ReadInterval = max(minReadInterval, rateInterval(common/2))
-	p.HostsInterval = max(minHostsInterval, rateInterval(rate/2), time.Duration(f.HostListBytes)*time.Second/hostsBytesPerSecond)
-	if !f.IsWatcher && !f.IsIsolated {
+	p.HostsInterval = max(minHostsInterval, rateInterval(rate/2), time.Duration(in.HostListBytes)*time.Second/hostsBytesPerSecond)
+	if !in.IsWatcher && !in.IsIsolated {
 		p.ReadInterval *= connectedIntervalFactor
 		p.HostsInterval *= connectedIntervalFactor
 	}
@@ -114,8 +114,8 @@
 }
 
 // watcherCount returns the number of watchers for a budget in reads per second.
-func watcherCount(reads float64) int {
-	n := int(reads * watcherBudgetRatio / watcherReadRate)
+func watcherCount(readRate float64) int {
+	n := int(readRate * watcherBudgetRatio / watcherReadRate)
 	return min(max(n, 1), maxWatchers)
 }
 
--- a/gossip/pull.go
+++ b/gossip/pull.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxRootFailures is the number of failed attempts to fetch a root. A peer
-	// that announces a version that no process holds must not keep this process
-	// from fetching lower versions.
+	// maxRootFailures is the number of failed attempts to fetch a root after
+	// which the publication is dropped. A peer that announces a version that no
+	// process holds must not keep this process from fetching lower versions.
 	maxRootFailures = 4
 	// minPullPause is the pause before the second round of a pull. Within it
 	// some peer has often fetched the missing parts. The pause doubles up to
-	// maxPullPause, because thousands of processes ask each other while parts
-	// are unavailable.
+	// maxPullPause, to limit the load while parts are unavailable and thousands
+	// of processes ask each other for them.
 	minPullPause = 100 * time.Millisecond
 	maxPullPause = 3 * time.Second
 	// maxPullPeers is the number of peers asked in one round.
--- a/gossip/serve.go
+++ b/gossip/serve.go
@@ -35,8 +35,9 @@
 
 // Fetch returns the root in force if its version is at least the requested one,
 // and parts by content hash, including parts of publications that are not
-// complete yet. Unknown parts are omitted: the caller verifies each part by its
-// hash and requests the rest from other peers. It returns no error.
+// complete yet. It omits unknown parts and those beyond maxFetchBytes: the
+// caller verifies each part by its hash and requests the others again or from
+// other peers. It returns no error.
 func (n *Node) Fetch(_ context.Context, req *wire.FetchRequest) (*wire.FetchReply, error) {
 	n.init()
 	reply := new(wire.FetchReply)
--- a/gossip/share.go
+++ b/gossip/share.go
@@ -12,18 +12,18 @@
 // currentPlan computes this process's share of reads from the publication in
 // force, or from the root that is being fetched. list is the size of the last
 // host list in bytes.
-func (n *Node) currentPlan(now time.Time, list int) plan {
-	f := planInput{HostListBytes: list}
+func (n *Node) currentPlan(now time.Time, hostListBytes int) plan {
+	in := planInput{HostListBytes: hostListBytes}
 	if view := n.Store.View(); view != nil {
-		f.ReadRate, f.Nodes = view.Publication.Budget.ReadRate, config.CountNodes(view.Publication)
-		f.IsWatcher = n.updateWatcher(now, view)
+		in.ReadRate, in.Nodes = view.Publication.Budget.ReadRate, config.CountNodes(view.Publication)
+		in.IsWatcher = n.updateWatcher(now, view)
 	} else if r, err := config.ParseRoot(n.puller.current().root); err == nil {
-		f.ReadRate, f.Nodes = r.ReadRate, r.Nodes
+		in.ReadRate, in.Nodes = r.ReadRate, r.Nodes
 	}
 	n.mu.Lock()
-	f.IsIsolated = n.exchangeTimedOut(now)
+	in.IsIsolated = n.exchangeTimedOut(now)
 	n.mu.Unlock()
-	return makePlan(f)
+	return makePlan(in)
 }
 
 // allowRead takes one read from this process's share and reports whether there
--- a/load/action.go
+++ b/load/action.go
@@ -37,20 +37,20 @@
 // action with the same ticket through the next entry. It returns an error if it
 // gets no ticket; failed actions are in the result.
 func (a *Actor) Do(ctx context.Context, name string, entry int) (ActionResult, error) {
-	d := ActionResult{Name: name}
+	result := ActionResult{Name: name}
 	n := len(a.Caller.Entries)
 	tickets, err := a.Caller.Tickets(ctx, entry%n, a.Profile, 1)
 	if err != nil {
-		return d, err
+		return result, err
 	}
 	if len(tickets) != 1 {
-		return d, errors.Newf("expected one ticket, got %d", len(tickets))
+		return result, errors.Newf("expected one ticket, got %d", len(tickets))
 	}
-	d.Ticket = tickets[0]
-	d.First = a.Send(ctx, name, d.Ticket, entry%n)
-	d.Second = a.Send(ctx, name, d.Ticket, (entry+1)%n)
-	d.compare()
-	return d, nil
+	result.Ticket = tickets[0]
+	result.First = a.Send(ctx, name, result.Ticket, entry%n)
+	result.Second = a.Send(ctx, name, result.Ticket, (entry+1)%n)
+	result.compare()
+	return result, nil
 }
 
 // Send sends the action once through an entry.
@@ -67,11 +67,11 @@
 	})
 }
 
-func (d *ActionResult) compare() {
-	var e fake.Effect
-	if d.Second.Kind != fake.Complete || json.Unmarshal(d.Second.Data, &e) != nil {
+func (r *ActionResult) compare() {
+	var effect fake.Effect
+	if r.Second.Kind != fake.Complete || json.Unmarshal(r.Second.Data, &effect) != nil {
 		return
 	}
-	d.Times = e.Times
-	d.SameAnswer = d.First.Kind == fake.Complete && bytes.Equal(d.First.Data, d.Second.Data)
+	r.Times = effect.Times
+	r.SameAnswer = r.First.Kind == fake.Complete && bytes.Equal(r.First.Data, r.Second.Data)
 }
