--- a/fake/answer.go
+++ b/fake/answer.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Names of the events in an answer's stream.
+// Fragments of the event stream of an answer.
 const (
 	eventDone  = "event: done\n"
 	eventError = "event: error\n"
@@ -17,17 +17,18 @@
 	eventEnd   = "\n\n"
 )
 
-// Done is the data of the last event of a whole answer.
+// Done is the data of the last event of a complete answer.
 type Done struct {
 	Tokens int `json:"tokens"`
-	// Sum is the XXH64 in hex of all bytes before this event.
+	// Sum is the XXH64 checksum, in hex, of all bytes before this event.
 	Sum string `json:"sum"`
-	// Cached is the part of the prompt that was found in the cache, in tokens.
+	// Cached is the number of prompt tokens found in the cache.
 	Cached int `json:"cached"`
 }
 
-// Seed derives an answer's content from what the caller sent, so that the
-// caller can tell its own answer from another's without trusting a header.
+// Seed derives the seed of an answer's content from the chat and the body of
+// the request, so that a caller can detect an answer to another request by its
+// content, without relying on a header.
 func Seed(chat string, body []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(chat)
@@ -36,14 +37,14 @@
 	return d.Sum64()
 }
 
-// appendToken appends the event of token n of the answer with that seed.
+// appendToken appends the event of token n of the answer with the given seed.
 func appendToken(dst []byte, seed uint64, n int) []byte {
 	dst = append(dst, dataField...)
 	dst = strconv.AppendUint(dst, mix(seed+uint64(n)), 16)
 	return append(dst, eventEnd...)
 }
 
-// mix is the output function of SplitMix64: near seeds give unlike tokens.
+// mix is the output function of SplitMix64: adjacent seeds give different tokens.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -59,33 +60,36 @@
 	return append(dst, eventEnd...)
 }
 
-// ErrMisdelivered says that a stream holds what its caller did not ask for.
+// ErrMisdelivered is returned when a stream contains events of an answer to
+// another request.
 type ErrMisdelivered struct {
 	// Token is the number of the first wrong event.
 	Token int
-	Got   string
+	// Got is the text of that event.
+	Got string
 }
 
 func (e *ErrMisdelivered) Error() string {
-	return "event " + strconv.Itoa(e.Token) + " is of another answer: " + strconv.Quote(e.Got)
+	return "event " + strconv.Itoa(e.Token) + " belongs to another answer: " + strconv.Quote(e.Got)
 }
 
-// IsErrMisdelivered reports whether err says that an answer is another's.
+// IsErrMisdelivered reports whether err is or wraps an ErrMisdelivered.
 func IsErrMisdelivered(err error) bool {
 	var e *ErrMisdelivered
 	return errors.As(err, &e)
 }
 
-// Checker reads an engine's answer as its caller does and tells whether it is
-// whole and the caller's own. Write it the bytes as they come.
+// Checker verifies an engine's event stream on the caller's side: that it
+// answers the caller's own request and that it is complete. Write passes it
+// the bytes of the stream in any pieces.
 type Checker struct {
-	// Seed of the answer that the caller expects.
+	// Seed is the seed of the expected answer.
 	Seed uint64
-	// Tokens seen so far.
+	// Tokens is the number of valid tokens read so far.
 	Tokens int
-	// Done is the last event once it came and its sum was right.
+	// Done is the last event; nil until it arrives with a matching checksum.
 	Done *Done
-	// Failed says that an error event announced a broken answer.
+	// Failed reports whether the stream contained an error event.
 	Failed bool
 
 	buffer  []byte
@@ -93,8 +97,9 @@
 	started bool
 }
 
-// Write takes the next bytes of the stream. It returns ErrForeign at the first
-// event that does not belong.
+// Write processes the next bytes of the stream. It returns an *ErrMisdelivered
+// at the first event that is not part of the expected answer, and an error if
+// the data of the last event is not valid JSON.
 func (c *Checker) Write(p []byte) (int, error) {
 	if !c.started {
 		c.sum.Reset()
--- a/fake/authority.go
+++ b/fake/authority.go
@@ -16,23 +16,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Authority signs certificates for stand-in fleets; an operator's own authority
-// takes its place in earnest.
+// Authority is a certificate authority for test fleets. In production the
+// operator's own authority issues the certificates.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	der  []byte
 }
 
-// CertFiles are the paths of a certificate, its key and its authority.
+// CertFiles holds the paths of a certificate, its private key and the
+// certificate of its authority, all in PEM.
 type CertFiles struct {
 	Cert, Key, CA string
 }
 
-// certTTL is how long stand-ins' certificates are good for.
+// certTTL is the validity period of all certificates issued here.
 const certTTL = 24 * time.Hour
 
-// NewAuthority draws a new authority.
+// NewAuthority returns an authority with a new key and a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -50,7 +51,8 @@
 	return &Authority{cert: cert, key: key, der: raw}, errors.Wrap(err, "authority")
 }
 
-// Issue writes a certificate for an IP, its key and the authority into a folder.
+// Issue writes a certificate for ip, its private key and the authority's
+// certificate into dir, as name.crt, name.key and name.ca.
 func (a *Authority) Issue(dir, name, ip string) (CertFiles, error) {
 	f := CertFiles{
 		Cert: filepath.Join(dir, name+".crt"),
--- a/fake/batch.go
+++ b/fake/batch.go
@@ -4,12 +4,13 @@
 	"time"
 )
 
-// prefillChunk is how many prompt tokens one step computes beside the tokens
-// it generates: engines split long prompts so that they do not stop the others.
+// prefillChunk is the number of prompt tokens that one step computes in
+// addition to the tokens it generates. Like real engines, the fake splits long
+// prompts into chunks so that they do not stall the other requests of the batch.
 const prefillChunk = 512
 
-// loop runs the steps of the batch while there is work. Each step gives every
-// running answer one token, so all slow down as the batch grows.
+// loop runs the steps of the batch while there is work. Each step generates one
+// token for every running request, and a step takes longer as the batch grows.
 func (e *Engine) loop() {
 	next := time.Now()
 	for {
@@ -17,8 +18,8 @@
 		if !ok {
 			return
 		}
-		// Steps are timed against an absolute schedule: a sleep that overshoots
-		// by a timer tick would otherwise add up over a long answer.
+		// Steps follow an absolute schedule: otherwise the overshoot of each
+		// sleep would accumulate over a long answer.
 		next = next.Add(d)
 		if behind := time.Since(next); behind > d {
 			next = time.Now()
@@ -44,7 +45,8 @@
 	return time.Duration(float64(d) * e.faults.slowdown()), true
 }
 
-// prefillTokens computes the next chunk of the prompts, first come first served.
+// prefillTokens computes the next chunk of the prompts in order of arrival and
+// returns its size in tokens.
 func (e *Engine) prefillTokens() int {
 	budget := prefillChunk
 	for _, s := range e.batch {
@@ -75,7 +77,8 @@
 	e.batch = unfinished
 }
 
-// finish ends an answer: what it computed stays in the cache.
+// finish ends an answer and records its outcome. Unless the engine crashed, the
+// computed tokens stay in the prefix cache.
 func (e *Engine) finish(s *stream, outcome string) {
 	if s.finished {
 		return
@@ -92,7 +95,7 @@
 	e.recordEnded(s)
 }
 
-// maxEndedStreams is how many ended answers can still be resumed.
+// maxEndedStreams is the number of ended answers that can still be resumed.
 const maxEndedStreams = 256
 
 func (e *Engine) recordEnded(s *stream) {
@@ -104,7 +107,7 @@
 	e.ended = e.ended[1:]
 }
 
-// pop takes the most urgent waiting request, the oldest of its class.
+// pop removes the oldest request with the lowest priority value from the queue.
 func (e *Engine) pop() *stream {
 	best := 0
 	for i, s := range e.queue {
--- a/fake/cache.go
+++ b/fake/cache.go
@@ -9,7 +9,7 @@
 	CacheCleared = "cleared"
 )
 
-// CacheEvent is a change of an engine's prefix cache.
+// CacheEvent describes a change of an engine's prefix cache.
 type CacheEvent struct {
 	Seq       int    `json:"seq"`
 	Kind      string `json:"kind"`
@@ -28,8 +28,8 @@
 	tokens int
 }
 
-// prefixCache is an LRU cache of prompt prefixes, bounded in tokens. Its owner
-// holds a lock.
+// prefixCache is an LRU cache of prompt prefixes, bounded by maxTokens. The
+// engine's mutex guards it.
 type prefixCache struct {
 	maxTokens int
 	tokens    int
@@ -48,7 +48,8 @@
 	})
 }
 
-// cachedTokens returns how much of a prompt the cache holds and marks it as used.
+// cachedTokens returns the number of cached tokens of a prompt and marks the
+// cache entry as used.
 func (p *prefixCache) cachedTokens(k chatKey, prompt int) int {
 	el := p.byChat[k]
 	if el == nil {
--- a/fake/caller.go
+++ b/fake/caller.go
@@ -15,75 +15,79 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// ResultKind is what a caller can say of an answer.
+// ResultKind classifies an answer as its caller sees it.
 type ResultKind string
 
-// The kinds.
+// Kinds of results.
 const (
-	Complete     ResultKind = "whole"    // complete and the caller's own
-	Broken       ResultKind = "broken"   // the answer said or showed that it is not complete
-	Truncated    ResultKind = "short"    // ended like a complete answer, but is not: never allowed
-	Misdelivered ResultKind = "foreign"  // holds another request's content: never allowed
+	Complete     ResultKind = "whole"    // complete, and the answer to this request
+	Broken       ResultKind = "broken"   // reported as incomplete by an error event or a connection error
+	Truncated    ResultKind = "short"    // ended like a complete answer but is incomplete: never allowed
+	Misdelivered ResultKind = "foreign"  // contains the answer to another request: never allowed
 	Refused      ResultKind = "refused"  // a problem document
-	Canceled     ResultKind = "canceled" // the caller itself gave up
-	Unreachable  ResultKind = "absent"   // no HTTP answer: the entry is gone
+	Canceled     ResultKind = "canceled" // canceled by the caller itself
+	Unreachable  ResultKind = "absent"   // no HTTP response: the entry is not reachable
 )
 
-// Caller speaks to entries as the users' programs do and checks every answer.
+// Caller is a fake client program: it sends requests to entries and verifies
+// every answer.
 type Caller struct {
-	// Entries are base URLs.
+	// Entries are the base URLs of the entries.
 	Entries []string
-	// Key of the caller's workspace.
+	// Key is the API key of the caller's workspace.
 	Key string
-	// Client, or nil for the default one.
+	// Client sends the requests; nil means http.DefaultClient.
 	Client *http.Client
-	// Gap, if set, is told the time between tokens. It is called by many
-	// goroutines.
+	// OnGap, if set, is called with the time between two reads of a stream.
+	// It is called from many goroutines concurrently.
 	OnGap func(time.Duration)
 }
 
-// Request is what a caller asks.
+// Request describes one request of a caller.
 type Request struct {
 	// Entry is an index into the caller's entries.
 	Entry   int
 	Profile string
 	Chat    string
-	// IdempotencyKey is the Idempotency-Key: a repeat with the same one joins the first.
+	// IdempotencyKey is the Idempotency-Key header: a repeated request with the
+	// same key joins the first one.
 	IdempotencyKey string
 	Ticket         string
 	Hint           string
 	Timeout        time.Duration
-	// Method and Path; POST and /v1/chat if unset.
+	// Method and Path default to POST and /v1/chat.
 	Method, Path string
 	Body         []byte
-	// CancelAfter gives up after so many tokens; 0 reads to the end.
+	// CancelAfter is the number of tokens after which the caller cancels the
+	// request; 0 reads to the end.
 	CancelAfter int
-	// Seen, if set, is told how many tokens have come so far.
+	// OnTokens, if set, is called after each read with the number of tokens
+	// received so far.
 	OnTokens func(tokens int)
 }
 
-// Result is what the caller got.
+// Result is the outcome of a request as its caller sees it.
 type Result struct {
 	Kind   ResultKind
 	Status int
-	// Code of a problem document.
+	// Code is the code of a problem document.
 	Code   string
 	Run    chestnutstep.RunStatus
 	Hint   string
 	Ticket string
-	// RetryAfter is when the caller may come back; 0 when it was not told.
+	// RetryAfter is the delay of the Retry-After header; 0 without the header.
 	RetryAfter time.Duration
 	Tokens     int
-	// Cached is the part of the prompt that was found in the cache.
+	// Cached is the number of prompt tokens found in the cache.
 	Cached int
 	// FirstByte is the time to the first byte of the body.
 	FirstByte time.Duration
-	// Data is the body of an answer that is no event stream.
+	// Data is the body of an answer that is not an event stream.
 	Data []byte
 	Err  error
 }
 
-// Problem is the part of a problem document that callers act on.
+// Problem holds the fields of a problem document that callers use.
 type Problem struct {
 	Code   string `json:"code"`
 	Title  string `json:"title"`
@@ -91,7 +95,7 @@
 	Ticket string `json:"ticket"`
 }
 
-// Do sends a request and reads the answer.
+// Do sends a request, reads the answer to its end and classifies it.
 func (c *Caller) Do(ctx context.Context, req Request) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -176,7 +180,8 @@
 	return r
 }
 
-// readDocument reads a plain answer: it is whole if its length is as declared.
+// readDocument reads an answer that is not an event stream. It is complete if
+// its length matches Content-Length.
 func (r Result) readDocument(body io.Reader) Result {
 	r.Data, r.Err = io.ReadAll(body)
 	r.Kind = Complete
@@ -186,7 +191,7 @@
 	return r
 }
 
-// answerReader is one event stream as it is read.
+// answerReader reads and verifies one event stream.
 type answerReader struct {
 	caller    *Caller
 	request   Request
@@ -219,7 +224,7 @@
 	}
 }
 
-// recordTime notes the time to the first byte and between pieces.
+// recordTime records the time to the first byte and reports the time between reads.
 func (s *answerReader) recordTime() {
 	now := time.Now()
 	if s.res.FirstByte == 0 {
@@ -255,7 +260,7 @@
 	return s.res
 }
 
-// ticketRequest is the body of a request for tickets, ticketBatch the answer.
+// ticketRequest is the body of a request for tickets; ticketBatch is the response.
 type ticketRequest struct {
 	Profile string `json:"profile"`
 	Count   int    `json:"count"`
@@ -265,7 +270,7 @@
 	Tickets []string `json:"tickets"`
 }
 
-// Tickets asks an entry for tickets of a profile.
+// Tickets requests n tickets for a profile from an entry.
 func (c *Caller) Tickets(ctx context.Context, entry int, profile string, n int) ([]string, error) {
 	body, _ := json.Marshal(ticketRequest{profile, n})
 	res := c.Do(ctx, Request{Entry: entry, Profile: profile, Path: "/chestnut/tickets", Body: body})
@@ -279,12 +284,12 @@
 	return batch.Tickets, nil
 }
 
-// maxIdleConns is how many connections to one entry a caller keeps: as many as
-// the streams that the largest test opens at once.
+// maxIdleConns is the number of idle connections that a caller keeps per entry:
+// the number of concurrent streams of the largest test.
 const maxIdleConns = 1024
 
-// NewClient returns an HTTP client that keeps enough connections for a load
-// test; the default one would reconnect for nearly every request.
+// NewClient returns an HTTP client that keeps enough idle connections for a load
+// test; the default client keeps 2 per host and would reconnect for most requests.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: maxIdleConns,
--- a/fake/control.go
+++ b/fake/control.go
@@ -78,7 +78,7 @@
 	}
 	offset, err := strconv.Atoi(r.URL.Query().Get("offset"))
 	if err != nil || offset < 0 {
-		http.Error(w, "offset: want bytes from 0 up", http.StatusBadRequest)
+		http.Error(w, "offset: want a non-negative number of bytes", http.StatusBadRequest)
 		return
 	}
 	linger, _ := time.ParseDuration(r.Header.Get(HeaderLinger))
@@ -126,7 +126,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// EventPage is a page of cache events; some are missing when Gap is set.
+// EventPage is a page of cache events. If Engine.EventGap is set, some events
+// are left out.
 type EventPage struct {
 	Events []CacheEvent `json:"events"`
 }
@@ -175,7 +176,8 @@
 	}
 }
 
-// SetFault puts a fault in force from now on.
+// SetFault replaces the current fault. Cold, Crash and Drop take effect once, at
+// this call.
 func (e *Engine) SetFault(f Fault) {
 	e.once.Do(e.start)
 	e.mu.Lock()
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -15,46 +15,51 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Headers of the fleet that a target sees beside those of the root package.
+// Headers that targets receive in addition to those of the root package.
 const (
 	HeaderWorkspace = "Chestnut-Workspace"
-	// HeaderLinger asks an engine to go on for so long after the connection
-	// broke, as a Go duration, so that the stream can be resumed.
+	// HeaderLinger is a Go duration: the time for which an engine continues an
+	// answer after its connection breaks, so that the stream can be resumed.
 	HeaderLinger = "Linger"
 )
 
-// Engine stands in for a model engine: it batches continuously, caches prompt
-// prefixes in limited memory, is fragile while cold, and reports its load
-// late. Set the fields, then serve it over HTTP.
+// Engine is a fake model engine: it uses continuous batching, caches prompt
+// prefixes in limited memory, crashes under little load while cold, and reports
+// its load with a delay. Set the fields before the first request; ServeHTTP
+// applies the defaults.
 type Engine struct {
-	// BaseStep and Slope are the time of one step: Base plus Slope for each
-	// running request.
+	// BaseStep and StepPerRequest give the duration of one step: BaseStep plus
+	// StepPerRequest for each request in the batch.
 	BaseStep, StepPerRequest time.Duration
 	// PrefillPerToken is the time for one prompt token that is not in the cache.
 	PrefillPerToken time.Duration
-	// Slots is how many requests run at once; the rest wait inside the engine.
+	// Slots is the maximum size of the batch; further requests are queued inside
+	// the engine.
 	Slots int
-	// CacheTokens bounds the prefix cache in tokens.
+	// CacheTokens is the size of the prefix cache in tokens.
 	CacheTokens int
-	// ColdCapacity is how many requests the engine can carry until it has served Warm
-	// requests since its last start. One more and it falls over. 0 switches the
-	// cold start off.
+	// ColdCapacity is the number of requests that the engine can handle
+	// concurrently until it has served WarmupRequests requests since its last
+	// start. One more crashes it. 0 disables the cold start.
 	ColdCapacity, WarmupRequests int
-	// CrashLoad is how many requests make even a warm engine fall over; 0 is never.
+	// CrashLoad is the number of concurrent requests above which even a warm
+	// engine crashes; 0 means no limit.
 	CrashLoad int
-	// RestartTime is how long it drops every connection after it fell over.
+	// RestartTime is the time after a crash during which the engine drops every
+	// connection.
 	RestartTime time.Duration
-	// ReportLag of load reports and cache events.
+	// ReportLag is the delay of load reports and cache events.
 	ReportLag time.Duration
-	// EventGap leaves out each Gap-th cache event; 0 leaves out none.
+	// EventGap omits every EventGap-th cache event; 0 omits none.
 	EventGap int
-	// Fenced refuses orders that carry an older fencing number.
+	// Fenced makes the engine refuse orders with a lower fencing number than one
+	// it has accepted.
 	Fenced bool
-	// KVBytesPerToken is the bytes of KV cache for one token.
+	// KVBytesPerToken is the size of the KV cache of one token, in bytes.
 	KVBytesPerToken int
-	// Rand draws boot ids.
+	// Rand generates boot ids.
 	Rand *rand.Rand
-	// Journal is the log of executions.
+	// Journal records all executions.
 	Journal Journal
 
 	once        sync.Once
@@ -63,7 +68,7 @@
 	boot        string
 	bootCount   int
 	served      int
-	downUntil   time.Time // when it answers again after falling over
+	downUntil   time.Time // end of the restart after a crash
 	dropCount   int
 	loopRunning bool
 	queue       []*stream
@@ -76,23 +81,24 @@
 	faults      faultState
 }
 
-// ChatRequest is what a caller sends to an engine.
+// ChatRequest is the body of a request to an engine.
 type ChatRequest struct {
-	// Prompt is the history in tokens.
+	// Prompt is the length of the prompt in tokens.
 	Prompt int `json:"prompt"`
-	// Output is how many tokens to generate.
+	// Output is the number of tokens to generate.
 	Output int `json:"output"`
-	// Pace gives this answer a token only at each Pace-th step: a load test
-	// holds many slow streams open beside quick ones. 0 and 1 are each step.
+	// Pace generates a token of this answer only at every Pace-th step, so that a
+	// load test can keep many slow streams open next to fast ones. 0 and 1 mean
+	// every step.
 	Pace int `json:"pace,omitempty"`
-	// Note makes the body, and so the answer, unlike any other.
+	// Note makes the body, and therefore the answer, unique.
 	Note string `json:"note,omitempty"`
 	// Text is any further content.
 	Text string `json:"text,omitempty"`
 }
 
-// Defaults of an engine's fields: an engine that is quick enough for tests and
-// slow enough that a batch forms.
+// Defaults of the fields of Engine: fast enough for tests and slow enough that
+// batches form.
 const (
 	defaultSlots = 32
 	defaultCache = 200_000
@@ -119,7 +125,8 @@
 	e.routes()
 }
 
-// reboot draws a new boot id. The caller holds the lock or is the first.
+// reboot generates a new boot id and clears the cache. The caller holds e.mu,
+// except at the start.
 func (e *Engine) reboot() {
 	e.bootCount++
 	e.boot = strconv.FormatUint(e.Rand.Uint64(), 16)
@@ -127,7 +134,8 @@
 	e.cache.clear()
 }
 
-// ServeHTTP serves requests on any path and the controls below /control/.
+// ServeHTTP serves the control endpoints under /control/ and chat requests on all
+// other paths.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.once.Do(e.start)
 	e.mux.ServeHTTP(w, r)
@@ -158,7 +166,8 @@
 	e.copy(w, r, s, 0, linger)
 }
 
-// admit takes a request in, or lets the engine fall over.
+// admit queues a request. It returns false if the engine is down or crashes
+// under the request.
 func (e *Engine) admit(r *http.Request, body []byte, chat ChatRequest, f Fault) (*stream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -221,9 +230,9 @@
 	return e.ColdCapacity > 0 && e.served < e.WarmupRequests
 }
 
-// inFlight counts what the engine has taken in and not ended. A canceled answer
-// stays in the batch until its next step, but costs nothing any more: its
-// cancel was confirmed, and who asked for it takes the place for free.
+// inFlight returns the number of requests that are queued or running. A canceled
+// answer stays in the batch until the next step but is not counted: its cancel
+// is confirmed, and the sender already treats its slot as free.
 func (e *Engine) inFlight() int {
 	n := len(e.queue)
 	for _, s := range e.batch {
@@ -242,7 +251,7 @@
 	return e.CrashLoad > 0 && n > e.CrashLoad
 }
 
-// crash cuts every running answer, loses the cache and draws a new boot id.
+// crash aborts every running answer, clears the cache and generates a new boot id.
 func (e *Engine) crash() {
 	for _, s := range append(e.queue, e.batch...) {
 		s.aborted = true
@@ -262,7 +271,8 @@
 	e.reports.add(time.Now(), e.load())
 }
 
-// copy writes the answer to a connection from an offset on as it grows.
+// copy streams the answer to a connection, starting at the given byte offset,
+// until the answer ends.
 func (e *Engine) copy(w http.ResponseWriter, r *http.Request, s *stream, offset int, linger time.Duration) {
 	c := http.NewResponseController(w)
 	headSent := false
@@ -317,12 +327,13 @@
 	h.Set(chestnutstep.HeaderCachedTokens, strconv.Itoa(s.cached))
 }
 
-// resumePath continues a stream; its connection is not closed again by the
-// fault that closed the first one.
+// resumePath is the endpoint that resumes a stream. The Close fault that closed
+// the first connection does not apply to it.
 const resumePath = "/control/resume"
 
-// peek returns the bytes from an offset on. The slice stays valid: the stream
-// only ever appends.
+// peek returns the bytes of the stream from an offset on, its state, and a
+// channel that is closed at the next change. The slice stays valid, because the
+// stream only appends.
 func (e *Engine) peek(s *stream, offset int) (data []byte, aborted, over bool, change <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -332,15 +343,15 @@
 	return data, s.aborted, s.finished, s.change
 }
 
-// currentDrops counts how often all connections were closed.
+// currentDrops returns the number of Drop faults so far.
 func (e *Engine) currentDrops() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.dropCount
 }
 
-// cancelAfter is called when a connection broke: the answer is cancelled, at once or
-// after the time that the request asked for.
+// cancelAfter cancels an answer whose connection broke, after the linger time of
+// its request.
 func (e *Engine) cancelAfter(s *stream, linger time.Duration) {
 	if linger <= 0 {
 		e.cancel(s)
@@ -357,7 +368,7 @@
 	}
 	e.queue = without(e.queue, s)
 	s.aborted = true
-	// The batch lets go of it at its next step, which may be under way.
+	// The next step, which may be in progress, removes it from the batch.
 	e.finish(s, OutcomeCanceled)
 	e.reports.add(time.Now(), e.load())
 }
@@ -371,7 +382,7 @@
 	return list
 }
 
-// Crashes returns how often the engine fell over.
+// Crashes returns the number of crashes so far.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fake/fake.go
+++ b/fake/fake.go
@@ -1,7 +1,8 @@
-// Package fake holds stand-ins for the systems outside the fleet: model
-// engines, plain services, the platform, and callers. They are small, they
-// misbehave on demand, and they keep a log of what they executed, so that a
-// test takes its evidence from the far end and not from the fleet itself.
+// Package fake provides fakes of the systems outside the fleet: model engines,
+// plain services, the platform and callers. A test injects faults into them
+// over HTTP or through methods. The targets record every execution in a
+// journal, so that a test checks its results against the targets' records and
+// not against the fleet's own.
 //
-// The protocol that engines and services speak is docs/TARGETS.md.
+// docs/TARGETS.md describes the protocol of engines and services.
 package fake
--- a/fake/fault.go
+++ b/fake/fault.go
@@ -7,40 +7,40 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Fault is a target's misbehaviour. Posting one replaces the one before.
+// Fault configures how a target misbehaves. A new fault replaces the previous one.
 type Fault struct {
-	// Slow multiplies the time that work takes; 0 and 1 are normal speed.
+	// Slow multiplies the processing time; 0 and 1 mean normal speed.
 	Slow float64 `json:"slow,omitempty"`
-	// Poison crashes the target that runs a body which contains this text.
+	// Poison is a text: a request whose body contains it crashes the target.
 	Poison string `json:"poison,omitempty"`
-	// Cold makes an engine lose its cache and its warmth at once, without
-	// changing its boot id.
+	// Cold clears an engine's cache and returns it to the cold state at once,
+	// without a new boot id.
 	Cold bool `json:"cold,omitempty"`
 	// Crash makes the target crash at once.
 	Crash bool `json:"crash,omitempty"`
-	// Drop closes all of an engine's connections at once; streams can be
-	// resumed. A service has no use for it: its work goes on in any case.
+	// Drop closes all connections of an engine at once; streams can be resumed.
+	// Services ignore it: an action continues without its connection.
 	Drop bool `json:"drop,omitempty"`
-	// Short ends an answer cleanly after so many tokens (or half of a
-	// service's answer): the silently short answer that a caller must never see.
+	// Short ends an answer cleanly after this number of tokens; a service sends
+	// half of its answer. Callers must never receive such a truncated answer.
 	Short int `json:"short,omitempty"`
-	// Crossed answers under another Request-Id with another's content.
+	// Crossed answers with the Request-Id and the content of another request.
 	Crossed bool `json:"crossed,omitempty"`
-	// Hang takes requests and never answers.
+	// Hang accepts requests and never answers them.
 	Hang bool `json:"hang,omitempty"`
-	// Close drops the connection after so many tokens (or, at a service, after
-	// the effect and before the answer). A stream can be resumed.
+	// Close closes the connection after this number of tokens; a service closes
+	// it after the effect and before the answer. A stream can be resumed.
 	Close int `json:"close,omitempty"`
-	// Delay before work begins.
+	// Delay is the time before processing begins.
 	Delay chestnutstep.Duration `json:"delay,omitempty"`
-	// Status answers with this HTTP status and runs nothing.
+	// Status is an HTTP status to answer with, without running the request.
 	Status int `json:"status,omitempty"`
-	// Count is how many requests are affected before the fault ends by itself;
-	// 0 is no bound.
+	// Count is the number of requests that the fault affects before it is
+	// cleared; 0 means no limit.
 	Count int `json:"count,omitempty"`
 }
 
-// faultState is the fault in force.
+// faultState holds the current fault.
 type faultState struct {
 	mu      sync.Mutex
 	current Fault
@@ -52,7 +52,7 @@
 	f.current = v
 }
 
-// take returns the fault for one request and counts it.
+// take returns the fault that applies to one request and counts the request.
 func (f *faultState) take() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,9 +79,9 @@
 	return f.Poison != "" && bytes.Contains(body, []byte(f.Poison))
 }
 
-// untilClose is the part of the data that goes out before the connection is dropped.
-// On a busy machine an answer may be whole before any of it was sent: cut only between
-// two writes, it would arrive whole.
+// untilClose returns the part of the data to send before the connection is closed.
+// On a busy machine an answer can be complete before any of it is sent; closing
+// only between two writes would then deliver the complete answer.
 func (f Fault) untilClose(data []byte, sent int) []byte {
 	if f.Close <= 0 {
 		return data
@@ -97,7 +97,7 @@
 	return data[:end]
 }
 
-// closes says whether the connection is dropped after so many tokens.
+// closes reports whether the connection is closed after this number of sent tokens.
 func (f Fault) closes(sent int) bool {
 	return f.Close > 0 && sent >= f.Close
 }
--- a/fake/fault_test.go
+++ b/fake/fault_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A machine is so busy that an answer is whole before any of it was sent. A connection
-// that is to be dropped after three tokens must still be dropped there, or the test that
-// asked for it sees a whole answer.
+// TestCloseInsideOneWrite guards against a Close fault without effect: on a busy
+// machine an answer can be complete before any of it is sent, and the connection
+// must still close after three tokens.
 func TestCloseInsideOneWrite(t *testing.T) {
 	five := strings.Repeat("data: x"+eventEnd, 5)
 	f := Fault{Close: 3}
--- a/fake/journal.go
+++ b/fake/journal.go
@@ -8,31 +8,31 @@
 	OutcomeDone     = "done"
 	OutcomeCanceled = "canceled"
 	OutcomeCrashed  = "crashed"
-	OutcomeBroken   = "broken" // ended by a fault that was asked for
+	OutcomeBroken   = "broken" // ended early by an injected fault
 )
 
-// Execution is one run of a request at a target, as the target saw it.
+// Execution records one run of a request at a target.
 type Execution struct {
 	Request   string `json:"request"`
 	Workspace string `json:"workspace"`
 	Chat      string `json:"chat"`
 	Path      string `json:"path"`
-	// Action is the name that a service's caller gave to what must happen once.
+	// Action is the name of a service's action, which must take effect once.
 	Action string `json:"action,omitempty"`
-	// Boot of the target at that time.
+	// Boot is the target's boot id at the start of the run.
 	Boot string `json:"boot"`
-	// Started and Ended are numbers in the target's own order; Ended is 0 while
-	// the request runs.
+	// Started and Ended are sequence numbers in the target's journal; Ended is 0
+	// while the request runs.
 	Started int    `json:"started"`
 	Ended   int    `json:"ended"`
 	Outcome string `json:"outcome"`
-	// Prompt and Cached are tokens, at engines.
+	// Prompt and Cached are numbers of tokens; only engines set them.
 	Prompt int `json:"prompt,omitempty"`
 	Cached int `json:"cached,omitempty"`
 }
 
-// Journal is a target's log of executions. It outlives the target's crashes:
-// it is a test's evidence, which no real target would keep.
+// Journal records a target's executions for tests. It survives the simulated
+// crashes of the target, which a real target's memory does not.
 type Journal struct {
 	mu  sync.Mutex
 	seq int
@@ -49,8 +49,8 @@
 	return &e
 }
 
-// end notes the outcome once; a later one is ignored, as the first is what the
-// caller could have seen.
+// end records the outcome of an execution. Later outcomes are ignored: only the
+// first can have been visible to the caller.
 func (j *Journal) end(e *Execution, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -62,7 +62,7 @@
 	e.Outcome = outcome
 }
 
-// Executions returns all runs so far, in the order in which they started.
+// Executions returns a copy of all executions so far, in order of their start.
 func (j *Journal) Executions() []Execution {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/fake/order.go
+++ b/fake/order.go
@@ -5,24 +5,24 @@
 	"sync"
 )
 
-// Order tells an engine to load a model, an adapter or a version, or to change
-// its role.
+// Order instructs an engine to load a model, an adapter or a version, or to
+// change its role.
 type Order struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Fence is the fencing number it carried.
+	// Fence is the fencing number of the order.
 	Fence uint64 `json:"fence"`
 }
 
-// orderLog is what an engine was told and obeyed.
+// orderLog records the orders that an engine accepted.
 type orderLog struct {
 	mu           sync.Mutex
 	highestFence uint64
 	all          []Order
 }
 
-// accept obeys an order unless the engine checks fencing numbers and this one is
-// older than one seen before.
+// accept records an order. It returns false if fenced is set and the order's
+// fencing number is lower than one accepted before.
 func (o *orderLog) accept(v Order, fenced bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -15,9 +15,10 @@
 const (
 	// maxValueBytes is the platform's limit for one value, in bytes.
 	maxValueBytes = 1 << 20
-	// maxWatchWait bounds one long poll.
+	// maxWatchWait is the longest wait of one long poll.
 	maxWatchWait = 30 * time.Second
-	// maxHistory is how many revisions of a value can be served while stale.
+	// maxHistory is the number of revisions kept per value, which Mode.Stale can
+	// select from.
 	maxHistory = 64
 )
 
@@ -27,14 +28,14 @@
 	HostLeaving = "leaving"
 )
 
-// HostState is a line of the platform's host list.
+// HostState is an item of the platform's host list.
 type HostState struct {
 	Host  string `json:"host"`
 	State string `json:"state"`
 }
 
-// Calls counts what readers asked, by kind. A waiting watch counts as one call,
-// as the real service counts it.
+// Calls counts the calls of readers by kind. A long poll counts as one call, as
+// in the real service.
 type Calls struct {
 	Read    int64 `json:"read"`
 	Watch   int64 `json:"watch"`
@@ -42,12 +43,12 @@
 	Refused int64 `json:"refused"`
 }
 
-// Mode is how the platform misbehaves.
+// Mode configures how the platform misbehaves.
 type Mode struct {
 	// Down refuses all reads.
 	Down bool `json:"down"`
-	// Stale serves what was current at that revision; 0 serves the latest.
-	// Lowering it makes the service go back.
+	// Stale serves the values as of this revision; 0 serves the latest. Lowering
+	// it makes revisions go backward.
 	Stale uint64 `json:"stale"`
 	// Slow delays each read.
 	Slow chestnutstep.Duration `json:"slow"`
@@ -65,8 +66,8 @@
 	visible time.Time
 }
 
-// Platform stands in for the configuration service and the host list. Readers
-// use GET; everything under /control/ and the methods are for the test's side.
+// Platform is a fake of the configuration service and the host list. Readers use
+// GET; tests control it by the methods and by the endpoints under /control/.
 // The zero value is an empty service, ready for use.
 type Platform struct {
 	mu           sync.Mutex
@@ -79,7 +80,8 @@
 	changed      chan struct{}
 }
 
-// Put sets a value and returns its revision. Revisions count over all names.
+// Put sets a value and returns its revision. All names share one sequence of
+// revisions.
 func (p *Platform) Put(name string, value []byte) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +95,7 @@
 	return p.lastRevision
 }
 
-// SetMode sets how the platform misbehaves from now on.
+// SetMode replaces the current mode.
 func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,22 +103,22 @@
 	p.notifyWatchers()
 }
 
-// SetHost sets a host's state; readers see it once the lag has passed. An empty
-// state removes the host.
+// SetHost sets a host's state; it becomes visible to readers after the lag of the
+// current mode. An empty state removes the host.
 func (p *Platform) SetHost(host, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pending = append(p.pending, hostChange{HostState{host, state}, time.Now().Add(p.mode.Lag.Std())})
 }
 
-// Calls returns the counts so far.
+// Calls returns the number of calls so far.
 func (p *Platform) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// notifyWatchers lets waiting watches look again.
+// notifyWatchers makes waiting long polls check for a new revision.
 func (p *Platform) notifyWatchers() {
 	if p.changed != nil {
 		close(p.changed)
@@ -124,7 +126,7 @@
 	}
 }
 
-// ServeHTTP answers readers and the control side.
+// ServeHTTP serves readers and the control endpoints.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/control/") {
 		p.serveControl(w, r)
@@ -148,7 +150,7 @@
 	}
 }
 
-// countCall counts a call, delays it, and says whether the service is up.
+// countCall counts a call, delays it, and reports whether the service is up.
 func (p *Platform) countCall(r *http.Request) bool {
 	p.mu.Lock()
 	mode := p.mode
@@ -177,7 +179,8 @@
 	}
 }
 
-// serveValue answers a read, or a watch that waits for a revision above after.
+// serveValue answers a read, or a long poll that waits for a revision above the
+// parameter after.
 func (p *Platform) serveValue(w http.ResponseWriter, r *http.Request, name string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
@@ -205,8 +208,8 @@
 	}
 }
 
-// current returns the revision that is served now and a channel that closes
-// when that may have changed.
+// current returns the revision to serve and a channel that is closed when the
+// revision can have changed.
 func (p *Platform) current(name string) (revision, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,7 +225,7 @@
 	return found, p.changed
 }
 
-// list applies the host changes whose lag has passed.
+// list applies the host changes whose lag has passed and returns the host list.
 func (p *Platform) list(now time.Time) []HostState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -251,12 +254,12 @@
 	p.hosts = others
 }
 
-// serveControl is the test's side over HTTP:
+// serveControl serves the control endpoints for tests:
 //
-//	POST /control/v/NAME    the body becomes the value; answers its revision
-//	POST /control/mode      a Mode
-//	POST /control/hosts     a list of HostState
-//	GET  /control/calls     the counts
+//	POST /control/v/NAME    sets the value to the body; returns its revision
+//	POST /control/mode      sets the mode; the body is a Mode
+//	POST /control/hosts     sets host states; the body is a list of HostState
+//	GET  /control/calls     returns the Calls
 func (p *Platform) serveControl(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxValueBytes+1))
 	if err != nil || len(body) > maxValueBytes {
--- a/fake/platform_test.go
+++ b/fake/platform_test.go
@@ -20,6 +20,8 @@
 	return res.StatusCode, res.Header.Get("Version") + " " + string(body)
 }
 
+// TestPlatform checks reads, long polls, the modes of failure, the host list and
+// the call counts of the fake platform.
 func TestPlatform(t *testing.T) {
 	var p Platform
 	srv := httptest.NewServer(&p)
--- a/fake/report.go
+++ b/fake/report.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Load is a target's own report, which lags.
+// Load is a target's load report. An engine reports it with a delay.
 type Load struct {
 	Boot    string `json:"boot"`
 	Running int    `json:"running"`
 	Waiting int    `json:"waiting"`
 	Cold    bool   `json:"cold"`
-	// Lag of this report in seconds.
+	// Lag is the delay of the report in seconds.
 	Lag float64 `json:"lag"`
-	// Crashes since the process began.
+	// Crashes is the number of crashes since the process started.
 	Crashes int `json:"crashes"`
 }
 
@@ -19,7 +19,7 @@
 	load Load
 }
 
-// reportLog answers with what was true a lag ago.
+// reportLog delays load reports by lag.
 type reportLog struct {
 	lag time.Duration
 	all []report
@@ -30,7 +30,7 @@
 	r.trim(now)
 }
 
-// trim keeps the newest report that is old enough to be shown, and all after.
+// trim drops all reports older than the newest one whose age is at least the lag.
 func (r *reportLog) trim(now time.Time) {
 	n := 0
 	for n+1 < len(r.all) && now.Sub(r.all[n+1].at) >= r.lag {
@@ -47,7 +47,7 @@
 	return r.all[0].load
 }
 
-// load is the present load. The caller holds the lock.
+// load returns the current load. The caller holds e.mu.
 func (e *Engine) load() Load {
 	return Load{
 		Boot:    e.boot,
--- a/fake/service.go
+++ b/fake/service.go
@@ -12,17 +12,18 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// Service stands in for a plain service: bookings and map edits, which are not
-// idempotent, and a quick look-up, which is. An action that has begun goes on
-// when its caller is gone, as a database transaction would.
+// Service is a fake of a plain service: bookings and map edits, which are not
+// idempotent, and a fast look-up, which is. An action that has started continues
+// when its caller disconnects, like a database transaction.
 type Service struct {
-	// Delay between a request's arrival and its effect.
+	// Delay is the time between a request's arrival and its effect.
 	Delay time.Duration
-	// RestartTime is how long it drops every connection after a crash.
+	// RestartTime is the time after a crash during which the service drops every
+	// connection.
 	RestartTime time.Duration
-	// Rand draws boot ids.
+	// Rand generates boot ids.
 	Rand *rand.Rand
-	// Journal is the log of executions.
+	// Journal records all executions.
 	Journal Journal
 
 	once      sync.Once
@@ -39,7 +40,7 @@
 
 // Action is the body of a booking or a map edit.
 type Action struct {
-	// Action names what must happen once.
+	// Action is the name of the action, which must take effect once.
 	Action string `json:"action"`
 	// Text is any further content.
 	Text string `json:"text,omitempty"`
@@ -48,8 +49,8 @@
 // Effect is a service's answer to an action.
 type Effect struct {
 	Action string `json:"action"`
-	// Times is how often the action has taken effect at this service, this
-	// time included.
+	// Times is the number of times the action has taken effect at this service,
+	// including this one.
 	Times int `json:"times"`
 }
 
@@ -79,14 +80,14 @@
 	s.down = make(chan struct{})
 }
 
-// ServeHTTP serves the service's requests and its controls.
+// ServeHTTP serves the service's requests and its control endpoints.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.once.Do(s.start)
 	s.mux.ServeHTTP(w, r)
 }
 
-// requireUp returns the boot id and the channel that a crash closes; it drops the
-// connection while the service is down.
+// requireUp returns the boot id and the channel that a crash closes. While the
+// service is down it panics with http.ErrAbortHandler, which drops the connection.
 func (s *Service) requireUp() (string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +137,8 @@
 	})
 }
 
-// runAction waits, takes effect and answers, each of which a fault may prevent.
+// runAction waits for the delay, applies the effect and answers; a fault can
+// prevent each of these.
 func (s *Service) runAction(w http.ResponseWriter, a Action, e *Execution, f Fault, body []byte, down <-chan struct{}) {
 	defer s.finishRequest()
 	if f.poisons(body) {
@@ -169,7 +171,8 @@
 	s.running--
 }
 
-// waitSlowed says false when the service went down meanwhile.
+// waitSlowed waits for d multiplied by slow. It returns false if the service
+// went down in the meantime.
 func waitSlowed(d time.Duration, slow float64, down <-chan struct{}) bool {
 	t := time.NewTimer(time.Duration(float64(d) * slow))
 	defer t.Stop()
@@ -227,8 +230,8 @@
 	}
 }
 
-// SetFault puts a fault in force from now on. A crash stops all running
-// actions before their effect.
+// SetFault replaces the current fault. A crash stops all running actions before
+// their effect.
 func (s *Service) SetFault(f Fault) {
 	s.once.Do(s.start)
 	s.mu.Lock()
--- a/fake/sizes.go
+++ b/fake/sizes.go
@@ -9,15 +9,15 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// FleetSize of a made-up fleet, for measurements.
+// FleetSize gives the dimensions of a synthetic fleet for measurements.
 type FleetSize struct {
 	Regions, Domains, Targets, Models, Workspaces, Entries int
 }
 
-// PlannedSize is the size that the project designs for.
+// PlannedSize is the fleet size that the design supports.
 var PlannedSize = FleetSize{Regions: 4, Domains: 14, Targets: 2700, Models: 5, Workspaces: 560, Entries: 350}
 
-// Publication returns a valid publication of this size, the same each time.
+// Publication returns a valid publication of this size. It is deterministic.
 func (s FleetSize) Publication(version uint64) *chestnutstep.Publication {
 	p := &chestnutstep.Publication{
 		Version: version,
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stream is one running answer of an engine. The batch appends to it, and the
-// connections that read it wait on its changes. The engine's lock guards it.
+// stream is one answer of an engine. The batch loop appends to it, and the
+// connections that send it wait for its changes. The engine's mutex guards it.
 type stream struct {
 	request   string
 	key       chatKey
@@ -26,7 +26,7 @@
 	sum       *xxhash.Digest
 	data      []byte
 	finished  bool
-	aborted   bool // the connection is to be cut, not ended
+	aborted   bool // the connection must be aborted, not closed cleanly
 	change    chan struct{}
 }
 
@@ -35,13 +35,13 @@
 	s.change = make(chan struct{})
 }
 
-// advance says whether this step gives the answer a token.
+// advance counts a step and reports whether it generates a token of this answer.
 func (s *stream) advance() bool {
 	s.steps++
 	return s.uncached == 0 && (s.steps-1)%s.pace == 0
 }
 
-// step adds one token and says whether the answer is over.
+// step appends one token and reports whether the answer has ended.
 func (s *stream) step() bool {
 	n := len(s.data)
 	s.data = appendToken(s.data, s.seed, s.tokens)
@@ -61,7 +61,7 @@
 	return true
 }
 
-// outcome says how an answer that ran to its last step ended.
+// outcome returns the outcome of an answer that ran to its last step.
 func (s *stream) outcome() string {
 	if s.tokens < s.output {
 		return OutcomeBroken
@@ -69,7 +69,7 @@
 	return OutcomeDone
 }
 
-// isComplete says that the last event stands in the data.
+// isComplete reports whether the data ends with the last event of the answer.
 func (s *stream) isComplete() bool {
 	return s.finished && !s.aborted
 }
--- a/fake/target_test.go
+++ b/fake/target_test.go
@@ -18,7 +18,7 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// testTarget drives one stand-in target from a script.
+// testTarget runs a script against one fake target.
 type testTarget struct {
 	t      *testing.T
 	target http.Handler
@@ -27,7 +27,7 @@
 	calls  map[string]*call
 }
 
-// call is one request under way.
+// call is one request in flight.
 type call struct {
 	request *http.Request
 	cancel  context.CancelFunc
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestTargets plays testdata/target: what an agent sees of a target that is
-// well, cold, crashing, or answering wrongly.
+// TestTargets runs the scripts of testdata/target: the answers of a fake target
+// that is healthy, cold, crashing, or sending wrong answers.
 func TestTargets(t *testing.T) {
 	datadriven.Walk(t, "testdata/target", func(t *testing.T, path string) {
 		b := &testTarget{t: t, boots: map[string]string{}, calls: map[string]*call{}}
@@ -107,7 +107,7 @@
 	return ""
 }
 
-// finish reads an answer to its end and says what its caller can tell.
+// finish reads an answer to its end and returns its outcome as its caller sees it.
 func (b *testTarget) finish(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	<-b.calls[name].done
@@ -140,7 +140,7 @@
 	return "silently short after " + strconv.Itoa(c.Tokens)
 }
 
-// boot names boot ids by the order in which the script saw them.
+// boot replaces a boot id by a name: boot1, boot2, ..., in order of first appearance.
 func (b *testTarget) boot(id string) string {
 	if id == "" {
 		return "none"
