--- a/fake/target_test.go
+++ b/fake/target_test.go
@@ -124,13 +124,13 @@
 	var chat string
 	d.MaybeScanArgs(b.t, chestnutstep.HeaderChat, &chat)
 	c := Checker{Seed: Seed(chat, []byte(d.Input))}
-	_, foreign := c.Write(raw)
-	return fmt.Sprintf("%s, %s cached: %s\n", out, w.Header.Get(chestnutstep.HeaderCachedTokens), resultText(&c, foreign, err))
+	_, mismatch := c.Write(raw)
+	return fmt.Sprintf("%s, %s cached: %s\n", out, w.Header.Get(chestnutstep.HeaderCachedTokens), resultText(&c, mismatch, err))
 }
 
-func resultText(c *Checker, foreign, err error) string {
+func resultText(c *Checker, mismatch, err error) string {
 	switch {
-	case IsErrMisdelivered(foreign):
+	case IsErrMisdelivered(mismatch):
 		return "another's answer"
 	case c.Done != nil:
 		return "whole, " + strconv.Itoa(c.Tokens) + " tokens"
--- a/stand/deadly.go
+++ b/stand/kill.go
@@ -12,37 +12,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// KillStep is how far an answer gets before its target ends.
+// KillStep is the progress of an answer at which its target is killed.
 type KillStep string
 
-// The steps.
+// Steps of an answer, in order.
 const (
 	AtAccept KillStep = "accept" // the request was read
-	AtHead   KillStep = "head"   // the head of the answer was sent
-	AtFirst  KillStep = "first"  // so was the first event, or the first byte of a body
-	AtMiddle KillStep = "middle" // three events, or half of a body
-	AtLast   KillStep = "last"   // all but the end of the answer
+	AtHead   KillStep = "head"   // the response header was sent
+	AtFirst  KillStep = "first"  // the first event, or the first byte of the body, was sent
+	AtMiddle KillStep = "middle" // three events, or half of the body, were sent
+	AtLast   KillStep = "last"   // all but the end of the answer was sent
 )
 
-// KillSteps are all steps.
+// KillSteps lists all steps in order.
 var KillSteps = []KillStep{AtAccept, AtHead, AtFirst, AtMiddle, AtLast}
 
-// KillRule is content that ends each target which runs it: for good, and with all connections.
+// KillRule kills every target that runs a matching request. The target does not
+// come back, and all of its connections end.
 type KillRule struct {
-	// Text is in the body of such requests.
+	// Text is the text in the body of matching requests.
 	Text string
+	// Step is the progress of the answer at which the target is killed.
 	Step KillStep
-	// Reset has connections reset rather than closed.
+	// Reset makes connections end with a TCP reset instead of a close.
 	Reset bool
-	// Delay is how long the target takes to end, whether or not its caller has left meanwhile.
+	// Delay is the time before the answer. The target is killed even if the caller
+	// disconnects during it.
 	Delay time.Duration
 }
 
-// matches reports whether a request is deadly.
-func (d *KillRule) matches(run *Run) bool { return d != nil && strings.Contains(run.Body, d.Text) }
+// matches reports whether the rule applies to a request. A nil rule never matches.
+func (k *KillRule) matches(run *Run) bool { return k != nil && strings.Contains(run.Body, k.Text) }
 
-// Kill ends the target: nothing listens any more, and all connections end. Its port stays taken:
-// given to another test's target, it would look alive.
+// Kill ends the target: it stops listening and all of its connections end, by a TCP
+// reset if byReset is set. Its port stays reserved: a target of another test on the
+// same port would make this one appear alive.
 func (t *Target) Kill(byReset bool) {
 	t.mu.Lock()
 	if t.dead {
@@ -63,10 +67,11 @@
 	}
 }
 
-// noPort stands for a port that is not taken.
+// noPort is the value of Target.reservedPort without a socket.
 const noPort = -1
 
-// reservePort binds a socket to an address without listening there: connections are refused.
+// reservePort binds a socket to an address without listening, so that connections
+// are refused. It returns the file descriptor, or noPort.
 func reservePort(a net.Addr) int {
 	addr, ok := a.(*net.TCPAddr)
 	if !ok || addr.IP.To4() == nil {
@@ -76,13 +81,13 @@
 	if err != nil {
 		return noPort
 	}
-	// An error leaves the port free, as it was before.
+	// Errors are ignored: the port is then not reserved.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	_ = unix.Bind(fd, &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())})
 	return fd
 }
 
-// releasePort gives the port of a dead target back. The caller holds the lock.
+// releasePort releases the port of a dead target. The caller holds t.mu.
 func (t *Target) releasePort() {
 	if t.dead && t.reservedPort != noPort {
 		_ = unix.Close(t.reservedPort)
@@ -90,14 +95,14 @@
 	}
 }
 
-// IsDead reports whether the target has ended.
+// IsDead reports whether the target was killed.
 func (t *Target) IsDead() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.dead
 }
 
-// track keeps the connections that a death ends.
+// track records the open connections, which Kill ends, and counts the new ones.
 func (t *Target) track(c net.Conn, s http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +118,7 @@
 	}
 }
 
-// killDuringAnswer answers up to the step, and ends the target.
+// killDuringAnswer sends the answer up to the step of the rule and kills the target.
 func (t *Target) killDuringAnswer(w http.ResponseWriter, r *http.Request, run *Run) {
 	defer t.Kill(t.KillRule.Reset)
 	time.Sleep(t.KillRule.Delay)
--- a/stand/store.go
+++ b/stand/store.go
@@ -1,5 +1,6 @@
-// Package stand plays the platform for tests: its store and its targets, with
-// the failures that both are known for, over loopback.
+// Package stand emulates the platform for tests: its key-value store and its
+// targets. Both serve HTTP on loopback and inject the failures that the real
+// systems show.
 package stand
 
 import (
@@ -14,16 +15,18 @@
 	"time"
 )
 
-// maxPageItems is how many items a page holds: few, so that tests see several.
+// maxPageItems is the number of items per page. It is small so that lists in
+// tests span several pages.
 const maxPageItems = 3
 
-// Store is the platform's store. Make it with NewStore.
+// Store emulates the platform's key-value store. Use NewStore to create one and
+// NewServer to serve it.
 type Store struct {
 	mu       sync.Mutex
 	items    map[string]item
 	events   []item
 	revision uint64
-	// compactedTo is the revision up to which the history was dropped.
+	// compactedTo is the revision up to which the event history was dropped.
 	compactedTo uint64
 	changed     chan struct{}
 }
@@ -40,7 +43,8 @@
 	return &Store{items: make(map[string]item), revision: 10, changed: make(chan struct{})}
 }
 
-// Put writes an item as JSON; raw bytes are written as they are.
+// Put writes an item and returns its revision. A []byte value is stored unchanged,
+// any other value as JSON.
 func (s *Store) Put(key string, value any) uint64 {
 	raw, ok := value.([]byte)
 	if !ok {
@@ -49,7 +53,7 @@
 	return s.write(item{Key: key, Value: raw})
 }
 
-// Remove removes an item.
+// Remove removes an item and returns the revision of the removal.
 func (s *Store) Remove(key string) uint64 { return s.write(item{Key: key, Removed: true}) }
 
 func (s *Store) write(it item) uint64 {
@@ -68,7 +72,8 @@
 	return s.revision
 }
 
-// Compact drops the history: watches from before get 410.
+// Compact drops the event history: watches from an earlier revision are answered
+// with status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,21 +82,21 @@
 	s.changed = make(chan struct{})
 }
 
-// Failure is how a door of the store misbehaves.
+// Failure is a failure mode of a StoreServer.
 type Failure string
 
-// The troubles.
+// Failure modes.
 const (
 	NoFailure       Failure = ""
-	Unresponsive    Failure = "silent" // no answer at all
-	Unavailable     Failure = "busy"   // 503
-	TooManyRequests Failure = "many"   // 429
+	Unresponsive    Failure = "silent" // requests are never answered
+	Unavailable     Failure = "busy"   // status 503
+	TooManyRequests Failure = "many"   // status 429
 	Reset           Failure = "reset"  // connections are reset
-	AnswerLost      Failure = "lost"   // the answer is lost, the connection stays
+	AnswerLost      Failure = "lost"   // the answer is lost, the connection stays open
 )
 
-// StoreServer is an address of the store, with troubles of its own: a store may turn
-// one host away and serve another.
+// StoreServer serves a store at one address and has its own failure mode, because
+// the real store can fail for one host while it serves another.
 type StoreServer struct {
 	store  *Store
 	server *httptest.Server
@@ -103,60 +108,61 @@
 	rangeCalls int
 }
 
-// NewServer returns a new door. Close it.
+// NewServer starts a server of the store. The caller must close it.
 func (s *Store) NewServer() *StoreServer {
 	d := &StoreServer{store: s, done: make(chan struct{})}
 	d.server = httptest.NewServer(d)
 	return d
 }
 
-// Address is IP and port.
+// Address returns the server's IP and port.
 func (d *StoreServer) Address() string { return strings.TrimPrefix(d.server.URL, "http://") }
 
-// SetFailure begins a trouble. Watches that wait are cut.
-func (d *StoreServer) SetFailure(t Failure) {
+// SetFailure sets the failure mode. Any mode but NoFailure closes all connections,
+// including those of waiting watches.
+func (d *StoreServer) SetFailure(failure Failure) {
 	d.mu.Lock()
-	d.failure = t
+	d.failure = failure
 	d.mu.Unlock()
-	if t != NoFailure {
+	if failure != NoFailure {
 		d.server.CloseClientConnections()
 	}
 }
 
-// Calls is how many calls came.
+// Calls returns the number of calls received.
 func (d *StoreServer) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// RangeCalls is how many of them asked for a page of a list.
+// RangeCalls returns the number of calls received for a page of a list.
 func (d *StoreServer) RangeCalls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rangeCalls
 }
 
-// Close ends the door.
+// Close stops the server and closes its connections.
 func (d *StoreServer) Close() {
 	close(d.done)
 	d.server.CloseClientConnections()
 	d.server.Close()
 }
 
-// rangePath is the path of a list.
+// rangePath is the path of list calls.
 const rangePath = "/api/kv-range"
 
-// ServeHTTP answers a call, or not.
+// ServeHTTP answers a call according to the failure mode.
 func (d *StoreServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls++
 	if r.URL.Path == rangePath {
 		d.rangeCalls++
 	}
-	trouble := d.failure
+	failure := d.failure
 	d.mu.Unlock()
-	switch trouble {
+	switch failure {
 	case Unresponsive, AnswerLost:
 		d.hang(r)
 	case Unavailable:
@@ -177,7 +183,7 @@
 	}
 }
 
-// reset closes a connection with a reset.
+// reset closes the connection of a request with a TCP reset.
 func reset(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -236,8 +242,9 @@
 	writeAnswer(w, a)
 }
 
-// eventsAfter returns what changed, and what to wait for if nothing did. False says
-// that the history is gone.
+// eventsAfter returns the events under a prefix after a revision, and a channel that
+// is closed at the next change. It returns false if the history from that revision
+// was compacted.
 func (s *Store) eventsAfter(prefix string, revision uint64) (answer, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/stand/target.go
+++ b/stand/target.go
@@ -13,57 +13,57 @@
 	"time"
 )
 
-// Behaviour is how a target treats one request.
+// Behaviour is the way in which a target handles one request.
 type Behaviour string
 
-// The manners.
+// Behaviours.
 const (
-	Normal        Behaviour = "fine"     // a whole answer
-	Shed          Behaviour = "shed"     // full: it says that it did not run the request
-	OtherInstance Behaviour = "other"    // another instance has the address
-	Fails         Behaviour = "fails"    // runs it and answers with a failure of its own
-	Resets        Behaviour = "resets"   // runs it and resets the connection, without a word
-	Cuts          Behaviour = "cuts"     // ends in the middle of the answer
-	ExtraAnswer   Behaviour = "extra"    // a whole answer, and another one behind it
-	Misdelivered  Behaviour = "crossed"  // the answer to another request
-	Unsigned      Behaviour = "unsigned" // an answer that no target made
-	Garbage       Behaviour = "garbage"  // bytes that are no answer
-	Unframed      Behaviour = "unframed" // a whole answer that ends with its connection
+	Normal        Behaviour = "fine"     // sends a complete answer
+	Shed          Behaviour = "shed"     // sheds the request with 503 and Not-Executed
+	OtherInstance Behaviour = "other"    // answers with 421, as another instance at the same address
+	Fails         Behaviour = "fails"    // runs the request and answers with 500
+	Resets        Behaviour = "resets"   // runs the request and resets the connection without an answer
+	Cuts          Behaviour = "cuts"     // closes the connection in the middle of the answer
+	ExtraAnswer   Behaviour = "extra"    // sends a complete answer and then a second one
+	Misdelivered  Behaviour = "crossed"  // sends the answer to another request
+	Unsigned      Behaviour = "unsigned" // sends an answer without Server-Signature
+	Garbage       Behaviour = "garbage"  // sends bytes that are not an HTTP response
+	Unframed      Behaviour = "unframed" // sends an answer without Content-Length and closes the connection
 	Early         Behaviour = "early"    // answers before it has read the body
-	Hangs         Behaviour = "hangs"    // runs it and says nothing
-	Slow          Behaviour = "slow"     // waits 150 ms with the answer
-	Skips         Behaviour = "skips"    // leaves out an event of a stream
+	Hangs         Behaviour = "hangs"    // runs the request and never answers
+	Slow          Behaviour = "slow"     // answers after 150 ms
+	Skips         Behaviour = "skips"    // omits an event of a stream
 )
 
-// BehaviourQueue is how requests are treated in the order in which they come, whichever
-// target they come to.
+// BehaviourQueue holds the behaviours of the next requests in order of their arrival.
+// Several targets can share one. A nil queue is empty.
 type BehaviourQueue struct {
 	mu   sync.Mutex
 	list []Behaviour
 }
 
-// Set replaces what is to come.
-func (o *BehaviourQueue) Set(list ...Behaviour) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.list = list
+// Set replaces the queued behaviours.
+func (q *BehaviourQueue) Set(list ...Behaviour) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.list = list
 }
 
-func (o *BehaviourQueue) next() (Behaviour, bool) {
-	if o == nil {
+func (q *BehaviourQueue) next() (Behaviour, bool) {
+	if q == nil {
 		return "", false
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.list) == 0 {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.list) == 0 {
 		return "", false
 	}
-	m := o.list[0]
-	o.list = o.list[1:]
-	return m, true
+	b := q.list[0]
+	q.list = q.list[1:]
+	return b, true
 }
 
-// Run is one request that a target began to work on.
+// Run is one request that a target started to run.
 type Run struct {
 	ID        string
 	Target    string
@@ -71,22 +71,24 @@
 	Path      string
 	Body      string
 	Header    http.Header
-	// Ended says that the target saw it to its end.
+	// Ended reports whether the target ran the request to its end.
 	Ended bool
-	// CallerLeft says that its connection was closed while it ran.
+	// CallerLeft reports whether the connection was closed during the run.
 	CallerLeft bool
 }
 
-// Target is a server of the platform. Make it with NewTarget.
+// Target emulates a server of the platform. Use NewTarget to create one.
 type Target struct {
+	// Name is the instance name.
 	Name string
-	// EventCount is how many events a stream has.
+	// EventCount is the number of events of a stream.
 	EventCount int
-	// EventInterval is the time between two events.
+	// EventInterval is the time between two events of a stream.
 	EventInterval time.Duration
-	// Queue goes before the target's own manners; several may share one.
+	// Queue takes precedence over the target's own behaviours while it is not empty.
+	// Several targets can share one.
 	Queue *BehaviourQueue
-	// KillRule is the content that ends the target; nil for none.
+	// KillRule selects the requests that kill the target; nil for none.
 	KillRule *KillRule
 
 	server           *httptest.Server
@@ -101,11 +103,12 @@
 	stop             chan struct{}
 	conns            map[net.Conn]bool
 	dead             bool
-	// reservedPort is the socket that keeps a dead target's port.
+	// reservedPort is the file descriptor of the socket that reserves the port of a
+	// dead target.
 	reservedPort int
 }
 
-// NewTarget starts a target under an instance name. Close it.
+// NewTarget starts a target with an instance name. The caller must close it.
 func NewTarget(name string) *Target {
 	t := &Target{Name: name, EventCount: 4, defaultBehaviour: Normal, stop: make(chan struct{})}
 	t.server = httptest.NewUnstartedServer(t)
@@ -114,10 +117,10 @@
 	return t
 }
 
-// Address is IP and port.
+// Address returns the target's IP and port.
 func (t *Target) Address() string { return strings.TrimPrefix(t.server.URL, "http://") }
 
-// Close ends it, and all connections with it.
+// Close stops the target and closes its connections.
 func (t *Target) Close() {
 	t.mu.Lock()
 	select {
@@ -131,28 +134,29 @@
 	t.server.Close()
 }
 
-// SetBehaviour sets how the next requests are treated, one each, and all after them.
+// SetBehaviour sets the behaviours for the next requests, one each, and the default
+// behaviour for all requests after them.
 func (t *Target) SetBehaviour(behaviour Behaviour, next ...Behaviour) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.defaultBehaviour, t.nextBehaviours = behaviour, next
 }
 
-// SetCachedParts sets what the target says of its cache.
+// SetCachedParts sets the parts in the target's answers to cache list calls.
 func (t *Target) SetCachedParts(parts ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cachedParts = parts
 }
 
-// CacheLists is how often it was asked what it holds.
+// CacheLists returns the number of cache list calls received.
 func (t *Target) CacheLists() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cacheLists
 }
 
-// Runs lists what it began to work on.
+// Runs returns a copy of the requests that the target started to run.
 func (t *Target) Runs() []Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,54 +167,54 @@
 	return list
 }
 
-// Requests is how many requests came, run or not.
+// Requests returns the number of requests received, whether or not they ran.
 func (t *Target) Requests() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.requests
 }
 
-// Connections is how many connections were opened.
+// Connections returns the number of connections accepted so far.
 func (t *Target) Connections() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.connections
 }
 
-// nextBehaviour returns how to treat the request that came.
+// nextBehaviour counts a request and returns its behaviour.
 func (t *Target) nextBehaviour() Behaviour {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests++
-	if m, ok := t.Queue.next(); ok {
-		return m
+	if b, ok := t.Queue.next(); ok {
+		return b
 	}
 	if len(t.nextBehaviours) == 0 {
 		return t.defaultBehaviour
 	}
-	m := t.nextBehaviours[0]
+	b := t.nextBehaviours[0]
 	t.nextBehaviours = t.nextBehaviours[1:]
-	return m
+	return b
 }
 
-// ServeHTTP answers a request.
+// ServeHTTP handles a request according to its behaviour.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/api/kv-list" {
 		t.writeCacheList(w)
 		return
 	}
-	m := t.nextBehaviour()
-	if want := r.Header.Get("Expect-Instance"); want != t.Name || m == OtherInstance {
+	behaviour := t.nextBehaviour()
+	if want := r.Header.Get("Expect-Instance"); want != t.Name || behaviour == OtherInstance {
 		w.Header().Set("Instance-Id", "i-other")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if m == Shed {
+	if behaviour == Shed {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if m == Early {
+	if behaviour == Early {
 		t.answerEarly(w, r)
 		return
 	}
@@ -226,7 +230,7 @@
 		t.killDuringAnswer(w, r, run)
 		return
 	}
-	t.answer(w, r, m, run)
+	t.answer(w, r, behaviour, run)
 	t.mu.Lock()
 	run.CallerLeft = r.Context().Err() != nil
 	run.Ended = !run.CallerLeft
@@ -244,7 +248,8 @@
 	fmt.Fprintf(w, `{"epoch":1,"next":1,"held":[%s]}`, strings.Join(rows, ","))
 }
 
-// answerEarly answers before the body was read, and does not get to reading it.
+// answerEarly answers without reading the body and keeps the connection open for two
+// seconds.
 func (t *Target) answerEarly(w http.ResponseWriter, r *http.Request) {
 	c, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -259,14 +264,14 @@
 	}
 }
 
-// sign sets the headers of an answer of the target's own.
+// sign sets the headers that mark an answer as the target's.
 func (t *Target) sign(h http.Header, id string) {
 	h.Set("Attempt-Id", id)
 	h.Set("Server-Signature", "sig-"+t.Name)
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, m Behaviour, run *Run) {
-	switch m {
+func (t *Target) answer(w http.ResponseWriter, r *http.Request, behaviour Behaviour, run *Run) {
+	switch behaviour {
 	case Resets:
 		reset(w)
 		return
@@ -276,27 +281,27 @@
 	case Slow:
 		t.wait(r, 150*time.Millisecond)
 	case Garbage, ExtraAnswer, Unframed:
-		t.writeRaw(w, m, run)
+		t.writeRaw(w, behaviour, run)
 		return
 	}
 	id := run.ID
-	if m == Misdelivered {
+	if behaviour == Misdelivered {
 		id = "another"
 	}
 	t.sign(w.Header(), id)
-	if m == Unsigned {
+	if behaviour == Unsigned {
 		w.Header().Del("Server-Signature")
 	}
 	if strings.Contains(run.Path, "/stream/") {
-		t.stream(w, r, m)
+		t.stream(w, r, behaviour)
 		return
 	}
 	text := "answer to " + run.ID
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if m == Fails {
+	if behaviour == Fails {
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	if m == Cuts {
+	if behaviour == Cuts {
 		_, _ = io.WriteString(w, text[:4])
 		panic(http.ErrAbortHandler)
 	}
@@ -311,8 +316,9 @@
 	}
 }
 
-// writeRaw answers past net/http, which knows no bad manners.
-func (t *Target) writeRaw(w http.ResponseWriter, m Behaviour, run *Run) {
+// writeRaw writes to the hijacked connection, because net/http does not send
+// malformed answers.
+func (t *Target) writeRaw(w http.ResponseWriter, behaviour Behaviour, run *Run) {
 	c, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -320,7 +326,7 @@
 	defer c.Close()
 	text := "answer to " + run.ID
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Signature: sig-%s\r\n", run.ID, t.Name)
-	switch m {
+	switch behaviour {
 	case Garbage:
 		_, _ = rw.WriteString("NONSENSE\r\n\r\n")
 	case Unframed:
@@ -331,8 +337,9 @@
 	_ = rw.Flush()
 }
 
-// writeTwice sends a whole answer, a second one behind it, and goes on as if nothing
-// were wrong: the next request on the connection gets the second one.
+// writeTwice sends a complete answer and then a second one, and keeps the connection
+// open: a client that reuses the connection reads the second answer as the answer to
+// its next request.
 func (t *Target) writeTwice(c net.Conn, rw *bufio.ReadWriter, head, text string) {
 	full := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
 	_, _ = rw.WriteString(full)
@@ -344,17 +351,17 @@
 	_, _ = rw.ReadByte()
 }
 
-// stream sends events from the one after Last-Event-Id.
-func (t *Target) stream(w http.ResponseWriter, r *http.Request, m Behaviour) {
+// stream sends the events that follow Last-Event-Id.
+func (t *Target) stream(w http.ResponseWriter, r *http.Request, behaviour Behaviour) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	for id := from + 1; id <= t.EventCount; id++ {
-		if m == Cuts && id == from+3 {
+		if behaviour == Cuts && id == from+3 {
 			_, _ = io.WriteString(w, "id: "+strconv.Itoa(id)+"\nda")
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		if m == Skips && id == from+2 {
+		if behaviour == Skips && id == from+2 {
 			continue
 		}
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", id, id)
