--- a/soak/caller.go
+++ b/soak/caller.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// requestKinds are the routes that callers use.
+// requestKinds are the names of the routes that callers use.
 var requestKinds = []string{"book", "look", "talk/stream", "tell/stream"}
 
-// callerTimeout bounds one request of a caller.
+// callerTimeout is the timeout of one request of a caller.
 const callerTimeout = 3 * time.Second
 
-// caller sends requests until the run ends. It goes on using its connections until
-// the process behind them is gone.
+// caller sends requests until the run ends. It reuses its connections for as long as
+// the entry process exists.
 type caller struct {
 	soak   *Soak
 	number int
@@ -50,7 +50,7 @@
 	s.requests = append(s.requests, req)
 	e := s.entries[c.rand.IntN(len(s.entries))]
 	s.mu.Unlock()
-	// A body whose reader can't be rewound: net/http repeats nothing by itself.
+	// net/http can't rewind a MultiReader and therefore doesn't retry the request itself.
 	body := io.MultiReader(strings.NewReader("body of " + req.id))
 	r, err := http.NewRequest(http.MethodPost, "http://"+e.frontendAddr+"/"+req.kind+"/x", body)
 	if err != nil {
@@ -73,22 +73,23 @@
 	req.result = resultOf(req, resp, string(raw), err)
 }
 
-// resultOf is what the caller can tell of an answer.
+// resultOf classifies an answer: "whole", "refused", "broken", or a text that begins
+// with "wrong" for an answer that callers must never receive.
 func resultOf(x *request, resp *http.Response, text string, err error) string {
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		return "refused"
 	case err != nil && strings.Contains(x.kind, "stream") && !strings.HasPrefix(events(6), text):
-		return "wrong: pieces out of order before the cut"
+		return "wrong: events missing or out of order before the connection broke"
 	case err != nil:
 		return "broken"
 	case resp.Header.Get("Server-Signature") == "":
-		return "wrong: not a target's answer"
+		return "wrong: answer without Server-Signature"
 	case strings.Contains(x.kind, "stream"):
 		if text == events(6) {
 			return "whole"
 		}
-		return fmt.Sprintf("wrong: %q looks whole", text)
+		return fmt.Sprintf("wrong: %q ended as a complete stream", text)
 	case text == "answer to "+x.id:
 		return "whole"
 	default:
@@ -96,7 +97,7 @@
 	}
 }
 
-// events is a whole stream.
+// events returns a complete stream of n events.
 func events(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
--- a/soak/judge.go
+++ b/soak/check.go
@@ -10,13 +10,16 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// refusalStatuses promise that the request has not run and never will.
+// refusalStatuses are the statuses that guarantee that the request has not run and
+// never will.
 var refusalStatuses = map[int]bool{
 	http.StatusServiceUnavailable: true, http.StatusTooManyRequests: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// check compares what callers got with what targets saw.
+// check compares the answers of all requests with the runs recorded by the targets.
+// It returns an error for the first broken guarantee, or if fewer than 95% of the
+// requests sent after healed were served.
 func (s *Soak) check(healed time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,10 +46,10 @@
 		}
 	}
 	for id := range runs {
-		return errors.Newf("%s ran and nobody sent it", id)
+		return errors.Newf("%s ran but was not sent by any caller", id)
 	}
 	if expected < 20 || served*100 < expected*95 {
-		return errors.Newf("after all was healed %d of %d requests were served", served, expected)
+		return errors.Newf("after the end of all faults %d of %d requests were served", served, expected)
 	}
 	return nil
 }
@@ -59,11 +62,11 @@
 	case once && len(runs) > 1:
 		return errors.Newf("%s (%s) ran %d times", x.id, x.kind, len(runs))
 	case once && refusalStatuses[x.status] && len(runs) > 0:
-		return errors.Newf("%s (%s) was refused with %d and ran", x.id, x.kind, x.status)
+		return errors.Newf("%s (%s) was refused with status %d but ran", x.id, x.kind, x.status)
 	case len(runs) > 2:
-		return errors.Newf("%s (%s) ran at %d targets, 2 are allowed", x.id, x.kind, len(runs))
+		return errors.Newf("%s (%s) ran %d times, maximum is 2", x.id, x.kind, len(runs))
 	case !x.key.revokedAt.IsZero() && len(runs) > 0 && x.sentAt.Sub(x.key.revokedAt) > revokeDelay+revokeSlack:
-		return errors.Newf("%s (%s) ran %s after its key was taken away", x.id, x.kind, x.sentAt.Sub(x.key.revokedAt))
+		return errors.Newf("%s (%s) ran although it was sent %s after its key was revoked", x.id, x.kind, x.sentAt.Sub(x.key.revokedAt))
 	}
 	for _, r := range runs {
 		if r.Workspace != "ws" || r.Body != "body of "+x.id {
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -21,8 +21,8 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// entry is a process of the program, with a door of the store to itself, and a
-// relay before that door.
+// entry is one entry process. It reaches the store through a relay and a store
+// server of its own, so that either can fail for this entry only.
 type entry struct {
 	soak         *Soak
 	number       int
@@ -36,12 +36,12 @@
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{}
-	// pausedAt is when a process of the entry was last made to stand still.
+	// pausedAt is the time of the last SIGSTOP to a process of this entry.
 	pausedAt time.Time
 }
 
-// Ports of each entry: the same on all hosts of a platform, and below those that
-// systems hand out.
+// Ports of each entry: the same on all hosts of a platform, and below the range of
+// ephemeral ports.
 const (
 	callersPort = 21000 + iota
 	readyPort
@@ -50,8 +50,8 @@
 	lastPort = firstPort + 5
 )
 
-// host is the address of an entry: on loopback, of this test process's own, so that
-// no other test takes its ports.
+// host returns the loopback address of entry i. It is derived from the process id of
+// the test, so that concurrent test processes don't share ports.
 func host(i int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&63, pid&255, 2+i)
@@ -89,7 +89,7 @@
 	return e, e.start()
 }
 
-// start starts the process, unless one runs.
+// start starts the process unless one is running.
 func (e *entry) start() error {
 	if e.exited != nil && !e.hasExited(0) {
 		return nil
@@ -112,18 +112,19 @@
 	return nil
 }
 
-// waiter takes the end of a process.
+// waiter waits for a process and closes exited when it ends.
 type waiter struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
 func (w *waiter) run() {
-	_ = w.cmd.Wait() // killed processes end with an error, which is what was asked for
+	_ = w.cmd.Wait() // a killed process returns an error, which is expected
 	close(w.exited)
 }
 
-// signal sends a signal to the process that was started, and to no other.
+// signal sends a signal to the entry's process unless it has exited, since its
+// process id could then belong to another process.
 func (e *entry) signal(sig syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,14 +135,15 @@
 	}
 }
 
-// currentExit is the end of the process that runs now.
+// currentExit returns the channel that is closed when the current process exits.
 func (e *entry) currentExit() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.exited
 }
 
-// hasExited waits for the process to end.
+// hasExited waits up to limit for the current process to exit and reports whether it
+// did.
 func (e *entry) hasExited(limit time.Duration) bool { return waitExit(e.currentExit(), limit) }
 
 func waitExit(exited <-chan struct{}, limit time.Duration) bool {
@@ -166,7 +168,7 @@
 	e.hasExited(5 * time.Second)
 }
 
-// isReady asks as the platform's balancer does.
+// isReady sends the readiness probe of the platform's load balancer.
 func (e *entry) isReady() bool {
 	c := http.Client{Timeout: time.Second}
 	resp, err := c.Get("http://" + e.readyAddr + "/api/readyz")
@@ -178,7 +180,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// readyTimeout is generous: a slow machine must not fail a run.
+// readyTimeout is long so that a slow machine does not fail a run.
 const readyTimeout = 30 * time.Second
 
 func (e *entry) waitReady() error {
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -9,13 +9,14 @@
 	"chestnutstep.example/chestnutstep/stand"
 )
 
-// fault is something that happens from outside, and what undoes it.
+// fault is a kind of fault that a run injects. inject returns the function that ends
+// the fault, or nil if there is nothing to end.
 type fault struct {
 	name   string
 	inject func(s *Soak) (undo func())
 }
 
-// faults overlap and come in series.
+// faults are all kinds of faults. Several can be active concurrently.
 var faults = []fault{
 	{"kill", (*Soak).killEntry},
 	{"pause", (*Soak).pauseEntry},
@@ -32,7 +33,8 @@
 	{"forget", func(s *Soak) func() { s.store.Compact(); return nil }},
 }
 
-// injectFaults lets faults happen until the time is over.
+// injectFaults injects random faults until Duration has passed and then ends those
+// still active.
 func (s *Soak) injectFaults() {
 	start := time.Now()
 	var undo []func()
@@ -43,7 +45,7 @@
 		if u := f.inject(s); u != nil {
 			undo = append(undo, u)
 		}
-		// About as many faults end as begin, in any order.
+		// With more than three active faults, a random one ends for each new one.
 		if len(undo) > 3 {
 			i := s.rand.IntN(len(undo))
 			undo[i]()
@@ -55,14 +57,15 @@
 	}
 }
 
-// clearFaults ends what may still be wrong.
+// clearFaults ends the faults that have no undo function and restarts the entries
+// that have exited.
 func (s *Soak) clearFaults() {
 	for _, e := range s.entries {
 		e.storeServer.SetFailure(stand.NoFailure)
 		e.relay.Heal()
 		e.signal(syscall.SIGCONT)
 		if e.hasExited(0) {
-			_ = e.start() // shows as an entry that is not ready
+			_ = e.start() // an error shows up in check as requests that are not served
 		}
 	}
 	for _, x := range s.targets {
@@ -84,7 +87,7 @@
 	return nil
 }
 
-// pauseEntry lets a process stand still; its clock goes on.
+// pauseEntry stops a process with SIGSTOP until undo; the clock continues.
 func (s *Soak) pauseEntry() func() {
 	e := s.pickEntry()
 	e.pausedAt = time.Now()
@@ -92,7 +95,7 @@
 	return func() { e.signal(syscall.SIGCONT) }
 }
 
-// stopEntry is a planned stop and a start behind it.
+// stopEntry stops a process with SIGTERM; undo waits for its exit and starts it again.
 func (s *Soak) stopEntry() func() {
 	e := s.pickEntry()
 	stopped, at := e.currentExit(), time.Now()
@@ -101,9 +104,9 @@
 	return func() {
 		e.signal(syscall.SIGCONT)
 		if !waitExit(stopped, gracePeriod) {
-			// One that stood still meanwhile had less than its grace.
+			// A process that was paused in the meantime ran for less than its grace period.
 			if e.pausedAt.Before(at) {
-				s.recordViolation("entry %d did not end within its grace", e.number)
+				s.recordViolation("entry %d did not exit within its grace period", e.number)
 			}
 			e.kill()
 		}
@@ -115,12 +118,12 @@
 
 func (s *Soak) failStore() func() {
 	e := s.pickEntry()
-	troubles := []stand.Failure{stand.Unresponsive, stand.Unavailable, stand.TooManyRequests, stand.Reset, stand.AnswerLost}
-	e.storeServer.SetFailure(troubles[s.rand.IntN(len(troubles))])
+	failures := []stand.Failure{stand.Unresponsive, stand.Unavailable, stand.TooManyRequests, stand.Reset, stand.AnswerLost}
+	e.storeServer.SetFailure(failures[s.rand.IntN(len(failures))])
 	return func() { e.storeServer.SetFailure(stand.NoFailure) }
 }
 
-// holdSource silences the connections between an entry and the store one way.
+// holdSource holds back all data between an entry and the store in one direction.
 func (s *Soak) holdSource() func() {
 	e := s.pickEntry()
 	e.relay.Hold(s.pickDirection())
@@ -142,13 +145,14 @@
 
 func (s *Soak) misbehaveTarget() func() {
 	x := s.pickTarget()
-	manners := []stand.Behaviour{stand.Shed, stand.Fails, stand.Resets, stand.Cuts, stand.ExtraAnswer, stand.Misdelivered, stand.Garbage, stand.Unframed, stand.Hangs, stand.Slow, stand.Skips}
-	m := manners[s.rand.IntN(len(manners))]
-	x.SetBehaviour(stand.Normal, m, m, m)
+	behaviours := []stand.Behaviour{stand.Shed, stand.Fails, stand.Resets, stand.Cuts, stand.ExtraAnswer, stand.Misdelivered, stand.Garbage, stand.Unframed, stand.Hangs, stand.Slow, stand.Skips}
+	b := behaviours[s.rand.IntN(len(behaviours))]
+	x.SetBehaviour(stand.Normal, b, b, b)
 	return nil
 }
 
-// leaveTarget lets a target leave as planned, and another one join. Two always stay.
+// leaveTarget drains a target and adds a new one. At least two targets are never
+// drained.
 func (s *Soak) leaveTarget() func() {
 	live := 0
 	for _, x := range s.targets {
@@ -171,7 +175,7 @@
 	return nil
 }
 
-// revokeKey takes a key away for good and gives out another.
+// revokeKey revokes a key permanently and adds a new one.
 func (s *Soak) revokeKey() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +191,8 @@
 	return nil
 }
 
-// recordViolation notes a promise that a fault itself found broken.
+// recordViolation records a broken guarantee that was detected while a fault was
+// injected or ended.
 func (s *Soak) recordViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,6 +1,7 @@
-// Package soak runs the real program as several processes on one machine, lets
-// faults happen to them from outside, at random and over each other, and checks
-// from what callers and targets see that the promises hold all the while.
+// Package soak runs the real program as several processes on one machine and
+// injects random, overlapping faults from outside while callers send requests. It
+// then compares the callers' answers with the targets' records to check that the
+// guarantees of the fleet held during the run.
 package soak
 
 import (
@@ -18,29 +19,31 @@
 )
 
 const (
-	// entryCount and targets of one run: enough that some can be away at once.
+	// entryCount and targetCount are large enough that several entries and targets
+	// can be down at the same time.
 	entryCount  = 5
 	targetCount = 4
-	// callerCount send side by side, each on connections that it keeps.
+	// callerCount is the number of concurrent callers; each keeps its own connections.
 	callerCount = 6
-	// revokeDelay is the bound on keys of the settings; revokeSlack is what a request
-	// that was sent within it may take to reach its target.
+	// revokeDelay is the maximum time for which a revoked key stays valid (revokeMs in
+	// the settings); revokeSlack is the time in which a request sent before that limit
+	// must reach its target.
 	revokeDelay = 2 * time.Second
 	revokeSlack = 500 * time.Millisecond
-	// gracePeriod is the time from SIGTERM to the end.
+	// gracePeriod is the maximum time from SIGTERM to the exit of a process.
 	gracePeriod = 5 * time.Second
-	// settleTime is how long after the last fault all must be well again.
+	// settleTime is the maximum time from the end of the last fault to normal operation.
 	settleTime = 6 * time.Second
 )
 
 // Soak is one run. Set the fields before Run.
 type Soak struct {
-	// Program is the binary to run.
+	// Program is the path of the binary to run.
 	Program string
-	// Dir takes settings and logs.
+	// Dir is the directory for settings and logs.
 	Dir  string
 	Seed uint64
-	// Duration is how long faults happen.
+	// Duration is the time for which faults are injected.
 	Duration time.Duration
 
 	store   *stand.Store
@@ -54,40 +57,41 @@
 	mu          sync.Mutex
 	requests    []*request
 	lastRequest int
-	// violations are promises that a fault itself found broken.
+	// violations are broken guarantees detected while faults were injected or ended.
 	violations []string
 	stop       chan struct{}
 }
 
-// target is a target behind a relay that can misbehave.
+// target is a target behind a relay that can hold back data and close connections.
 type target struct {
 	*stand.Target
 	relay *pipe.Relay
-	// leavesAt is when the store was told that it leaves; zero for never.
+	// leavesAt is the time at which the target was set to draining; zero if it was not.
 	leavesAt time.Time
 }
 
-// key is a caller's key, and when it was taken away.
+// key is a caller's key and the time of its revocation, zero if it is valid.
 type key struct {
 	text      string
 	revokedAt time.Time
 }
 
-// request is one request of a caller and what became of it.
+// request is one request of a caller and its outcome.
 type request struct {
 	id     string
 	kind   string
 	key    *key
 	sentAt time.Time
 	status int
-	// result is what the caller could tell of the answer.
+	// result is the class of the answer; see resultOf.
 	result string
 }
 
-// Faults lists what happened, for a failed run.
+// Faults returns the injected faults with their times, for the report of a failed run.
 func (s *Soak) Faults() []string { return s.faults }
 
-// Run plays the run and returns the first promise that was broken.
+// Run performs the run. It returns an error if the start fails or a guarantee is
+// broken.
 func (s *Soak) Run() error {
 	s.rand = rand.New(rand.NewPCG(s.Seed, s.Seed))
 	s.stop = make(chan struct{})
@@ -142,7 +146,7 @@
 	return nil
 }
 
-// addTarget starts a target and lists it.
+// addTarget starts a target and adds it to the store.
 func (s *Soak) addTarget() error {
 	x := &target{Target: stand.NewTarget(fmt.Sprintf("i-%d", len(s.targets)))}
 	x.EventCount, x.EventInterval = 6, 10*time.Millisecond
@@ -161,7 +165,7 @@
 	})
 }
 
-// publish writes a version with the keys that hold.
+// publish writes a new version of the configuration with the keys that are valid.
 func (s *Soak) publish() {
 	s.version += 1 + s.rand.IntN(3)
 	route := func(name, kind string, resumable bool) map[string]any {
@@ -196,5 +200,5 @@
 	}
 }
 
-// logFile is where an entry's lines go.
+// logFile returns the path of the log of entry i.
 func (s *Soak) logFile(i int) string { return filepath.Join(s.Dir, fmt.Sprintf("entry-%d.log", i)) }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,10 +22,11 @@
 	duration = flag.Duration("for", 4*time.Second, "how long faults happen")
 )
 
-// Processes are killed, paused, stopped and started, the store turns single ones
-// away, connections fall silent one way or break, targets answer wrongly, leave and
-// join, keys are taken away: all at random, in series and over each other. Callers go
-// on all the while, and afterwards each request is compared with what ran.
+// TestSoak guards against requests that run too often, are misdelivered or are
+// accepted with a revoked key while faults overlap: processes are killed, paused and
+// restarted, the store fails for single entries, connections stall in one direction
+// or break, targets misbehave, leave and join, and keys are revoked. Every request is
+// then compared with the runs recorded by the targets.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "chestnutstep")
 	out, err := exec.Command("go", "build", "-o", program, "../cmd/chestnutstep").CombinedOutput()
@@ -45,7 +46,8 @@
 	}
 }
 
-// keptSeeds are the seeds that ever failed, each with a line on its cause.
+// keptSeeds returns the seeds of testdata/seeds, which have failed before; that file
+// states their causes.
 func keptSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	f, err := os.Open("testdata/seeds")
@@ -61,7 +63,8 @@
 	return list
 }
 
-// keepLogs copies a failed run's logs to a folder that stays.
+// keepLogs copies the logs of a failed run to a directory that is not removed after
+// the test.
 func keepLogs(t *testing.T, s *soak.Soak) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", s.Seed))
