--- a/demo/verdict.go
+++ b/demo/check.go
@@ -11,7 +11,8 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// checkActions compares what callers were told with the services' own logs.
+// checkActions checks against the services' journals that every action ran exactly
+// once, and that its repeated request got the same answer.
 func (d *Demo) checkActions(ctx context.Context) error {
 	ran := map[string]int{}
 	for _, t := range d.Fleet.Targets {
@@ -32,7 +33,7 @@
 			continue
 		}
 		if !action.SameAnswer || action.Times != 1 {
-			d.addViolation("%s: its repeat got another answer: %s, then %s", action.Name, describe(action.First), describe(action.Second))
+			d.addViolation("%s: the repeated request got a different answer: %s, then %s", action.Name, describe(action.First), describe(action.Second))
 		}
 	}
 	return nil
@@ -46,7 +47,7 @@
 	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
-// check lists the promises that broke.
+// check returns an *ErrViolated with all violations, or nil.
 func (d *Demo) check() error {
 	for _, k := range []fake.ResultKind{fake.Truncated, fake.Misdelivered, fake.Broken, fake.Unreachable} {
 		if n := d.report.CountKind(k); n > 0 {
@@ -54,16 +55,16 @@
 		}
 	}
 	if d.report.CountKind(fake.Complete) == 0 {
-		d.addViolation("no answer was whole")
+		d.addViolation("no answer was complete")
 	}
 	if d.startedWhileOut > 0 {
-		d.addViolation("%d requests began in %s after it went out", d.startedWhileOut, movedDomain)
+		d.addViolation("%d requests started in %s while it was out of service", d.startedWhileOut, movedDomain)
 	}
 	if d.startedAfterReturn == 0 {
-		d.addViolation("%s got no work after it came back", movedDomain)
+		d.addViolation("%s received no requests after it was put back into service", movedDomain)
 	}
 	if n := d.sampler.crashCount(); n > 0 {
-		d.addViolation("engines fell over %d times", n)
+		d.addViolation("engines crashed %d times", n)
 	}
 	if len(d.violations) == 0 {
 		return nil
@@ -83,7 +84,8 @@
 	d.line("new work there since", fmt.Sprint(d.startedAfterReturn))
 }
 
-// publishTimeRounding is finer than the polling behind the figure.
+// publishTimeRounding is 10 ms in nanoseconds, finer than the polling interval of
+// WaitPublished.
 const publishTimeRounding = 1e7
 
 func (d *Demo) countOnce() int {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,7 +1,8 @@
-// Package demo plays the main job on a fleet of separate processes and checks
-// from the far end that the promises held: streamed chats that return and
-// cancel, bookings repeated through another entry, and a failure domain that is
-// taken out and brought back.
+// Package demo runs the main use case on a fleet of separate processes: streamed
+// chats of several turns, some of them canceled, bookings that are repeated through
+// another entry, and a failure domain that is taken out of service and put back. It
+// checks the guarantees of the fleet against the records of callers and targets and
+// prints a report.
 package demo
 
 import (
@@ -18,30 +19,33 @@
 	"chestnutstep.example/chestnutstep/load"
 )
 
-// Times of the demo, which has to end within a minute.
+// Durations of the parts of the demo, which must end within a minute.
 const (
-	// warmupTime lets chats return a few times before the failure domain goes.
+	// warmupTime is the time before the failure domain is taken out: enough for a few
+	// turns of each chat.
 	warmupTime = 8 * time.Second
-	// outTime is how long the failure domain stays out once all know.
+	// outTime is how long the failure domain stays out after the publication is in
+	// force in all processes.
 	outTime = 6 * time.Second
-	// backTime is how long the load goes on after it came back.
+	// backTime is how long the load continues after the failure domain is back.
 	backTime = 10 * time.Second
-	// playTime bounds the load if the moves take longer than they should.
+	// playTime is the maximum duration of the load if publishing takes too long.
 	playTime = 40 * time.Second
 )
 
-// movedDomain is the failure domain that leaves and returns.
+// movedDomain is the failure domain that is taken out and put back.
 const movedDomain = "domain-b"
 
-// bookings is how many actions each part of the demo makes.
+// bookings is the number of actions in each part of the demo.
 const bookings = 6
 
-// Demo is one play. Set the fields, then call Run.
+// Demo is one run. Set the exported fields, then call Run.
 type Demo struct {
+	// Fleet is the fleet to use; it must be started.
 	Fleet *fleet.Fleet
-	// Out takes the report.
+	// Out receives the report.
 	Out io.Writer
-	// Seed of the load.
+	// Seed is the seed of the load.
 	Seed uint64
 
 	report             load.Report
@@ -49,27 +53,29 @@
 	actions            []load.ActionResult
 	violations         []string
 	publishTimes       []time.Duration
-	startedWhileOut    int // new work in the domain after it went out
-	startedAfterReturn int // new work there after it came back
+	startedWhileOut    int // requests started in movedDomain while it was out
+	startedAfterReturn int // requests started in movedDomain after it was put back
 	playDone           chan struct{}
 }
 
-// ErrViolated says which promises did not hold.
+// ErrViolated is returned when guarantees of the fleet were violated.
 type ErrViolated struct {
+	// Violations describes each violation.
 	Violations []string
 }
 
 func (e *ErrViolated) Error() string {
-	return fmt.Sprintf("%d promises broke: %q", len(e.Violations), e.Violations)
+	return fmt.Sprintf("%d guarantees violated: %q", len(e.Violations), e.Violations)
 }
 
-// IsErrViolated reports whether err says that promises did not hold.
+// IsErrViolated reports whether err is or wraps an ErrViolated.
 func IsErrViolated(err error) bool {
 	var e *ErrViolated
 	return errors.As(err, &e)
 }
 
-// Run plays the demo on a fleet that has started, and prints the report.
+// Run runs the demo on a started fleet and prints the report. It returns an
+// *ErrViolated if guarantees were violated.
 func (d *Demo) Run(ctx context.Context) error {
 	d.playDone = make(chan struct{})
 	d.sampler = sampler{fleet: d.Fleet, done: make(chan struct{})}
@@ -91,7 +97,7 @@
 	return d.check()
 }
 
-// playChats plays the chats.
+// playChats generates the chat load until ctx is canceled or all chats have ended.
 func (d *Demo) playChats(ctx context.Context) {
 	defer close(d.playDone)
 	p := load.Player{
@@ -115,7 +121,8 @@
 	}.GenerateChats())
 }
 
-// moveDomain books, takes the failure domain out, books, brings it back, and books.
+// moveDomain takes the failure domain out of service and puts it back, and makes
+// bookings before, in between and after.
 func (d *Demo) moveDomain(ctx context.Context) error {
 	if err := d.book(ctx, "before"); err != nil {
 		return err
@@ -158,7 +165,7 @@
 	return err
 }
 
-// book makes bookings and repeats each through the other entry.
+// book makes bookings and repeats each of them through the other entry.
 func (d *Demo) book(ctx context.Context, part string) error {
 	a := load.Actor{
 		Caller:  &fake.Caller{Entries: d.Fleet.URLs(), Key: fleet.Keys["darkroom"]},
@@ -175,7 +182,8 @@
 	return nil
 }
 
-// countStarted counts the requests that engines of a failure domain began.
+// countStarted returns the number of requests started so far by the engines of a
+// failure domain.
 func (d *Demo) countStarted(ctx context.Context, domain string) (int, error) {
 	n := 0
 	for _, t := range d.Fleet.Targets {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -2,9 +2,9 @@
 
 import "chestnutstep.example/chestnutstep/fleet"
 
-// Fleet is the fleet of the demo, not started: three failure domains with an
-// engine each, two plain services, two entries. Engines start cold and fall
-// over if they are given more than they can carry.
+// Fleet returns the fleet of the demo without starting it: three failure domains
+// with one engine each, two plain services and two entries. Engines start cold
+// and crash if they receive more than 4 concurrent requests while cold.
 func Fleet(bin, dir string) *fleet.Fleet {
 	return &fleet.Fleet{
 		Bin:              bin,
--- a/demo/sampler.go
+++ b/demo/sampler.go
@@ -8,10 +8,11 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// samplePeriod is how often the engines' own load reports are read.
+// samplePeriod is the interval between reads of the engines' load reports.
 const samplePeriod = 200 * time.Millisecond
 
-// sampler compares the engines' loads by their own reports.
+// sampler samples the engines' load reports to measure how evenly the load is
+// distributed. largest and mean are sums over all samples.
 type sampler struct {
 	fleet   *fleet.Fleet
 	done    chan struct{}
@@ -35,8 +36,8 @@
 	}
 }
 
-// sample takes engines in service only: an empty one that operators took out
-// would make the rest look uneven.
+// sample adds one sample. It includes only engines in service: an idle engine in a
+// failure domain that is out would lower the mean and exaggerate the skew.
 func (s *sampler) sample(ctx context.Context) {
 	var sum, largest float64
 	n := 0
@@ -69,7 +70,7 @@
 	return false
 }
 
-// skew is the largest load over the mean load, over the whole play.
+// skew returns the ratio of the largest load to the mean load over all samples.
 func (s *sampler) skew() float64 {
 	if s.mean == 0 {
 		return 0
