--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,7 +1,8 @@
-// Package bench measures the fleet as separate processes against the naive
-// pass-through in the same run: the time to the first byte that entry and agent
-// add, memory for an open stream, and an entry's CPU time under load. It also
-// measures a fleet of many processes at rest and under changes.
+// Package bench measures a fleet of separate processes and compares it with a plain
+// reverse proxy (the naive path) in the same run: the time to the first byte that
+// entry and agent add, the memory per open stream, and an entry's CPU time under
+// load. It also measures a fleet of many processes while idle and during changes of
+// the publication.
 package bench
 
 import (
@@ -22,30 +23,32 @@
 
 // Bench is one measurement. Set the fields, then call one of its methods.
 type Bench struct {
-	// Bin is the directory with the programs, Dir takes settings and logs.
+	// Bin is the directory of the programs; Dir is the directory for settings and logs.
 	Bin, Dir string
-	// Streams is how many are held open while the first byte is timed.
+	// Streams is the number of streams kept open per path while the first byte is
+	// timed.
 	Streams int
-	// Probes is how many requests are timed on each path.
+	// Probes is the number of timed requests per path.
 	Probes int
-	// Rate is the requests a second, Tokens those of one answer, and Time how
-	// long the load of Throughput lasts.
+	// Rate is the load of Throughput in requests per second, Tokens the number of
+	// tokens per answer, and Time the duration of the load.
 	Rate, Tokens int
 	Time         time.Duration
-	// Out takes the figures.
+	// Out receives the results.
 	Out io.Writer
 }
 
-// Steps of the engine under test: short, so that the wait for the next one
-// hides little of what is measured; background streams take each slowPace-th.
 const (
+	// tokenInterval is the duration of one step of the engine under test. It is short
+	// because the wait for the next step adds to each measured time.
 	tokenInterval = 250 * time.Microsecond
-	heldPace      = 400
-	// warmProbes go first and are not counted: they open connections.
+	// heldPace is the pace of the background streams: one token per heldPace steps.
+	heldPace = 400
+	// warmProbes is the number of untimed probes that open the connections first.
 	warmProbes = 50
 )
 
-// path is one way from a caller to the engine.
+// path is one path from a caller to the engine: direct, naive or fleet.
 type path struct {
 	name      string
 	caller    *fake.Caller
@@ -53,8 +56,8 @@
 	failures  int
 }
 
-// removeLimits lifts the caps that a fleet's decisions would set on the load, since
-// the cost of passing bytes on is measured here, not the decisions.
+// removeLimits raises the limits of all models, so that the fleet sheds no requests:
+// the measurement covers the cost of forwarding, not admission control.
 func removeLimits(p *chestnutstep.Publication) {
 	const unlimited = 5000
 	for i := range p.Models {
@@ -107,7 +110,8 @@
 	s.once.Do(s.opened.Done)
 }
 
-// openStreams opens streams on a path and waits until all have had a token.
+// openStreams opens n streams on a path and waits until each has received a token or
+// has ended.
 func (p *path) openStreams(ctx context.Context, n int) {
 	all := make([]*stream, n)
 	for i := range all {
@@ -122,7 +126,8 @@
 	}
 }
 
-// probe times the first byte of one short answer.
+// probe times the first byte of one short answer. Probes with a negative number are
+// not recorded.
 func (p *path) probe(ctx context.Context, n int) {
 	res := p.caller.Do(ctx, request(fmt.Sprintf("%s-probe-%d", p.name, n), fake.ChatRequest{Output: 1}))
 	if res.Kind != fake.Complete {
@@ -134,8 +139,9 @@
 	}
 }
 
-// FirstByte times the first byte on three paths in turn, with streams open on
-// the fleet's path and on the naive one, and compares memory before and after.
+// FirstByte measures the time to the first byte on the direct, naive and fleet paths,
+// with streams open on the last two, and the growth in memory of the processes. It
+// returns an error if probes on the fleet path failed.
 func (b *Bench) FirstByte(ctx context.Context) error {
 	f, pass, err := b.start(ctx, 1, tokenInterval)
 	if err != nil {
@@ -165,8 +171,8 @@
 	return paths[2].check()
 }
 
-// probe takes the paths in turn, so that a busy moment of the machine falls on
-// all of them.
+// probe alternates between the paths, so that variations in the load of the machine
+// affect all of them alike.
 func (b *Bench) probe(ctx context.Context, paths []*path, from, to int) {
 	for i := from; i < to; i++ {
 		for _, p := range paths {
@@ -177,7 +183,7 @@
 
 func (p *path) check() error {
 	if p.failures > 0 {
-		return errors.Newf("%d probes of %s were not served whole", p.failures, p.name)
+		return errors.Newf("%d probes on path %s did not get a complete answer", p.failures, p.name)
 	}
 	return nil
 }
--- a/bench/memory.go
+++ b/bench/memory.go
@@ -7,7 +7,8 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// usageSpan compares the resident memory of processes before and after.
+// usageSpan records the CPU time and resident memory of processes at the beginning
+// and the end of a measurement.
 type usageSpan struct {
 	processes []*fleet.Process
 	before    []fleet.Usage
@@ -38,8 +39,9 @@
 	return out, nil
 }
 
-// print gives the slope, a stream, and the whole. Resident memory includes
-// what the garbage collector has not returned yet, so it errs high.
+// print writes the resident memory of each process and its growth per stream. The
+// figures are upper bounds: resident memory includes free heap that the runtime has
+// not returned to the operating system.
 func (m *usageSpan) print(w io.Writer, streams int) {
 	for i, p := range m.processes {
 		growth := m.after[i].Resident - m.before[i].Resident
--- a/bench/pad.go
+++ b/bench/pad.go
@@ -7,27 +7,28 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// What fills a publication up to the planned size.
+// Kinds of padding that extend a publication to the planned size.
 const (
 	PadNone       = "none"
 	PadWorkspaces = "workspaces"
 	PadAll        = "all" // workspaces, hosts, models and targets
 )
 
-// padWorkspaces fills up the workspaces.
+// padWorkspaces adds the workspaces of the planned size and sets its read rate.
 func padWorkspaces(p *chestnutstep.Publication) {
 	q := fake.PlannedSize.Publication(1)
 	p.Workspaces = append(p.Workspaces, q.Workspaces...)
 	p.Budget.ReadRate = q.Budget.ReadRate
 }
 
-// padTargets fills up targets, hosts and models. The targets are out of service
-// and nothing listens at their addresses, so nobody is offered to them;
-// processes still try to gossip with them, as with any agent.
+// padTargets adds the domains, hosts, models, profiles and targets of the planned
+// size. The targets are out of service, so they receive no offers, and nothing
+// listens at their addresses; processes still try to gossip with them as with any
+// agent.
 //
-// It is published once the fleet runs: each process's share of reads is that of
-// one among 3,050, and the few that are really there would fetch the parts of
-// such a first publication for minutes.
+// It must be published after the start of the fleet: each process limits its reads to
+// its share of the budget among 3,050 processes, and the few real processes would
+// need minutes to fetch the parts of a first publication of this size.
 func padTargets(p *chestnutstep.Publication) {
 	q := fake.PlannedSize.Publication(1)
 	for i := range q.Hosts {
@@ -44,7 +45,7 @@
 	p.Targets = append(p.Targets, q.Targets...)
 }
 
-// unusedAddress is the i-th loopback address that no fleet ever uses.
+// unusedAddress returns the i-th address of a loopback range that no fleet uses.
 func unusedAddress(i int) string {
 	return fmt.Sprintf("127.230.%d.%d:17100", i>>8, i&0xff)
 }
--- a/bench/sample.go
+++ b/bench/sample.go
@@ -18,9 +18,10 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// sample is what the processes used and sent up to a moment.
+// sample holds the cumulative resource usage, gossip bytes and platform calls of the
+// processes at one time.
 type sample struct {
-	agents    int // the first of the processes; entries follow
+	agents    int // number of agents, which come first in usage and gossip; entries follow
 	usageAt   time.Time
 	usage     []fleet.Usage
 	metricsAt time.Time
@@ -28,7 +29,8 @@
 	calls     fake.Calls
 }
 
-// begin reads the pages first, so that answering them is not in the CPU time.
+// begin takes the sample at the beginning of a measurement. It reads the metrics
+// before the usage, so that the CPU time excludes serving the metrics.
 func (s *sample) begin(ctx context.Context, f *fleet.Fleet) error {
 	s.agents = len(f.Targets)
 	if err := s.readMetrics(ctx, f); err != nil {
@@ -37,7 +39,8 @@
 	return s.readUsage(f)
 }
 
-// end reads the pages last, for the same reason.
+// end takes the sample at the end of a measurement. It reads the metrics after the
+// usage, for the same reason.
 func (s *sample) end(ctx context.Context, f *fleet.Fleet) error {
 	s.agents = len(f.Targets)
 	if err := s.readUsage(f); err != nil {
@@ -54,7 +57,8 @@
 	return err
 }
 
-// readMetrics reads the counters of the platform and of each process.
+// readMetrics reads the call counts of the platform and the gossip counters of each
+// process.
 func (s *sample) readMetrics(ctx context.Context, f *fleet.Fleet) error {
 	s.metricsAt = time.Now()
 	if err := readJSON(ctx, "http://"+f.Platform.Address+"/control/calls", &s.calls); err != nil {
@@ -91,7 +95,7 @@
 	return json.NewDecoder(body).Decode(v)
 }
 
-// gossipBytes adds up both ways of a process's control messages with peers.
+// gossipBytes returns the number of gossip bytes that a process has sent and received.
 func gossipBytes(ctx context.Context, p *fleet.Process) (float64, error) {
 	body, err := read(ctx, "http://"+p.Admin+"/metrics")
 	if err != nil {
@@ -114,7 +118,8 @@
 	return sum, lines.Err()
 }
 
-// print gives what each process used since an earlier sample.
+// print writes the CPU time, gossip bytes and platform calls per second since an
+// earlier sample, and the resident memory.
 func (s *sample) print(w io.Writer, before *sample) {
 	d, paged := s.usageAt.Sub(before.usageAt).Seconds(), s.metricsAt.Sub(before.metricsAt).Seconds()
 	var cpu, bytes, resident []float64
@@ -135,12 +140,13 @@
 	fmt.Fprintf(w, "  calls to the platform: %.1f/s\n", float64(s.total()-before.total())/paged)
 }
 
-// total counts every call, as the service's budget does.
+// total returns the number of served platform calls of all kinds, all of which count
+// against the read budget.
 func (s *sample) total() int64 {
 	return s.calls.Read + s.calls.Watch + s.calls.Hosts
 }
 
-// medianAndMax formats the median and the greatest.
+// medianAndMax formats the median and the maximum.
 func medianAndMax(x []float64, digits int) string {
 	x = slices.Clone(x)
 	slices.Sort(x)
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -13,41 +13,43 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// Scale measures a fleet of many real processes with a publication of the
-// planned size: what small runs can't show is how a change spreads, and what a
-// process pays at rest for having many peers. Set the fields, then call Run.
+// Scale measures a fleet of many real processes with a publication of the planned
+// size: how fast a change reaches all processes, and what many peers cost an idle
+// process. Small fleets show neither. Set the fields, then call Run.
 type Scale struct {
-	// Bin is the directory with the programs, Dir takes settings and logs.
+	// Bin is the directory of the programs; Dir is the directory for settings and logs.
 	Bin, Dir string
-	// Agents, each beside an engine, and Entries.
+	// Agents is the number of agents, each with an engine; Entries is the number of
+	// entries.
 	Agents, Entries int
-	// Changes is how many publications are timed.
+	// Changes is the number of timed publications.
 	Changes int
-	// Rest is how long the fleet is watched while nothing changes.
+	// Rest is the duration of the measurement of the idle fleet.
 	Rest time.Duration
-	// Pad is what fills the publication up to the planned size.
+	// Pad is the kind of padding: PadNone, PadWorkspaces or PadAll.
 	Pad string
-	// Out takes the figures.
+	// Out receives the results.
 	Out io.Writer
 }
 
 const (
-	// maxScaleProcesses bounds the run: the machine is shared, and a host number
-	// of the loopback network is one byte.
+	// maxScaleProcesses is the maximum number of processes of a run: the machine is
+	// shared, and the host number in a loopback address is one byte.
 	maxScaleProcesses = 200
 	scaleDomains      = 6
-	// scaleSettleTime lets what the start left behind pass before the rest is timed.
+	// scaleSettleTime is the time for the work after the start to end before the idle
+	// fleet is measured.
 	scaleSettleTime = 10 * time.Second
 )
 
-// check refuses what would be too large or could not be read.
+// check returns an error if the fleet would be too large or a field is invalid.
 func (s *Scale) check() error {
 	n := 1 + 2*s.Agents + s.Entries
 	if n > maxScaleProcesses {
-		return errors.Newf("%d processes: at most %d", n, maxScaleProcesses)
+		return errors.Newf("%d processes exceed the maximum of %d", n, maxScaleProcesses)
 	}
 	if s.Agents < scaleDomains || s.Agents%scaleDomains != 0 || s.Entries < 1 || s.Changes < 1 {
-		return errors.Newf("needs an entry, a change and a multiple of %d agents", scaleDomains)
+		return errors.Newf("want at least one entry, at least one change and a multiple of %d agents", scaleDomains)
 	}
 	if !slices.Contains([]string{PadNone, PadWorkspaces, PadAll}, s.Pad) {
 		return errors.Newf("unknown padding %q", s.Pad)
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// Run starts the fleet, measures and prints, and ends the fleet.
+// Run starts the fleet, takes and prints the measurements, and stops the fleet.
 func (s *Scale) Run(ctx context.Context) error {
 	if err := s.check(); err != nil {
 		return err
@@ -81,7 +83,8 @@
 	return s.measureChanges(ctx, f)
 }
 
-// addPadding publishes what fills up the targets, if asked for.
+// addPadding publishes the additional targets if Pad is PadAll, and prints the size of
+// the publication.
 func (s *Scale) addPadding(ctx context.Context, f *fleet.Fleet) error {
 	if s.Pad == PadAll {
 		if err := f.Publish(ctx, padTargets); err != nil {
@@ -98,7 +101,7 @@
 	return nil
 }
 
-// measureRest watches the fleet while nothing changes and nobody calls.
+// measureRest measures the fleet without changes and without requests.
 func (s *Scale) measureRest(ctx context.Context, f *fleet.Fleet) error {
 	if err := wait(ctx, scaleSettleTime); err != nil {
 		return err
@@ -126,15 +129,16 @@
 	}
 }
 
-// changeTime is how one change reached the processes.
+// changeTime holds the times in which one change reached the processes.
 type changeTime struct {
-	// all is from before its first part was written until the last process held
-	// it; last is from the first process to the last.
+	// all is the time from before the first part is written until the last process
+	// holds the change; last is the time from the first process to the last.
 	all, last time.Duration
 }
 
-// measureChanges publishes one change after the other and times each. The processes
-// say themselves since when they hold it, so looking at them costs no accuracy.
+// measureChanges publishes changes one after another and times each. Every process
+// reports the time since which it holds a publication, so the polling interval does
+// not affect the result.
 func (s *Scale) measureChanges(ctx context.Context, f *fleet.Fleet) error {
 	var all, last []time.Duration
 	for range s.Changes {
@@ -181,7 +185,7 @@
 	return changeTime{last.Sub(start).Round(time.Millisecond), last.Sub(first).Round(time.Millisecond)}, nil
 }
 
-// processes lists agents, then entries.
+// processes returns the agents, followed by the entries.
 func processes(f *fleet.Fleet) []*fleet.Process {
 	var out []*fleet.Process
 	for _, t := range f.Targets {
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -11,15 +11,15 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// Engines of the throughput load: several, so that one stand-in's batch loop
-// is not what is measured; each answer takes about a second.
+// Engines of the throughput measurement: several, so that the batch loop of one fake
+// engine is not the bottleneck. Each answer takes about one second.
 const (
 	loadEngines = 4
 	loadStep    = 5 * time.Millisecond
 )
 
-// loadRun sends requests at a fixed rate, whether or not answers come back: a
-// slow path must not slow down the load that it is measured under.
+// loadRun is an open-loop load generator: it sends requests at a fixed rate without
+// waiting for answers, so that a slow path does not reduce the load on itself.
 type loadRun struct {
 	path       *path
 	rate       int
@@ -58,8 +58,8 @@
 	l.complete.Add(1)
 }
 
-// Throughput plays the same load over the fleet and over the naive path, one
-// after the other, and compares CPU time.
+// Throughput sends the same load over the naive path and then over the fleet, and
+// compares the CPU time of proxy and entry.
 func (b *Bench) Throughput(ctx context.Context) error {
 	f, pass, err := b.start(ctx, loadEngines, loadStep)
 	if err != nil {
@@ -83,8 +83,9 @@
 	return nil
 }
 
-// runLoad plays the load on a path and returns the cores that its first process
-// used. The first second is left out: it opens connections.
+// runLoad sends the load over a path and returns the average number of CPU cores used
+// by the first of the processes. The first two seconds of load are not measured,
+// because they include opening connections.
 func (b *Bench) runLoad(ctx context.Context, p *path, ps []*fleet.Process) (float64, error) {
 	l := &loadRun{path: p, rate: b.Rate, tokens: b.Tokens}
 	m := &usageSpan{processes: ps}
