--- a/faults/verbs_test.go
+++ b/faults/commands_test.go
@@ -15,7 +15,8 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// signal KIND PROCESS...: kill, stop, freeze or thaw.
+// signal implements the command "signal KIND PROCESS...": it kills, stops, suspends
+// (freeze) or resumes (thaw) processes.
 func (s *scenario) signal(d *datadriven.TestData) string {
 	for _, a := range d.CmdArgs[1:] {
 		p := s.process(a.Key)
@@ -33,7 +34,8 @@
 	return ""
 }
 
-// restart PROCESS... starts entries and agents that ended, and waits for them.
+// restart implements the command "restart PROCESS...": it waits until entries and
+// agents have exited, starts them again and waits until they are ready.
 func (s *scenario) restart(d *datadriven.TestData) string {
 	for _, a := range d.CmdArgs {
 		p := s.process(a.Key)
@@ -55,7 +57,8 @@
 	return s.fleet.StartEntry(p)
 }
 
-// awaitExit PROCESS waits for its end and says how it ended.
+// awaitExit implements the command "ended PROCESS": it waits until the process has
+// exited and prints its exit status.
 func (s *scenario) awaitExit(d *datadriven.TestData) string {
 	p := s.process(d.CmdArgs[0].Key)
 	select {
@@ -69,7 +72,8 @@
 	return "by itself\n"
 }
 
-// fault TARGET..., with the fault as input.
+// fault implements the command "fault TARGET...": it sets the fault in the input, a
+// JSON fake.Fault, at targets.
 func (s *scenario) fault(d *datadriven.TestData) string {
 	var f fake.Fault
 	assert.NilError(s.t, json.Unmarshal([]byte(d.Input), &f))
@@ -79,7 +83,8 @@
 	return ""
 }
 
-// platform, with a mode as input.
+// platform implements the command "platform": it sets the platform mode in the input,
+// a JSON fake.Mode.
 func (s *scenario) platform(d *datadriven.TestData) string {
 	var m fake.Mode
 	assert.NilError(s.t, json.Unmarshal([]byte(d.Input), &m))
@@ -87,7 +92,9 @@
 	return ""
 }
 
-// domain out|back NAME publishes it and waits until all know.
+// domain implements the command "domain out|back NAME": it publishes that a failure
+// domain is out of service or back, and waits until all processes have applied the
+// publication.
 func (s *scenario) domain(d *datadriven.TestData) string {
 	s.noError(s.fleet.SetDomainOut(s.ctx, d.CmdArgs[1].Key, d.CmdArgs[0].Key == "out"))
 	if s.fleet.Naive {
@@ -98,6 +105,7 @@
 	return ""
 }
 
+// count returns the number of executions so far at the targets of a failure domain.
 func (s *scenario) count(domain string) int {
 	n := 0
 	for _, t := range s.fleet.Targets {
@@ -110,13 +118,15 @@
 	return n
 }
 
-// mark DOMAIN remembers how much its targets have run; fresh tells what came
-// since.
+// mark implements the command "mark DOMAIN": it stores the number of executions at the
+// targets of a failure domain.
 func (s *scenario) mark(d *datadriven.TestData) string {
 	s.marks[d.CmdArgs[0].Key] = s.count(d.CmdArgs[0].Key)
 	return ""
 }
 
+// startedSinceMark implements the command "fresh DOMAIN [some]": it prints the number
+// of executions since mark, or with some whether there were any.
 func (s *scenario) startedSinceMark(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	n := s.count(name) - s.marks[name]
@@ -126,8 +136,8 @@
 	return fmt.Sprintln(n)
 }
 
-// runMany PREFIX n=N [entry=N] makes that many chats, one after the other, and
-// counts what callers got.
+// runMany implements the command "many PREFIX [n=N] [entry=N]": it sends N chat
+// requests, one after another, and prints the number of results of each kind.
 func (s *scenario) runMany(d *datadriven.TestData) string {
 	n := 1
 	d.MaybeScanArgs(s.t, "n", &n)
@@ -149,7 +159,8 @@
 	return strings.Join(out, ", ") + "\n"
 }
 
-// sleep D lets time pass where time itself is the fault.
+// sleep implements the command "sleep D". Scripts use it only where the passing of
+// time is part of the fault.
 func (s *scenario) sleep(d *datadriven.TestData) string {
 	v, err := time.ParseDuration(d.CmdArgs[0].Key)
 	s.noError(err)
--- a/faults/faults.go
+++ b/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults holds failure tests with real processes: scripts in testdata
-// start a fleet, kill, freeze and stop its processes in the middle of requests,
-// and compare what callers got with the targets' own logs. The cells of the
-// fault matrix that need no real process are in package matrix.
+// Package faults contains failure tests with real processes: scripts in testdata
+// start a fleet, kill, suspend and stop its processes during requests, and compare
+// the callers' results with the targets' journals. Package matrix covers the cells
+// of the fault matrix that need no real processes.
 package faults
--- a/faults/faults_test.go
+++ b/faults/faults_test.go
@@ -17,7 +17,8 @@
 	os.Exit(build(m))
 }
 
-// build compiles the programs that the scripts start.
+// build compiles the programs that the scripts start, runs the tests and returns the
+// exit code.
 func build(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "programs")
 	if err != nil {
@@ -34,13 +35,15 @@
 	return m.Run()
 }
 
-// TestFleet plays the scripts on the fleet.
+// TestFleet runs the scripts of testdata/fleet. They guard against lost, repeated and
+// truncated answers while processes, targets or the platform fail.
 func TestFleet(t *testing.T) {
 	walk(t, "testdata/fleet")
 }
 
-// TestNaive plays some of the same faults on the naive pass-through. What the
-// scripts note is how it fails, so that it is seen which mechanism matters.
+// TestNaive runs some of the same faults against a plain reverse proxy. The expected
+// output of these scripts records how the proxy fails, which shows the failures that
+// the mechanisms of the fleet prevent.
 func TestNaive(t *testing.T) {
 	walk(t, "testdata/naive")
 }
--- a/faults/stage_test.go
+++ b/faults/scenario_test.go
@@ -19,12 +19,13 @@
 	"chestnutstep.example/chestnutstep/fleet"
 )
 
-// call is one request of a script and what became of it.
+// call is one request of a script and its result.
 type call struct {
 	caller  *fake.Caller
 	request fake.Request
 	action  string
-	// retryRefused comes back as long as the answer is 503, as Retry-After says.
+	// retryRefused makes the caller retry as long as the status is 503, after the
+	// delay in Retry-After and for up to retryTimeout.
 	retryRefused bool
 	res          fake.Result
 	tokens       atomic.Int64
@@ -43,7 +44,7 @@
 	}
 }
 
-// retryTimeout is generous: a slow machine must not fail a test.
+// retryTimeout is long so that a slow machine does not fail a test.
 const retryTimeout = time.Minute
 
 // scenario is the state of one script.
@@ -56,7 +57,7 @@
 	marks   map[string]int
 }
 
-// commands are the commands of the scripts.
+// commands maps the commands of the scripts to their implementations.
 var commands = map[string]func(*scenario, *datadriven.TestData) string{
 	"fleet":    (*scenario).start,
 	"chat":     (*scenario).chat,
@@ -106,7 +107,12 @@
 	assert.NilError(s.t, err)
 }
 
-// fleet [domains=N] [engines=N] [services=N] [entries=N] [naive] [engine=FLAGS] [service=FLAGS] [drain=D]
+// start implements the command
+//
+//	fleet [domains=N] [engines=N] [services=N] [entries=N] [naive] [engine=FLAGS] [service=FLAGS] [drain=D] [linger=D]
+//
+// It starts a fleet; naive starts the plain reverse proxy instead of entries and
+// agents.
 func (s *scenario) start(d *datadriven.TestData) string {
 	f := &fleet.Fleet{Bin: programs, Dir: s.t.TempDir(), DomainCount: 1, EnginesPerDomain: 1, EntryCount: 1, Naive: d.HasArg("naive")}
 	d.MaybeScanArgs(s.t, "domains", &f.DomainCount)
@@ -130,8 +136,8 @@
 	return ""
 }
 
-// process finds a process: by its name, or "target:CALL" and "agent:CALL" for
-// where a call runs.
+// process returns the process with a name. "target:CALL" and "agent:CALL" name the
+// target that runs a call and its agent.
 func (s *scenario) process(name string) *fleet.Process {
 	for _, p := range s.fleet.Entries {
 		if p.Name == name {
@@ -152,11 +158,11 @@
 			return t.Agent
 		}
 	}
-	s.t.Fatalf("no process %s", name)
+	s.t.Fatalf("process %s does not exist", name)
 	return nil
 }
 
-// targetOf is the target that a call runs at.
+// targetOf returns the target that runs or ran a call.
 func (s *scenario) targetOf(name string) *fleet.Target {
 	for _, t := range s.fleet.Targets {
 		all, err := t.Executions(s.ctx)
@@ -167,12 +173,12 @@
 			}
 		}
 	}
-	s.t.Fatalf("call %s runs nowhere", name)
+	s.t.Fatalf("call %s: no target has run it", name)
 	return nil
 }
 
-// matches says whether an execution is of this call: an action counts by its name,
-// whatever request it came in.
+// matches reports whether an execution belongs to this call. An action is matched by
+// its name, because repeated requests for it have different ids.
 func (c *call) matches(e fake.Execution) bool {
 	if c.action != "" {
 		return e.Action == c.action
@@ -194,7 +200,11 @@
 	go c.run(s.ctx)
 }
 
-// chat NAME [entry=N] [chat=C] [output=N] [text=T] [timeout=D]
+// chat implements the command
+//
+//	chat NAME [entry=N] [chat=C] [output=N] [text=T] [timeout=D]
+//
+// It sends a chat request in the background.
 func (s *scenario) chat(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	chat := fake.ChatRequest{Prompt: 100, Output: 200, Note: name}
@@ -219,7 +229,11 @@
 	return v
 }
 
-// ticket NAME [entry=N]
+// ticket implements the command
+//
+//	ticket NAME [entry=N]
+//
+// It requests a ticket from an entry and stores it as NAME.
 func (s *scenario) ticket(d *datadriven.TestData) string {
 	if s.fleet.Naive {
 		return ""
@@ -231,7 +245,11 @@
 	return ""
 }
 
-// book NAME ticket=T [entry=N] [action=A] [timeout=D]
+// book implements the command
+//
+//	book NAME ticket=T [entry=N] [action=A] [timeout=D]
+//
+// It sends a booking with a stored ticket in the background.
 func (s *scenario) book(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	c := &call{action: "act-" + name}
@@ -247,7 +265,12 @@
 	return ""
 }
 
-// repeat NAME of=CALL [entry=N] [id=ID] [insist]
+// repeat implements the command
+//
+//	repeat NAME of=CALL [entry=N] [id=ID] [insist]
+//
+// It sends the request of an earlier call again; insist retries it while it is
+// refused with status 503.
 func (s *scenario) repeat(d *datadriven.TestData) string {
 	var callName string
 	d.ScanArgs(s.t, "of", &callName)
@@ -259,7 +282,7 @@
 	return ""
 }
 
-// executions are those of a call at all targets, in no order between targets.
+// executions returns the executions of a call at all targets, grouped by target.
 func (s *scenario) executions(name string) ([]fake.Execution, error) {
 	var out []fake.Execution
 	for _, t := range s.fleet.Targets {
@@ -276,7 +299,8 @@
 	return out, nil
 }
 
-// awaitStart CALL waits until a target runs it.
+// awaitStart implements the command "begun CALL": it waits until a target has started
+// the call.
 func (s *scenario) awaitStart(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	s.noError(fleet.WaitFor(s.ctx, name+" begun", func() error {
@@ -289,7 +313,8 @@
 	return ""
 }
 
-// awaitTokens CALL waits until its caller has read a few tokens.
+// awaitTokens implements the command "read CALL": it waits until the caller has read
+// minTokens tokens.
 func (s *scenario) awaitTokens(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	s.noError(fleet.WaitFor(s.ctx, name+" read", func() error {
@@ -301,11 +326,12 @@
 	return ""
 }
 
-// minTokens is enough to be in the middle of an answer.
+// minTokens is the number of tokens after which a call is in the middle of its answer.
 const minTokens = 5
 
-// awaitEnd CALL [brief] waits for the answer and says what the caller got; brief
-// leaves out what may be known or not, depending on who has heard what.
+// awaitEnd implements the command "end CALL [brief]": it waits for the answer and
+// prints the caller's result. brief omits the run status of refused requests, which
+// depends on which processes have already received the report of the run.
 func (s *scenario) awaitEnd(d *datadriven.TestData) string {
 	c := s.calls[d.CmdArgs[0].Key]
 	select {
@@ -331,7 +357,8 @@
 	return string(c.res.Kind) + "\n"
 }
 
-// countRuns CALL waits until no target runs it any more and says how often it ran.
+// countRuns implements the command "ran CALL": it waits until no target runs the call
+// and prints the number and the outcomes of its executions.
 func (s *scenario) countRuns(d *datadriven.TestData) string {
 	var all []fake.Execution
 	s.noError(fleet.WaitFor(s.ctx, d.CmdArgs[0].Key+" over", func() error {
