--- a/fake/target_test.go
+++ b/fake/target_test.go
@@ -90,7 +90,8 @@
 	return ""
 }
 
-// start sends a request: NAME METHOD PATH chat=C, with the body as input.
+// start sends a request in the background. Its arguments are NAME METHOD PATH and
+// headers as KEY=VALUE; the input is the body.
 func (b *testTarget) start(d *datadriven.TestData) string {
 	name := d.CmdArgs[0].Key
 	ctx, cancel := context.WithCancel(b.t.Context())
@@ -182,7 +183,8 @@
 	return fmt.Sprintf("%d %d bytes %s\n", w.StatusCode, len(raw), strings.TrimSpace(string(raw[:min(len(raw), 600)])))
 }
 
-// wait waits until an execution has the outcome: wait REQUEST OUTCOME.
+// wait implements the command "wait REQUEST OUTCOME": it waits up to five seconds
+// until an execution of the request has the outcome.
 func (b *testTarget) wait(d *datadriven.TestData) string {
 	for range 5000 {
 		for _, e := range b.executions() {
--- a/soak/check.go
+++ b/soak/check.go
@@ -18,8 +18,8 @@
 }
 
 // check compares the answers of all requests with the runs recorded by the targets.
-// It returns an error for the first broken guarantee, or if fewer than 95% of the
-// requests sent after healed were served.
+// It returns an error for the first broken guarantee, or if fewer than 20 requests
+// with a valid key were sent after healed, or fewer than 95% of these were served.
 func (s *Soak) check(healed time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// clearFaults ends the faults that have no undo function and restarts the entries
-// that have exited.
+// clearFaults restores normal operation: it ends all faults that can still be active,
+// including those without an undo function, and restarts the entries that have exited.
 func (s *Soak) clearFaults() {
 	for _, e := range s.entries {
 		e.storeServer.SetFailure(stand.NoFailure)
@@ -95,7 +95,8 @@
 	return func() { e.signal(syscall.SIGCONT) }
 }
 
-// stopEntry stops a process with SIGTERM; undo waits for its exit and starts it again.
+// stopEntry stops a process with SIGTERM. undo waits for its exit, kills it after
+// gracePeriod, and starts it again.
 func (s *Soak) stopEntry() func() {
 	e := s.pickEntry()
 	stopped, at := e.currentExit(), time.Now()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -26,8 +26,8 @@
 	// callerCount is the number of concurrent callers; each keeps its own connections.
 	callerCount = 6
 	// revokeDelay is the maximum time for which a revoked key stays valid (revokeMs in
-	// the settings); revokeSlack is the time in which a request sent before that limit
-	// must reach its target.
+	// the settings); revokeSlack allows for the time that a request takes to reach its
+	// target.
 	revokeDelay = 2 * time.Second
 	revokeSlack = 500 * time.Millisecond
 	// gracePeriod is the maximum time from SIGTERM to the exit of a process.
--- a/stand/kill.go
+++ b/stand/kill.go
@@ -36,8 +36,8 @@
 	Step KillStep
 	// Reset makes connections end with a TCP reset instead of a close.
 	Reset bool
-	// Delay is the time before the answer. The target is killed even if the caller
-	// disconnects during it.
+	// Delay is the time between the request and the answer. The target is killed even
+	// if the caller disconnects during this time.
 	Delay time.Duration
 }
 
