--- a/trial/surge.go
+++ b/trial/surge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// SurgeConfig describes an overload of targets without agents. Targets queue requests by urgency
+// SurgeConfig describes a load on targets without agents. Targets queue requests by urgency
 // and never drop a queued request, as engines do.
 type SurgeConfig struct {
 	Seed    uint64
@@ -26,7 +26,7 @@
 	Warmup, Duration time.Duration
 }
 
-// SurgeResult holds the measurements of a simulated overload. A request is in time if its first
+// SurgeResult holds the measurements of RunSurge. A request is in time if its first
 // byte arrives within the objective of its kind.
 type SurgeResult struct {
 	// Goodput is the number of requests in time per second.
--- a/trial/surge_run.go
+++ b/trial/surge_run.go
@@ -17,7 +17,7 @@
 	"chestnutstep.example/chestnutstep/share"
 )
 
-// surgeRun is the state of one simulated overload.
+// surgeRun is the state of one RunSurge.
 type surgeRun struct {
 	eventLoop
 	cfg         SurgeConfig
