--- a/matrix/bench_test.go
+++ b/matrix/bench_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkFirstByte measures the time from a request to the first byte of its answer, over loopback.
+// BenchmarkFirstByte measures the time from a request to the first byte of its answer over loopback.
 func BenchmarkFirstByte(b *testing.B) {
 	s := &Stack{}
 	assert.NilError(b, s.Start())
--- a/matrix/caller.go
+++ b/matrix/caller.go
@@ -15,53 +15,53 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// ResultKind is what a caller can tell of one answer.
+// ResultKind classifies an answer from the point of view of its caller.
 type ResultKind string
 
-// The verdicts.
+// The kinds of results.
 const (
-	Complete     ResultKind = "whole"    // all of the caller's own answer
-	Refused      ResultKind = "refused"  // an answer that says why not
-	Broken       ResultKind = "broken"   // no answer, or one that shows that it is not whole
-	Truncated    ResultKind = "short"    // looks whole and is not: must never be
-	Misdelivered ResultKind = "mistaken" // another's answer: must never be
+	Complete     ResultKind = "whole"    // the complete answer to the caller's request
+	Refused      ResultKind = "refused"  // an answer with an error status
+	Broken       ResultKind = "broken"   // no answer, or one that is detectably incomplete
+	Truncated    ResultKind = "short"    // an incomplete answer that looks complete: always a failure
+	Misdelivered ResultKind = "mistaken" // the answer to another request: always a failure
 )
 
-// Attempt is one try of a caller.
+// Attempt is the result of one attempt of a caller.
 type Attempt struct {
 	Kind   ResultKind
 	Status int
 	Run    chestnutstep.RunStatus
 	Code   string
-	// Key names the request; a new ticket gets a new one.
+	// Key is the idempotency key of the request. Each new ticket changes it.
 	Key string
-	// Runs says how often the key had run when the answer came.
+	// Runs is the number of executions of the key, on all targets, when the attempt ended.
 	Runs int
 }
 
-// String is for messages of failed tests.
+// String formats the attempt for messages of failed tests.
 func (a Attempt) String() string {
 	return fmt.Sprintf("%s %d run=%s code=%s key=%s ran=%d", a.Kind, a.Status, a.Run, a.Code, a.Key, a.Runs)
 }
 
-// Caller sends one request until it has the answer or nothing more can be
-// learnt. Its first try goes through the first entry, repeats through the
-// second.
+// Caller sends one request and retries it until it gets a complete answer or has made
+// MaxTries attempts. The first attempt goes through the first entry, retries go
+// through the second.
 type Caller struct {
 	Stack   *Stack
 	Profile string
 	Chat    string
-	// Name makes the content, and so the answer, its own.
+	// Name makes the content of the request, and therefore its answer, unique.
 	Name string
-	// Large makes the body too large to go along with the offer.
+	// Large makes the body too large to be sent with the offer.
 	Large bool
-	// Timeout is the time limit of each try.
+	// Timeout is the time limit of each attempt.
 	Timeout time.Duration
-	// MaxTries is the most that are made.
+	// MaxTries is the maximum number of attempts.
 	MaxTries int
-	// Pause between tries; as short as a target's restart when 0.
+	// Pause is the time between attempts, defaultPause if 0.
 	Pause time.Duration
-	// OnAttempt is told of each try's end.
+	// OnAttempt, if set, is called with the index of each attempt after it has ended.
 	OnAttempt func(int)
 
 	ticket  string
@@ -69,18 +69,18 @@
 }
 
 const (
-	// largeBodySize does not fit an offer.
+	// largeBodySize is a body size that does not fit into an offer.
 	largeBodySize = 40 << 10
-	// answerTokens of an answer: enough for a middle.
+	// answerTokens is the length of an answer in tokens: more than middleFrame frames.
 	answerTokens = 12
-	// defaultPause between tries; long enough for a target to restart.
+	// defaultPause is the time between attempts, long enough for a target to restart.
 	defaultPause = 100 * time.Millisecond
-	// timeoutSlack is how much longer than its time limit a caller waits for the
-	// entry to say so.
+	// timeoutSlack is added to the time limit of an attempt, so that the caller gets the
+	// timeout response of the entry.
 	timeoutSlack = time.Second
 )
 
-// Run makes the tries.
+// Run sends the request and its retries and returns all attempts.
 func (c *Caller) Run() []Attempt {
 	var list []Attempt
 	for i := range c.MaxTries {
@@ -118,8 +118,8 @@
 
 func (c *Caller) needsTicket() bool { return c.Profile == ProfileBook && !c.Stack.Naive }
 
-// key is the request's name. It changes with the ticket: a new ticket is
-// another permission to run.
+// key returns the idempotency key of the request. It changes with the ticket, because each ticket
+// permits one execution.
 func (c *Caller) key() string { return fmt.Sprintf("%s-%d", c.Name, c.tickets) }
 
 func (c *Caller) path() string {
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Each try has a connection of its own, and net/http repeats nothing.
+	// Each attempt uses its own connection, because net/http can retry a request that fails on a reused one.
 	rq.Close = true
 	h := rq.Header
 	h.Set("Authorization", "Bearer "+Key)
@@ -162,7 +162,7 @@
 	return http.DefaultClient.Do(rq)
 }
 
-// mint asks for a ticket.
+// mint requests a ticket. If it gets none, it returns the failed attempt and false.
 func (c *Caller) mint(entry int) (Attempt, bool) {
 	a := Attempt{Kind: Broken, Key: c.key()}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+timeoutSlack)
@@ -189,7 +189,7 @@
 	c.tickets++
 }
 
-// read judges an answer as a careful caller does.
+// read reads and classifies an answer.
 func (c *Caller) read(rs *http.Response, a *Attempt) {
 	defer rs.Body.Close()
 	a.Status = rs.StatusCode
@@ -205,8 +205,8 @@
 	}
 }
 
-// readRefusal keeps the ticket while the request may have run under it, and takes
-// a fresh one only after a "not run".
+// readRefusal reads a refusal. It keeps the ticket while the request can have run with it and
+// replaces it only if the refusal states that the request did not run.
 func (c *Caller) readRefusal(rs *http.Response, raw []byte, a *Attempt) {
 	a.Kind = Refused
 	var p struct {
@@ -251,7 +251,7 @@
 	return Truncated
 }
 
-// countRuns is how often a key has run, at all targets.
+// countRuns returns the number of executions of a key on all targets.
 func (c *Caller) countRuns(key string) int {
 	n := 0
 	for _, node := range c.Stack.Nodes {
@@ -264,12 +264,11 @@
 	return n
 }
 
-// failure is how an entry begins the event that says that the answer broke
-// off. It begins a line, but not an event where one was cut in two: the lines
-// before it then belong to the error.
+// failure is the first line of the event that an entry sends if an answer is interrupted. If the
+// answer is cut inside an event, the lines of the incomplete event precede it without a blank line.
 const failure = "event: error\n"
 
-// cutFailure takes that event off, and says whether there was one.
+// cutFailure removes the failure event from raw and reports whether there was one.
 func cutFailure(raw []byte) ([]byte, bool) {
 	if bytes.HasPrefix(raw, []byte(failure)) {
 		return nil, true
--- a/matrix/caller_test.go
+++ b/matrix/caller_test.go
@@ -13,7 +13,7 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// TestCutFailure guards against a caller that takes an answer cut inside an event for another's answer.
+// TestCutFailure guards against classifying an answer that was cut inside an event as the answer to another request.
 func TestCutFailure(t *testing.T) {
 	c := Caller{Stack: &Stack{}, Profile: ProfileChat, Chat: "c", Name: "n"}
 	whole := engineAnswer(t, &c)
@@ -31,7 +31,7 @@
 	assert.Equal(t, c.checkStream([]byte(foreign+broken), nil), Misdelivered)
 }
 
-// engineAnswer is what an engine sends to the caller.
+// engineAnswer returns the complete answer of a fake engine to the request of c.
 func engineAnswer(t *testing.T, c *Caller) string {
 	t.Helper()
 	rq := httptest.NewRequest(http.MethodPost, c.path(), bytes.NewReader(c.body()))
--- a/matrix/fault_test.go
+++ b/matrix/fault_test.go
@@ -14,8 +14,8 @@
 	"chestnutstep.example/chestnutstep/pipe"
 )
 
-// faults are what happens at a step, by the name in testdata/cells. Each is
-// told the node where the request stands.
+// faults maps the fault names of testdata/cells to the functions that inject them. Each function
+// gets the node at which the request is stopped.
 var faults = map[string]func(*scenario, *Node) error{
 	"none":    func(*scenario, *Node) error { return nil },
 	"break":   func(_ *scenario, n *Node) error { n.AgentRelays[0].CloseConnections(); return nil },
@@ -41,16 +41,16 @@
 	"hold":    (*scenario).hold,
 }
 
-func (p *scenario) cut(n *Node, ways ...pipe.Direction) error {
-	for _, w := range ways {
-		n.AgentRelays[0].Blackhole(w)
+func (p *scenario) cut(n *Node, directions ...pipe.Direction) error {
+	for _, d := range directions {
+		n.AgentRelays[0].Blackhole(d)
 	}
 	p.breaksLinks = true
 	return nil
 }
 
-// stall lets all of an agent's sockets stand still until the caller's first
-// try is over, as those of a host that freezes. Its clock goes on.
+// stall holds all traffic of an agent until the first attempt of the caller has ended, as if its
+// host froze, except that the clock of the agent continues.
 func (p *scenario) stall(n *Node) error {
 	for _, r := range []*pipe.Relay{n.AgentRelays[0], n.AgentRelays[1], n.TargetRelay} {
 		r.Hold(pipe.Up)
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// poison makes every engine crash that runs this request.
+// poison makes every engine that runs this request crash.
 func (p *scenario) poison(*Node) error {
 	for _, n := range p.stack.Nodes {
 		n.SetFault(fake.Fault{Poison: `"note":"` + p.caller.Name + `"`})
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// kill ends the agent, or the naive version's process, and starts it anew.
+// kill kills and restarts the agent. For the naive version it breaks the connections to the
+// target instead.
 func (p *scenario) kill(n *Node) error {
 	if p.stack.Naive {
 		n.AgentRelays[0].CloseConnections()
@@ -84,13 +85,14 @@
 	return p.stack.KillAgent(n)
 }
 
-// repeat waits until the entry has sent the request to another target, in answer
-// to the fault before. The first run stands still and does not count yet.
+// repeat waits until the entry has retried the request on another target because of the previous
+// fault. The first run is still stopped at its step and not yet counted.
 func (p *scenario) repeat(*Node) error {
-	return waitFor(func() bool { return p.caller.countRuns(p.caller.key()) > 0 }, "the entry repeats the request")
+	return waitFor(func() bool { return p.caller.countRuns(p.caller.key()) > 0 }, "the entry retries the request")
 }
 
-// hold keeps back what the other targets of the profile answer until the caller's next try has passed.
+// hold delays the answers of the other targets of the profile until the next attempt of the caller
+// has timed out.
 func (p *scenario) hold(n *Node) error {
 	const holdTime = attemptTimeout + attemptTimeout/4
 	for _, other := range p.stack.Nodes {
@@ -102,14 +104,14 @@
 	return nil
 }
 
-// leave begins a planned stop. The naive version knows none: its process ends.
+// leave starts to drain the agent. The naive version has no drain: its connections break.
 func (p *scenario) leave(n *Node) error {
 	if p.stack.Naive {
 		n.AgentRelays[0].CloseConnections()
 		return nil
 	}
 	go func() { _ = n.Agent.Drain(context.Background()) }()
-	return waitFor(func() bool { return n.Agent.Load().Leaving }, "the agent leaves")
+	return waitFor(func() bool { return n.Agent.Load().Leaving }, "the agent is leaving")
 }
 
 func (p *scenario) out(n *Node) error {
@@ -123,30 +125,29 @@
 	}
 }
 
-// stale offers an older publication, as a service does that was restored from
-// an old copy.
+// stale applies an older publication, as served by a control plane restored from an old backup.
 func (p *scenario) stale(*Node) error {
 	root, parts := config.Pack(p.stack.NextPublication(-1, func(*chestnutstep.Publication) {}))
 	err := p.stack.Store.Apply(time.Now(), root, parts)
 	if !config.IsErrStale(err) {
-		return errors.Newf("an older publication was not refused: %v", err)
+		return errors.Newf("older publication was not refused: %v", err)
 	}
 	return nil
 }
 
-// conflict lets two operators publish the same version with different contents.
+// conflict applies two publications with the same version and different contents.
 func (p *scenario) conflict(n *Node) error {
 	p.domainOut = n.Domain
 	first := p.stack.NextPublication(1, p.takeOut)
 	second := p.stack.NextPublication(1, func(pub *chestnutstep.Publication) { pub.Workspaces[0].Weight = 2 })
-	clash := 0
+	conflicts := 0
 	for _, pub := range []*chestnutstep.Publication{first, second, first} {
 		root, parts := config.Pack(pub)
 		if config.IsErrConflict(p.stack.Store.Apply(time.Now(), root, parts)) {
-			clash++
+			conflicts++
 		}
 	}
-	if clash == 0 {
+	if conflicts == 0 {
 		return errors.New("neither publication was refused")
 	}
 	if !p.stack.Store.View().IsOut(p.stack.Store.View().Targets[n.Name]) {
@@ -178,12 +179,12 @@
 	return nil
 }
 
-// floodSize is more than a cold engine carries and less than a warm one does.
+// floodSize is a number of requests that exceeds the capacity of a cold engine but not of a warm one.
 const floodSize = 3 * coldLoad
 
 func (p *scenario) flood(n *Node) error {
 	if !p.stack.Naive {
-		_ = waitFor(func() bool { return n.Agent.Load().Cold }, "the agent sees the cold")
+		_ = waitFor(func() bool { return n.Agent.Load().Cold }, "the agent marks its target as cold")
 	}
 	var all sync.WaitGroup
 	for i := range floodSize {
@@ -194,20 +195,21 @@
 	all.Wait()
 	for _, e := range n.Executions() {
 		if e.Outcome == fake.OutcomeCrashed {
-			return errors.New("the cold engine fell over")
+			return errors.New("cold engine crashed under load")
 		}
 	}
 	return nil
 }
 
-// waitTimeout bounds the wait for a condition; it decides nothing by itself.
+// waitTimeout is the maximum time that waitFor waits for a condition.
 const waitTimeout = 5 * time.Second
 
+// waitFor polls ok until it returns true. After waitTimeout it returns an error that names the condition.
 func waitFor(ok func() bool, condition string) error {
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
 			return nil
 		}
 	}
-	return errors.Newf("never: %s", condition)
+	return errors.Newf("condition not met in time: %s", condition)
 }
--- a/matrix/halt.go
+++ b/matrix/halt.go
@@ -1,40 +1,42 @@
-// Package matrix is a test aid: the fleet in one process over real sockets,
-// stopped at a step of a request so that a fault can happen right there.
+// Package matrix is a test harness for faults at a given step of a request. It runs entries,
+// agents and fake targets in one process, connected by real sockets and fault-injecting relays,
+// and stops a request at the chosen step, so that a test can inject a fault there. For comparison
+// it can run a naive proxy instead of entries and agents.
 package matrix
 
 import "sync"
 
-// Step is a point in the life of a request or of a process.
+// Step is a point in the processing of a request or in the life of a process.
 type Step string
 
-// The steps, in the order of a request's life.
+// The steps, in the order of processing.
 const (
-	StepMint     Step = "mint"   // tickets are minted, the caller has not seen them
-	StepOffer    Step = "offer"  // the offer was sent, the agent has not read it
-	StepAccept   Step = "accept" // the agent accepted, the entry has not heard
-	StepBody     Step = "body"   // the body was sent, the agent has not read its end
-	StepStart    Step = "start"  // the target has the request and did nothing yet
-	StepExecuted Step = "spent"  // the action took effect, nobody has heard
-	StepFirst    Step = "first"  // the first byte left the agent
-	StepMiddle   Step = "middle" // some of the answer left the agent
-	StepLast     Step = "last"   // all but the last frame left the agent
-	StepLost     Step = "lost"   // all left the agent, the caller has got nothing
-	StepOrder    Step = "order"  // an order was sent, the engine has not read it
-	StepDrain    Step = "drain"  // as middle, and the agent has just begun to drain
+	StepMint     Step = "mint"   // tickets are minted, the reply is not sent yet
+	StepOffer    Step = "offer"  // the offer is sent, the agent has not read it
+	StepAccept   Step = "accept" // the agent has accepted, the accept is not sent yet
+	StepBody     Step = "body"   // the body is sent, the agent has not read its end
+	StepStart    Step = "start"  // the target has the request and has not started it
+	StepExecuted Step = "spent"  // the action has taken effect, its answer is not sent yet
+	StepFirst    Step = "first"  // the agent has sent the first frame
+	StepMiddle   Step = "middle" // the agent has sent a part of the answer
+	StepLast     Step = "last"   // the agent has sent all but the last frame
+	StepLost     Step = "lost"   // the agent has sent everything, the caller has received nothing
+	StepOrder    Step = "order"  // an order is sent, the engine has not processed it
+	StepDrain    Step = "drain"  // as middle, and the agent has just started to drain
 )
 
-// Breakpoint stops the first request that comes to the armed step.
+// Breakpoint stops the first request that reaches the step passed to Set.
 type Breakpoint struct {
 	mu      sync.Mutex
 	at      Step
 	target  string
 	reached chan struct{}
 	release chan struct{}
-	// accepted lists the targets whose accept an entry has read since Arm.
+	// accepted holds the targets whose accept an entry has read since Set.
 	accepted map[string]bool
 }
 
-// afterAccept says that the step comes after the agent's accept.
+// afterAccept reports whether the step comes after the accept of the agent.
 func (s Step) afterAccept() bool {
 	switch s {
 	case StepMint, StepOffer, StepAccept, StepOrder:
@@ -43,7 +45,7 @@
 	return true
 }
 
-// Set makes the next request that comes to the step stop there.
+// Set makes the next request that reaches the step stop there.
 func (h *Breakpoint) Set(at Step) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,7 +55,7 @@
 	h.accepted = make(map[string]bool)
 }
 
-// MarkAccepted is called when an entry has read a target's accept.
+// MarkAccepted records that an entry has read the accept for a target.
 func (h *Breakpoint) MarkAccepted(target string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,14 +64,14 @@
 	}
 }
 
-// IsAccepted reports whether an entry has read the target's accept since Arm.
+// IsAccepted reports whether an entry has read the accept for a target since Set.
 func (h *Breakpoint) IsAccepted(target string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.accepted[target]
 }
 
-// Reach is called where a step is; it blocks when the step is armed.
+// Reach is called by the hooks at each step. If the step is set, it blocks until Release.
 func (h *Breakpoint) Reach(at Step, target string) {
 	h.mu.Lock()
 	if h.at != at {
@@ -84,21 +86,21 @@
 	<-release
 }
 
-// Reached is closed once a request stands at the step.
+// Reached returns a channel that is closed when a request stops at the step.
 func (h *Breakpoint) Reached() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reached
 }
 
-// Target is where the request stands.
+// Target returns the name of the target whose request is stopped.
 func (h *Breakpoint) Target() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.target
 }
 
-// Release lets the request go on. Arm must have come before.
+// Release lets the stopped request continue. It must be called at most once after each Set.
 func (h *Breakpoint) Release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/matrix/hook.go
+++ b/matrix/hook.go
@@ -14,22 +14,22 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// middleFrame is the frame of an answer that counts as its middle.
+// middleFrame is the number of the frame of an answer that triggers StepMiddle.
 const middleFrame = 3
 
-// hooks stops requests on their way through one agent.
+// hooks stops and delays requests that pass through one agent and its target.
 type hooks struct {
 	breakpoint *Breakpoint
 	target     string
-	// acceptDelay keeps the agent's accepts back.
+	// acceptDelay delays the accepts of the agent.
 	acceptDelay time.Duration
-	// joinDelay keeps those back that join a run.
+	// joinDelay additionally delays accepts that join an existing run.
 	joinDelay time.Duration
-	// endDelay keeps the end of the target's answers back, behind their last byte.
+	// endDelay delays the end of each answer of the target after its last byte.
 	endDelay time.Duration
-	// probes counts what the agent asked of the target's controls.
+	// probes counts the requests of the agent to the control API of the target.
 	probes atomic.Int64
-	// inFlight counts the requests and orders that the target has not seen the end of.
+	// inFlight counts the requests and orders that the target is still handling.
 	inFlight atomic.Int64
 }
 
@@ -45,14 +45,14 @@
 	return reply, err
 }
 
-// hookedStream sees the messages of one request.
+// hookedStream intercepts the messages of one request.
 type hookedStream struct {
 	grpc.ServerStream
 	*hooks
 	frames atomic.Int32
 }
 
-// RecvMsg stops before the agent gets what came.
+// RecvMsg stops at StepOffer and StepBody before the agent gets the message.
 func (s *hookedStream) RecvMsg(m any) error {
 	if err := s.ServerStream.RecvMsg(m); err != nil {
 		return err
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// SendMsg stops before an accept or a last frame leaves, and after others.
+// SendMsg stops at StepAccept and StepLast before it sends the message, and at StepFirst,
+// StepMiddle and StepLost afterwards.
 func (s *hookedStream) SendMsg(m any) error {
 	down, _ := m.(*wire.Down)
 	if down.GetAccept() != nil {
@@ -101,18 +102,19 @@
 	}
 }
 
-// hookedTarget stops requests at a target before and after they take effect.
+// hookedTarget wraps the handler of a target and stops requests before and after their execution.
 type hookedTarget struct {
 	http.Handler
 	*hooks
-	// isNaive says that no agent stands before the target: what would be an
-	// offer, an accept and a body is then one step, the request's arrival.
+	// isNaive is true if the target has no agent. The arrival of a request then triggers
+	// StepOffer, StepAccept and StepBody at once.
 	isNaive bool
-	// holdsAnswer says that the answer is held until the action took effect.
+	// holdsAnswer delays the answer until the action has taken effect and StepExecuted has passed.
 	holdsAnswer bool
 }
 
-// ServeHTTP passes on what comes; requests and orders stop where they should.
+// ServeHTTP forwards requests to the wrapped handler. Requests and orders stop at their steps,
+// other requests to the control API count as probes.
 func (t *hookedTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	order := r.Method == http.MethodPost && r.URL.Path == "/control/orders"
 	if strings.HasPrefix(r.URL.Path, "/control/") && !order {
@@ -154,7 +156,7 @@
 	_, _ = w.Write(held.body.Bytes())
 }
 
-// delayEnd sends what the answer has so far and keeps its end back.
+// delayEnd flushes the answer and delays its end.
 func (t *hookedTarget) delayEnd(w http.ResponseWriter) {
 	if t.endDelay == 0 {
 		return
@@ -163,18 +165,18 @@
 	time.Sleep(t.endDelay)
 }
 
-// readBody waits for all of a request: one that is stopped here is late or its
-// answer is lost, but it is not cut as well.
+// readBody reads the complete body, so that a fault can delay a stopped request or lose its
+// answer but not truncate the request.
 func readBody(r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
 }
 
-// heldAnswer keeps a body back; its status and headers are the target's own.
+// heldAnswer buffers the body of an answer. Status and headers pass through.
 type heldAnswer struct {
 	http.ResponseWriter
 	body bytes.Buffer
 }
 
-// Write keeps the bytes.
+// Write buffers p.
 func (h *heldAnswer) Write(p []byte) (int, error) { return h.body.Write(p) }
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -20,12 +20,12 @@
 	profile string
 	step    string
 	faults  []string
-	// expected lists how the caller's last try may end.
+	// expected lists the permitted results of the caller's last attempt.
 	expected []string
-	// runs is the most that the request may have run at all targets together.
+	// runs is the maximum number of executions of the request on all targets.
 	runs int
-	// naive says what the naive version does in this cell: broken, fine where it
-	// was seen to do as well, or - where it has no such step.
+	// naive is the result of the naive version: broken if it must fail, fine if it can
+	// pass, or - if it has no such step.
 	naive string
 }
 
@@ -33,9 +33,8 @@
 	return c.profile + "/" + c.step + "/" + strings.Join(c.faults, "+")
 }
 
-// Marks in the place of wanted: cells that need a process to kill or to freeze
-// are run by package faults; others are not run at all, and why is said beside
-// them.
+// Special values of the column wanted. Cells marked elsewhere kill or freeze real processes and
+// are run by package faults. Cells marked notrun are not run; testdata/cells gives the reason.
 const (
 	elsewhere = "elsewhere"
 	notRun    = "notrun"
@@ -74,19 +73,18 @@
 	*counter++
 }
 
-// setResult notes how a cell ended, for the printed matrix.
-func (n *tally) setResult(c cell, sign string) {
+// setResult records the result of a cell for the printed matrix.
+func (n *tally) setResult(c cell, status string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.results[c.name()] = sign
+	n.results[c.name()] = status
 }
 
-// print writes a table for each profile, a row for each fault, a column for
-// each step.
+// print writes one table per profile, with a row per fault and a column per step.
 func (n *tally) print(cells []cell) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	for _, profile := range []string{ProfileChat, ProfileBook, profileOrder} {
-		steps, faults := axes(cells, profile)
+		steps, faults := stepsAndFaults(cells, profile)
 		fmt.Fprintf(w, "\n%s\t%s\n", profile, strings.Join(steps, "\t"))
 		for _, f := range faults {
 			fmt.Fprint(w, f)
@@ -99,8 +97,8 @@
 	_ = w.Flush()
 }
 
-// axes lists the steps and faults of a profile's cells, in their order.
-func axes(cells []cell, profile string) (steps, faults []string) {
+// stepsAndFaults returns the steps and faults of the cells of a profile, in order of appearance.
+func stepsAndFaults(cells []cell, profile string) (steps, faults []string) {
 	for _, c := range cells {
 		if c.profile != profile {
 			continue
@@ -115,10 +113,9 @@
 	return steps, faults
 }
 
-// Each fault happens at each step of a request. Callers see it as an answer
-// that stays away, breaks off or comes twice; operators as a doubled booking.
-// A cell passes when the far end agrees: what ran, how often, and what bytes
-// the caller got. The same cell shows what the naive version makes of it.
+// TestMatrix guards against lost, truncated or duplicate answers and duplicate bookings after a
+// fault at any step of a request. A cell passes if the logs of the targets and the bytes received
+// by the caller are as expected. Each cell also runs with the naive version for comparison.
 func TestMatrix(t *testing.T) {
 	n := &tally{results: make(map[string]string)}
 	cells := readCells(t)
@@ -157,22 +154,21 @@
 	n.compare(t, c)
 }
 
-// maxScenarioTries is how often a cell is staged until its step comes.
+// maxScenarioTries is the maximum number of runs of a cell until its step is reached.
 const maxScenarioTries = 5
 
-// runOn plays the cell. On a busy machine the pieces of an answer run together,
-// and a request may pass a step in the middle without standing there: then the
-// fault has not happened, the play shows nothing either way, and the cell is
-// staged anew.
+// runOn runs the cell. On a busy machine the parts of an answer can arrive together, so that a
+// request passes a step without stopping there. The fault is then not injected, and the cell runs
+// again.
 func (c cell) runOn(stack func() *Stack) error {
 	return retryScenario(func() *scenario { return &scenario{cell: c, stack: stack()} })
 }
 
-// retryScenario runs new plays until one comes to its step.
-func retryScenario(stage func() *scenario) error {
+// retryScenario runs new scenarios until one reaches its step.
+func retryScenario(newScenario func() *scenario) error {
 	var err error
 	for range maxScenarioTries {
-		err = stage().run()
+		err = newScenario().run()
 		var missed ErrStepNotReached
 		if !errors.As(err, &missed) {
 			return err
@@ -181,9 +177,8 @@
 	return err
 }
 
-// compare plays the cell by the naive version. A cell that shows what a
-// mechanism is for has to break it each time. That it is fine in another is not
-// asked for: there its own races decide, which is no matter of the fleet.
+// compare runs the cell with the naive version, which must fail in cells marked broken. Cells
+// marked fine can pass or fail, because races within the naive version decide.
 func (n *tally) compare(t *testing.T, c cell) {
 	if c.naive == "-" {
 		return
@@ -195,6 +190,6 @@
 		t.Log("naive version:", err)
 	}
 	if c.naive == "broken" {
-		assert.Assert(t, err != nil, "the naive version got through: the cell shows nothing")
+		assert.Assert(t, err != nil, "naive version passed: the cell does not show the benefit of the fleet")
 	}
 }
--- a/matrix/naive.go
+++ b/matrix/naive.go
@@ -10,8 +10,8 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// naiveProxy is what the fleet is compared with: a plain pass-through that spreads
-// by hash and repeats at the next target when something went wrong.
+// naiveProxy is the proxy that the fleet is compared with. It selects a target by the hash of the
+// chat and retries failed requests on the next target.
 type naiveProxy struct {
 	breakpoint *Breakpoint
 	// targets lists the addresses of each model's targets.
@@ -23,7 +23,7 @@
 	url  string
 }
 
-// ServeHTTP passes a request on.
+// ServeHTTP forwards a request to the first target that answers it without a server error.
 func (n *naiveProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -63,12 +63,12 @@
 }
 
 func (n *naiveProxy) copy(w http.ResponseWriter, body io.Reader, target string) {
-	piece := make([]byte, 1<<10)
+	buf := make([]byte, 1<<10)
 	var err error
 	for i := 1; err == nil; i++ {
 		var k int
-		k, err = body.Read(piece)
-		_, _ = w.Write(piece[:k])
+		k, err = body.Read(buf)
+		_, _ = w.Write(buf[:k])
 		_ = http.NewResponseController(w).Flush()
 		if i == 1 {
 			n.breakpoint.Reach(StepFirst, target)
--- a/matrix/order_test.go
+++ b/matrix/order_test.go
@@ -13,16 +13,15 @@
 	"chestnutstep.example/chestnutstep/fake"
 )
 
-// profileOrder marks cells in which not a request but an order to an engine is
-// stopped on its way. Their naive version is an engine that ignores fencing
-// numbers.
+// profileOrder marks cells that stop an order to an engine instead of a request. Their naive
+// version is an engine that ignores fencing numbers.
 const profileOrder = "order"
 
-// orderNode is the target that is told something.
+// orderNode is the name of the target that gets the orders.
 const orderNode = "chat-a"
 
-// runOrder stops an order right before the engine, lets the faults happen, and
-// lets it arrive once the agent has got through what it still has to say.
+// runOrder stops an order just before the engine, injects the faults and releases the order. After
+// a kill it first waits until the restarted agent has sent its own order.
 func (p *scenario) runOrder() error {
 	unfenced := p.stack.Naive
 	p.stack.Naive = false
@@ -34,14 +33,14 @@
 	n.Engine.Fenced = !unfenced
 	p.stack.Breakpoint.Set(StepOrder)
 	release := sync.OnceFunc(p.stack.Breakpoint.Release)
-	defer release() // the stack can't be closed while an order stands at the step
+	defer release() // the stack can't be closed while an order is stopped
 	if err := p.publishOrder("first"); err != nil {
 		return err
 	}
 	select {
 	case <-p.stack.Breakpoint.Reached():
 	case <-time.After(stepTimeout):
-		return errors.New("the order never came")
+		return errors.New("order did not reach its step")
 	}
 	for _, f := range p.faults {
 		if err := faults[f](p, n); err != nil {
@@ -49,8 +48,8 @@
 		}
 	}
 	if slices.Contains(p.faults, "kill") {
-		// The next life speaks while the order of the former is on its way.
-		if err := waitFor(func() bool { return len(p.executedOrders(n)) > 0 }, "the next life's order"); err != nil {
+		// The restarted agent sends its order while that of the killed one is still stopped.
+		if err := waitFor(func() bool { return len(p.executedOrders(n)) > 0 }, "the restarted agent sends its order"); err != nil {
 			return err
 		}
 	}
@@ -58,30 +57,30 @@
 	return p.checkOrders(n)
 }
 
-// checkOrders wants the newest published order to come last, and no older one
-// after a newer.
+// checkOrders checks that the engine executes the newest published order last and no order after
+// a newer one.
 func (p *scenario) checkOrders(n *Node) error {
 	last := func() bool {
 		list := p.executedOrders(n)
 		return len(list) > 0 && list[len(list)-1].Name == p.lastOrder.Name
 	}
-	if err := waitFor(last, "the newest order is the last"); err != nil {
+	if err := waitFor(last, "the newest order is executed last"); err != nil {
 		return errors.Wrapf(err, "%v", p.executedOrders(n))
 	}
-	// The order that was stopped has arrived when its handler has ended.
+	// The stopped order has arrived when its handler has returned.
 	if err := waitFor(func() bool { return n.hooks.inFlight.Load() == 0 }, "all orders arrive"); err != nil {
 		return err
 	}
 	list := p.executedOrders(n)
 	for i := 1; i < len(list); i++ {
 		if list[i].Fence < list[i-1].Fence {
-			return errors.Newf("an older order came after a newer: %v", list)
+			return errors.Newf("older order executed after a newer one: %v", list)
 		}
 	}
 	return nil
 }
 
-// executedOrders is the engine's own list of the orders that it followed.
+// executedOrders returns the orders that the engine has executed, from its control API.
 func (p *scenario) executedOrders(n *Node) []fake.Order {
 	rs, err := http.Get(n.targetServer.URL + "/control/orders")
 	if err != nil {
@@ -93,7 +92,7 @@
 	return list
 }
 
-// publishOrder publishes what the engine shall have been told.
+// publishOrder publishes an order for orderNode.
 func (p *scenario) publishOrder(name string) error {
 	p.lastOrder = chestnutstep.Order{Kind: chestnutstep.OrderRole, Name: name}
 	return p.stack.Publish(func(pub *chestnutstep.Publication) {
--- a/matrix/play_test.go
+++ b/matrix/scenario_test.go
@@ -14,48 +14,50 @@
 	"chestnutstep.example/chestnutstep/pipe"
 )
 
-// ErrStepNotReached says that the request was over before it came to the step.
+// ErrStepNotReached is returned if a request ended before it reached the step, or if the entry did
+// not read its accept in time.
 type ErrStepNotReached struct {
 	Step  Step
 	Tries []Attempt
 }
 
-// Error names the step.
+// Error returns the step and the attempts.
 func (err ErrStepNotReached) Error() string {
-	return fmt.Sprintf("step %s never came: %v", err.Step, err.Tries)
+	return fmt.Sprintf("step %s was not reached: %v", err.Step, err.Tries)
 }
 
-// scenario is one run of a cell, by the fleet or by the naive version.
+// scenario is one run of a cell with the fleet or the naive version.
 type scenario struct {
 	cell
 	stack    *Stack
 	caller   *Caller
 	attempts []Attempt
-	// awaitAccept keeps the faults back until the entry has read the accept.
+	// awaitAccept delays the faults until the entry has read the accept.
 	awaitAccept bool
-	// timeout is that of each of the caller's tries, tryTime when 0; pause is between them.
+	// timeout is the time limit of each attempt of the caller, attemptTimeout if 0; pause is
+	// the time between attempts, defaultPause if 0.
 	timeout time.Duration
 	pause   time.Duration
-	// untilFirstAttempt keeps the request at its step until the caller's first try is over.
+	// untilFirstAttempt keeps the request stopped until the first attempt of the caller has ended.
 	untilFirstAttempt bool
-	// breaksLinks says that links lost bytes and have to be broken at the end.
+	// breaksLinks is true if links have lost bytes and must be closed after the fault.
 	breaksLinks bool
-	// heals is done when the caller's first try is over.
+	// heals holds functions to call when the first attempt of the caller has ended.
 	heals []func()
-	// domainOut is the failure domain that was taken out.
+	// domainOut is the failure domain that was taken out of service.
 	domainOut string
-	// startedBefore counts each target's executions when the domain was out.
+	// startedBefore holds the number of executions of each target when the domain was taken out.
 	startedBefore map[string]int
-	// followUps is done once the caller has finished.
+	// followUps holds checks to run after the caller has finished.
 	followUps []func() error
-	// lastOrder is the order that was published last.
+	// lastOrder is the order published last.
 	lastOrder chestnutstep.Order
 }
 
 const (
 	attemptTimeout = 2 * time.Second
 	maxTries       = 5
-	// stepTimeout bounds the wait for the step, and for the caller to finish.
+	// stepTimeout is the maximum wait for a request or an order to reach its step.
 	stepTimeout = 30 * time.Second
 )
 
@@ -83,8 +85,8 @@
 	return p.check()
 }
 
-// runCaller sends the request, stops it at the step, lets the faults happen and
-// waits for the caller to finish.
+// runCaller sends the request, stops it at the step, injects the faults and waits for the caller
+// to finish.
 func (p *scenario) runCaller() error {
 	at := Step(p.step)
 	if at == StepDrain {
@@ -112,7 +114,7 @@
 	case tries := <-done:
 		return ErrStepNotReached{Step: at, Tries: tries}
 	case <-time.After(stepTimeout):
-		return errors.Newf("step %s never came: %v", at, <-done)
+		return errors.Newf("step %s was not reached: %v", at, <-done)
 	}
 	if p.awaitAccept && !p.accepted(at) {
 		p.stack.Breakpoint.Release()
@@ -134,8 +136,8 @@
 	return nil
 }
 
-// accepted waits until the entry has read the accept of the target where the
-// request stands, if the step comes after it.
+// accepted waits until the entry has read the accept for the stopped request and reports whether
+// it has. It returns true at once for steps before the accept.
 func (p *scenario) accepted(at Step) bool {
 	if !at.afterAccept() {
 		return true
@@ -144,7 +146,7 @@
 	return waitFor(func() bool { return p.stack.Breakpoint.IsAccepted(target) }, "the entry reads the accept") == nil
 }
 
-// injectFaults lets the faults happen and the request go on.
+// injectFaults injects the faults and releases the request.
 func (p *scenario) injectFaults(at Step, first <-chan struct{}) error {
 	defer p.stack.Breakpoint.Release()
 	n := p.stack.HaltedNode()
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// countStarted counts the executions at each target.
+// countStarted returns the number of executions of each target, by name.
 func (p *scenario) countStarted() map[string]int {
 	m := make(map[string]int)
 	for _, n := range p.stack.Nodes {
@@ -178,7 +180,7 @@
 	return m
 }
 
-// warm serves engines until they and their agents count as warm.
+// warm sends requests until all engines are warm and their agents have detected it.
 func (p *scenario) warm() error {
 	for i := range 200 {
 		c := Caller{Stack: p.stack, Profile: ProfileChat, Chat: fmt.Sprint("warm-", i), Name: fmt.Sprint("warm", i), Timeout: attemptTimeout, MaxTries: 1}
@@ -187,17 +189,17 @@
 			return p.awaitProbes()
 		}
 	}
-	return errors.New("the engines never got warm")
+	return errors.New("engines did not become warm")
 }
 
-// awaitProbes waits until each agent has read its warm target's report.
+// awaitProbes waits until each agent has probed its warm target.
 func (p *scenario) awaitProbes() error {
 	if p.stack.Naive {
 		return nil
 	}
 	for _, n := range p.stack.Nodes {
 		seen := n.Probes()
-		if err := waitFor(func() bool { return n.Probes() > seen+1 }, "the agent probes"); err != nil {
+		if err := waitFor(func() bool { return n.Probes() > seen+1 }, "the agent probes its target"); err != nil {
 			return err
 		}
 	}
@@ -216,7 +218,7 @@
 	return true
 }
 
-// check compares what the caller got with what the far end logged.
+// check compares the attempts of the caller with the logs of the targets.
 func (p *scenario) check() error {
 	if err := waitFor(p.isIdle, "all runs end"); err != nil {
 		return err
@@ -248,23 +250,23 @@
 	ran := 0
 	for _, a := range p.attempts {
 		if a.Kind == Truncated || a.Kind == Misdelivered {
-			return errors.Newf("the caller was given a wrong answer: %v", p.attempts)
+			return errors.Newf("caller received a truncated or misdelivered answer: %v", p.attempts)
 		}
 		if a.Run == chestnutstep.RunNo && a.Runs > ran {
-			return errors.Newf("\"not run\" was untrue: %v", p.attempts)
+			return errors.Newf("run status \"no\" was reported for a request that ran: %v", p.attempts)
 		}
 		if a.Run == chestnutstep.RunNo && p.profile == ProfileBook && p.caller.countRuns(a.Key) > 0 {
-			return errors.Newf("\"not run\" did not stay true: %v", p.attempts)
+			return errors.Newf("request ran after run status \"no\" was reported: %v", p.attempts)
 		}
 		ran = a.Runs
 	}
 	if last := endOf(p.attempts[len(p.attempts)-1]); !slices.Contains(p.expected, last) {
-		return errors.Newf("ended %s, wanted %v: %v", last, p.expected, p.attempts)
+		return errors.Newf("last attempt ended as %s, want one of %v: %v", last, p.expected, p.attempts)
 	}
 	return nil
 }
 
-// endOf names how the last try left its caller.
+// endOf returns the result of an attempt as named in the column wanted of testdata/cells.
 func endOf(a Attempt) string {
 	switch {
 	case a.Kind == Complete:
@@ -276,7 +278,7 @@
 	}
 }
 
-// checkRuns counts the request's executions, under whatever key.
+// checkRuns checks the number of executions of the request under all its keys.
 func (p *scenario) checkRuns() error {
 	n := 0
 	var trace []string
@@ -289,12 +291,12 @@
 		}
 	}
 	if n > p.runs {
-		return errors.Newf("ran %d times, wanted %d at most: %v; %s", n, p.runs, p.attempts, strings.Join(trace, "; "))
+		return errors.Newf("request ran %d times, want at most %d: %v; %s", n, p.runs, p.attempts, strings.Join(trace, "; "))
 	}
 	return nil
 }
 
-// checkDomain sends new work and looks where it went.
+// checkDomain sends new requests and checks that none ran in the domain that is out of service.
 func (p *scenario) checkDomain() error {
 	if p.domainOut == "" {
 		return nil
@@ -309,7 +311,7 @@
 		}
 		for _, e := range n.Executions()[p.startedBefore[n.Name]:] {
 			if strings.HasPrefix(e.Request, "new") {
-				return errors.Newf("new work went to the domain that is out: %v", e)
+				return errors.Newf("new request ran in the domain that is out of service: %v", e)
 			}
 		}
 	}
--- a/matrix/stack.go
+++ b/matrix/stack.go
@@ -32,19 +32,21 @@
 	"chestnutstep.example/chestnutstep/wire"
 )
 
-// Names of what the stack serves.
+// Names and sizes of the stack.
 const (
-	ProfileChat = "chat" // answered by the engines
-	ProfileBook = "book" // answered by the services, at most once
-	Key         = "key"
-	// Entries is how many entries there are.
+	ProfileChat = "chat" // served by the engines
+	ProfileBook = "book" // served by the services, at most once per ticket
+	// Key is the API key of the only workspace.
+	Key = "key"
+	// Entries is the number of entries.
 	Entries = 2
-	// coldLoad is what a cold engine can carry, warmAfter when it is warm.
+	// coldLoad is the number of concurrent requests that a cold engine can run, warmAfter
+	// the number of requests after which it is warm.
 	coldLoad  = 2
 	warmAfter = 4
 )
 
-// Node is one target with what stands around it.
+// Node is a target with its agent and the relays to both.
 type Node struct {
 	Name    string
 	Model   string
@@ -52,8 +54,8 @@
 	Engine  *fake.Engine
 	Service *fake.Service
 	Agent   *agent.Agent
-	// AgentRelays are the ways from each entry to the agent, Back the one from the
-	// agent to its target. In a naive stack the links end at the target.
+	// AgentRelays relay the connections of each entry to the agent, TargetRelay those of
+	// the agent to its target. In a naive stack AgentRelays lead to TargetRelay directly.
 	AgentRelays [Entries]*pipe.Relay
 	TargetRelay *pipe.Relay
 
@@ -63,10 +65,10 @@
 	stop         func()
 }
 
-// Probes counts how often the agent has asked its target for a report.
+// Probes returns the number of requests of the agent to the control API of its target.
 func (n *Node) Probes() int64 { return n.hooks.probes.Load() }
 
-// SetFault puts a fault of the target in force.
+// SetFault sets the fault of the fake target.
 func (n *Node) SetFault(f fake.Fault) {
 	if n.Engine != nil {
 		n.Engine.SetFault(f)
@@ -75,7 +77,7 @@
 	n.Service.SetFault(f)
 }
 
-// Executions is the target's own log.
+// Executions returns the execution log of the target.
 func (n *Node) Executions() []fake.Execution {
 	if n.Engine != nil {
 		return n.Engine.Journal.Executions()
@@ -90,26 +92,26 @@
 	return n.Service
 }
 
-// Stack is two engines and two services in two failure domains, an agent
-// beside each, and two entries. Start it, Close it.
+// Stack runs two fake engines and two fake services in two failure domains, each with an agent,
+// and two entries. Start starts it; Close must be called afterwards.
 type Stack struct {
-	// Naive puts a plain pass-through in the place of entries and agents.
+	// Naive replaces entries and agents by a naive proxy.
 	Naive bool
-	// AcceptDelay keeps each agent's accept back, as a busy machine does.
+	// AcceptDelay delays the accepts of all agents, as a busy machine does.
 	AcceptDelay time.Duration
-	// JoinDelay keeps back those that join a run.
+	// JoinDelay additionally delays accepts that join an existing run.
 	JoinDelay time.Duration
-	// EndDelay keeps the end of each engine's answer back, behind its last byte.
+	// EndDelay delays the end of each answer of an engine after its last byte.
 	EndDelay   time.Duration
 	Breakpoint Breakpoint
 	Nodes      []*Node
-	// EntryRelays are the ways from callers to each entry.
+	// EntryRelays relay the connections of callers to each entry.
 	EntryRelays [Entries]*pipe.Relay
 
-	// Store is what is in force at all processes.
+	// Store holds the publication in force in all processes.
 	Store config.Store
 
-	// startedAt is when the host of all processes started.
+	// startedAt is the boot time that agents report for their host.
 	startedAt time.Time
 	mu        sync.Mutex
 	pub       chestnutstep.Publication
@@ -119,11 +121,11 @@
 	closers   []func()
 }
 
-// agentView is the place in views of what agents see; entries see the
-// addresses of their own relays.
+// agentView is the index in views of the view of the agents. The view of each entry contains the
+// addresses of its own relays.
 const agentView = Entries
 
-// Start brings everything up.
+// Start starts all targets, agents, entries and relays.
 func (s *Stack) Start() error {
 	s.startedAt = time.Now()
 	s.pub = publication()
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// Close ends everything.
+// Close stops everything in reverse order of the start.
 func (s *Stack) Close() {
 	for i := len(s.closers) - 1; i >= 0; i-- {
 		s.closers[i]()
@@ -211,8 +213,8 @@
 	return nil
 }
 
-// startAgent starts the next life of an agent and returns its address. Each
-// life has a way to the target of its own, so that a killed one can't go on.
+// startAgent starts a new incarnation of an agent and returns its address. Each incarnation has
+// its own relay to the target, so that a killed one can't send further requests.
 func (s *Stack) startAgent(n *Node) (string, error) {
 	n.TargetRelay = &pipe.Relay{Backend: n.targetServer.Listener.Addr().String()}
 	if err := s.startRelay(n.TargetRelay); err != nil {
@@ -226,12 +228,12 @@
 		return "", err
 	}
 	n.incarnation++
-	reuse, single := agent.Clients()
+	pooled, unpooled := agent.Clients()
 	n.Agent = &agent.Agent{
 		Name: n.Name, URL: "http://" + n.TargetRelay.Addr(), Incarnation: strconv.Itoa(n.incarnation), HostUptime: time.Since(s.startedAt),
 		View: func() *chestnutstep.View { return s.View(agentView) },
 		Gate: &gate.Gate{}, Detector: &crash.Detector{Target: n.Name}, Issuer: &ticket.Issuer{Target: n.Name},
-		Answers: &answer.Store{}, PooledClient: reuse, UnpooledClient: single,
+		Answers: &answer.Store{}, PooledClient: pooled, UnpooledClient: unpooled,
 	}
 	srv := grpc.NewServer(grpc.StreamInterceptor(n.hooks.stream), grpc.UnaryInterceptor(n.hooks.unary))
 	wire.RegisterAgentServer(srv, n.Agent.Service())
@@ -244,9 +246,8 @@
 	return l.Addr().String(), nil
 }
 
-// KillAgent ends an agent without a word and starts it anew with nothing
-// remembered. Its links and its call of the target break, as those of a killed
-// process do.
+// KillAgent stops an agent without a drain and starts a new one without state. The connections to
+// the agent and to its target break, as after the kill of a process.
 func (s *Stack) KillAgent(n *Node) error {
 	n.TargetRelay.Stop()
 	n.stop()
@@ -261,7 +262,7 @@
 	return nil
 }
 
-// startEntry starts an entry, or starts it again with nothing remembered.
+// startEntry starts an entry, or restarts it without state.
 func (s *Stack) startEntry(i int) {
 	s.entries[i] = httptest.NewServer(s.newEntry(i))
 	s.onClose(s.entries[i].Close)
@@ -294,9 +295,8 @@
 	return n
 }
 
-// FailEntryLinks lets entries that are about to restart begin nothing new. What
-// happens at one step happens at one moment: an entry that reacts to the first
-// fault before the second one strikes it is another play.
+// FailEntryLinks makes new calls fail in entries that are about to restart. All faults of a step
+// must take effect at the same time: an entry must not react to the first fault before it restarts.
 func (s *Stack) FailEntryLinks() {
 	for _, p := range s.pools {
 		if p != nil {
@@ -305,8 +305,8 @@
 	}
 }
 
-// RestartEntries kills all entries and starts them anew behind the same
-// addresses. A killed process says no word to anyone: its links just break.
+// RestartEntries kills all entries and restarts them behind the same addresses. The connections of
+// a killed entry break without a message to the other side.
 func (s *Stack) RestartEntries() {
 	for i, f := range s.EntryRelays {
 		if p := s.pools[i]; p != nil {
@@ -321,11 +321,11 @@
 	}
 }
 
-// killablePool is the links of an entry that may be killed.
+// killablePool is the connection pool of an entry. Once dead is set, all new calls fail.
 type killablePool struct {
 	dial.Pool
 	dead atomic.Bool
-	// accept is called with the address of each agent whose accept was read.
+	// accept is called with the address of the agent after each accept that the entry has read.
 	accept func(addr string)
 }
 
@@ -341,7 +341,7 @@
 	return &watchedConn{ClientConnInterface: conn, accept: func() { m.accept(addr) }}, nil
 }
 
-// watchedConn reports the accepts that come in over its streams.
+// watchedConn calls accept for each accept received over its streams.
 type watchedConn struct {
 	grpc.ClientConnInterface
 	accept func()
@@ -370,7 +370,8 @@
 	return err
 }
 
-// markAccepted notes that an entry has read the accept of the agent behind a link.
+// markAccepted records at the breakpoint that an entry has read the accept of the agent behind the
+// relay with this address.
 func (s *Stack) markAccepted(addr string) {
 	for _, n := range s.Nodes {
 		for _, l := range n.AgentRelays {
@@ -381,14 +382,14 @@
 	}
 }
 
-// Publish puts a changed publication in force under the next version.
+// Publish applies a changed copy of the publication with the next version.
 func (s *Stack) Publish(change func(*chestnutstep.Publication)) error {
 	p := s.NextPublication(1, change)
 	root, parts := config.Pack(p)
 	return s.Store.Apply(time.Now(), root, parts)
 }
 
-// NextPublication is the publication in force with a change, so many versions later.
+// NextPublication returns a changed copy of the publication in force. versions is added to its version.
 func (s *Stack) NextPublication(versions int, change func(*chestnutstep.Publication)) *chestnutstep.Publication {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -398,7 +399,7 @@
 	return &p
 }
 
-// applyChange builds what each process sees of a publication that came into force.
+// applyChange builds the views of all processes from a new publication.
 func (s *Stack) applyChange(c config.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -413,7 +414,7 @@
 	}
 }
 
-// clone copies what changes touch.
+// clone copies p and the slices that changes modify.
 func clone(p chestnutstep.Publication) chestnutstep.Publication {
 	p.Domains = slices.Clone(p.Domains)
 	p.Targets = slices.Clone(p.Targets)
@@ -421,14 +422,14 @@
 	return p
 }
 
-// View is the publication in force at an entry, or with Entries at the agents.
+// View returns the view of entry i, or that of the agents if i is Entries.
 func (s *Stack) View(i int) *chestnutstep.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.views[i]
 }
 
-// node finds a node by its target's name.
+// node returns the node with the given target name, or nil.
 func (s *Stack) node(name string) *Node {
 	for _, n := range s.Nodes {
 		if n.Name == name {
@@ -438,10 +439,11 @@
 	return nil
 }
 
-// HaltedNode is the node where a request stands.
+// HaltedNode returns the node whose request is stopped.
 func (s *Stack) HaltedNode() *Node { return s.node(s.Breakpoint.Target()) }
 
-// noHosts knows nothing of hosts: what an entry learns must not matter here.
+// noHosts implements entry.Hosts and ignores all records, so that earlier failures of a host have
+// no effect on a cell.
 type noHosts struct{}
 
 // RecordRefusal implements entry.Hosts.
