--- a/matrix/fault_test.go
+++ b/matrix/fault_test.go
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// waitTimeout is the maximum time that waitFor waits for a condition.
+// waitTimeout is the maximum time that waitFor waits for a condition. No expected result depends on it.
 const waitTimeout = 5 * time.Second
 
 // waitFor polls ok until it returns true. After waitTimeout it returns an error that names the condition.
--- a/matrix/halt.go
+++ b/matrix/halt.go
@@ -71,7 +71,8 @@
 	return h.accepted[target]
 }
 
-// Reach is called by the hooks at each step. If the step is set, it blocks until Release.
+// Reach is called at each step of a request. If the step is the one passed to Set, the first call
+// blocks until Release.
 func (h *Breakpoint) Reach(at Step, target string) {
 	h.mu.Lock()
 	if h.at != at {
--- a/matrix/stack.go
+++ b/matrix/stack.go
@@ -247,7 +247,7 @@
 }
 
 // KillAgent stops an agent without a drain and starts a new one without state. The connections to
-// the agent and to its target break, as after the kill of a process.
+// the agent and from it to its target break, as after the kill of a process.
 func (s *Stack) KillAgent(n *Node) error {
 	n.TargetRelay.Stop()
 	n.stop()
--- a/trial/direct.go
+++ b/trial/direct.go
@@ -33,7 +33,7 @@
 	// requestTokens is the number of tokens of a prompt after the prefix of its chat.
 	requestTokens = 200
 	// maxDirectAttempts is the maximum number of targets tried for a request while they
-	// are down or refuse it.
+	// are down.
 	maxDirectAttempts = 3
 	// heartbeat is the delay until entries detect a restart of a target.
 	heartbeat = time.Second
@@ -102,8 +102,8 @@
 	}
 }
 
-// send sends a request to a target and tries other targets if that one is down or refuses it. After
-// maxDirectAttempts it retries after a second.
+// send sends a request to a target and tries other targets if that one is down. If all attempts
+// fail, it schedules a retry after a second.
 func (d *directFleet) send(r *request) {
 	entry := d.entries[d.trial.rand.IntN(len(d.entries))]
 	var skip []string
@@ -115,7 +115,8 @@
 	d.trial.retry(r, time.Second)
 }
 
-// try sends a request to one target and reports whether the target accepted it.
+// try sends a request to one target and reports whether the target took it. It returns false if
+// there is no target to choose or the target is down.
 func (d *directFleet) try(entry *board.Board, r *request, skip *[]string) bool {
 	now := d.now()
 	parts := d.parts(r)
--- a/trial/surge_test.go
+++ b/trial/surge_test.go
@@ -43,8 +43,8 @@
 
 // TestHotWorkspaceDoesNotStarveOthers guards against one workspace that starves the others.
 // It sends five of six requests, more than twice the capacity of the targets, while the others
-// keep their usual rate. The warm-up of three seconds lets the requests end that the hot workspace
-// started before the first refusal.
+// keep their usual rate. The warm-up of three seconds excludes the time in which requests of the
+// hot workspace from before its first refusal still occupy the targets.
 func TestHotWorkspaceDoesNotStarveOthers(t *testing.T) {
 	cfg := surgeFleet(3, true)
 	cfg.HotRatio = 5.0 / 6
@@ -55,8 +55,8 @@
 
 // TestGoodputHoldsWithoutPeers guards against overload by entries that receive no reports. Each
 // counts only its own requests and assumes that all slots are free for it. Late first bytes must
-// make it admit less, but not less than its safe share: four entries that assume six of them
-// still reach two thirds of the best goodput.
+// make it admit less, but not less than its safe share: four entries that assume that there are six
+// of them still reach two thirds of the best goodput.
 func TestGoodputHoldsWithoutPeers(t *testing.T) {
 	cfg := surgeFleet(2, true)
 	cfg.ReportInterval = 0
