--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -112,50 +112,50 @@
 )
 
 func newCrashSim(seed int64) *crashSim {
-	o := &crashSim{r: rand.New(rand.NewSource(seed)), now: script.Epoch, crashed: map[string]bool{}}
+	s := &crashSim{r: rand.New(rand.NewSource(seed)), now: script.Epoch, crashed: map[string]bool{}}
 	for n := range 8 {
 		d := &Detector{Target: fmt.Sprint("t", n)}
 		for f := range uint64(popular) {
-			d.Start(o.now, poison+1+f)
-			d.End(o.now, poison+1+f, true)
+			d.Start(s.now, poison+1+f)
+			d.End(s.now, poison+1+f, true)
 		}
-		o.detectors = append(o.detectors, d)
+		s.detectors = append(s.detectors, d)
 	}
-	return o
+	return s
 }
 
 // offer sends the crashing request to a random target. ignoreDetector sends it even if the detector
 // has condemned it; delayReports delays the report of the crash by one offer.
-func (o *crashSim) offer(ignoreDetector, delayReports bool) {
-	d := o.detectors[o.r.Intn(len(o.detectors))]
-	o.now = o.now.Add(time.Second)
-	reports := o.delayed
-	o.delayed = nil
-	state := d.Check(o.now, poison)
+func (s *crashSim) offer(ignoreDetector, delayReports bool) {
+	d := s.detectors[s.r.Intn(len(s.detectors))]
+	s.now = s.now.Add(time.Second)
+	reports := s.delayed
+	s.delayed = nil
+	state := d.Check(s.now, poison)
 	if ignoreDetector || state != chestnutstep.ContentCondemned {
 		for f := range uint64(popular) {
-			if state == chestnutstep.ContentClear && d.Check(o.now, poison+1+f) == chestnutstep.ContentClear {
-				d.Start(o.now, poison+1+f)
+			if state == chestnutstep.ContentClear && d.Check(s.now, poison+1+f) == chestnutstep.ContentClear {
+				d.Start(s.now, poison+1+f)
 			}
 		}
-		d.Start(o.now, poison)
-		o.crashed[d.Target] = true
-		o.delayed = d.Crash(o.now)
+		d.Start(s.now, poison)
+		s.crashed[d.Target] = true
+		s.delayed = d.Crash(s.now)
 	}
 	if !delayReports {
-		reports = append(reports, o.delayed...)
-		o.delayed = nil
+		reports = append(reports, s.delayed...)
+		s.delayed = nil
 	}
-	for _, d := range o.detectors {
-		d.Merge(o.now, reports)
+	for _, d := range s.detectors {
+		d.Merge(s.now, reports)
 	}
 }
 
-func (o *crashSim) countCondemned() int {
+func (s *crashSim) countCondemned() int {
 	n := 0
-	for _, d := range o.detectors {
+	for _, d := range s.detectors {
 		for f := range uint64(popular) {
-			if d.Check(o.now, poison+1+f) == chestnutstep.ContentCondemned {
+			if d.Check(s.now, poison+1+f) == chestnutstep.ContentCondemned {
 				n++
 			}
 		}
@@ -170,7 +170,7 @@
 // If the report of every crash is one offer late, three targets are lost. An agent should therefore
 // report a crash to the next targets of the ranking before it answers the caller.
 func TestPoisonStopsAfterTwoTargets(t *testing.T) {
-	var worst, unprotected, slow, condemned int
+	var worst, unprotected, worstDelayed, condemned int
 	for seed := range int64(2000) {
 		immediate, ignoring, delayed := newCrashSim(seed), newCrashSim(seed), newCrashSim(seed)
 		for n := range 40 {
@@ -180,13 +180,13 @@
 		}
 		worst = max(worst, len(immediate.crashed))
 		unprotected = max(unprotected, len(ignoring.crashed))
-		slow = max(slow, len(delayed.crashed))
+		worstDelayed = max(worstDelayed, len(delayed.crashed))
 		condemned += immediate.countCondemned() + delayed.countCondemned()
 	}
 	t.Logf("max targets lost of 8: %d, without the detector %d, with all reports late %d; popular requests condemned: %d",
-		worst, unprotected, slow, condemned)
+		worst, unprotected, worstDelayed, condemned)
 	assert.Equal(t, worst, 2)
-	assert.Equal(t, slow, 3)
+	assert.Equal(t, worstDelayed, 3)
 	assert.Equal(t, unprotected, 8)
 	assert.Equal(t, condemned, 0)
 }
--- a/crash/detector.go
+++ b/crash/detector.go
@@ -132,7 +132,8 @@
 }
 
 // End records that a run of the content has ended. Each Start requires one End, also after a crash.
-// A content that was served to its end is cleared, here and through reports at all other agents.
+// A content that was served to its end is cleared, here and through reports at all other agents,
+// because it did not crash the target that ran it.
 func (d *Detector) End(now time.Time, fingerprint uint64, served bool) {
 	d.init()
 	d.removeRun(fingerprint)
--- a/crash/fingerprint.go
+++ b/crash/fingerprint.go
@@ -8,8 +8,9 @@
 
 // Fingerprint returns a hash of a request's content: the same workspace, path and body give the
 // same number in every process. It is never 0, which means "unknown". The lengths are hashed too,
-// so that bytes can't be moved between path and body without changing the hash. The workspace is
-// hashed so that a crash caused by one customer never condemns the same text of another one.
+// so that bytes can't be moved between workspace, path and body without changing the hash. The
+// workspace is hashed so that a crash caused by one customer never condemns the same text of
+// another one.
 func Fingerprint(workspace, path string, body []byte) uint64 {
 	d := xxhash.New()
 	var n [16]byte
--- a/crash/quarantine.go
+++ b/crash/quarantine.go
@@ -110,7 +110,7 @@
 }
 
 // add adds a loss and reports whether the record changed. If the record is full, the loss replaces
-// one that the content is cleared of.
+// one that the content is cleared of; if there is none, the loss is dropped.
 func (c *contentRecord) add(l Loss) bool {
 	for i := range c.losses {
 		if old := &c.losses[i]; old.Target == l.Target {
@@ -300,8 +300,9 @@
 	}
 }
 
-// evictExcess removes a content if there are more than MaxContents: the one with the fewest losses,
-// then the one with the oldest loss. It never removes the content that was just added.
+// evictExcess removes a content if there are more than MaxContents: the one with the fewest
+// uncleared losses and, among equals, the one whose last loss is the oldest. It never removes the
+// content that was just added.
 func (q *Quarantine) evictExcess(added uint64) {
 	if len(q.contents) <= q.MaxContents {
 		return
@@ -319,8 +320,8 @@
 	delete(q.contents, evicted)
 }
 
-// hasLessEvidence reports whether there are fewer or older losses of this content than of the other
-// one.
+// hasLessEvidence reports whether this content has fewer uncleared losses than the other one or, if
+// the numbers are equal, an older last loss.
 func (c *contentRecord) hasLessEvidence(other *contentRecord) bool {
 	if a, b := c.unclearedCount(), other.unclearedCount(); a != b {
 		return a < b
