--- a/relay/backlog.go
+++ b/relay/backlog.go
@@ -11,8 +11,8 @@
 // how long a connection has been waiting; the time for which the queue has not been found empty is
 // used as an estimate.
 type acceptQueue struct {
-	// nonEmptySince is the time of the first observation after which the queue was not found empty
-	// again; 0 if it was empty at the last observation.
+	// nonEmptySince is when the queue was first found non-empty since it was last found empty; 0
+	// while it is empty.
 	nonEmptySince atomic.Int64
 }
 
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -35,14 +35,14 @@
 	if wait := q.quarantineWait(now); wait > 0 {
 		return board.Choice{}, &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonCondemned, wait}
 	}
-	need := board.Criteria{
-		Parts: q.ask.Parts, Domain: q.Domain, Skip: q.triedTargets, DomainAllowed: q.allowsDomain, CapFactor: q.Bounds().CapFactor,
+	criteria := board.Criteria{
+		Parts: q.callerHeaders.Parts, Domain: q.Domain, Skip: q.triedTargets, DomainAllowed: q.allowsDomain, CapFactor: q.Bounds().CapFactor,
 		VerifyHost: !q.route.IsIdempotent() || q.attempts.Sent > 0,
 	}
 	if requester := q.requester(); q.attempts.Sent == 0 {
-		need.Caller = &requester
+		criteria.Caller = &requester
 	}
-	c := q.Board.Choose(now, q.view, q.service, need, q.placement())
+	c := q.Board.Choose(now, q.view, q.service, criteria, q.placement())
 	switch {
 	case !c.Admission.Admitted:
 		return c, q.refuseFull(c.Admission)
@@ -64,10 +64,10 @@
 
 // refuseFull returns the refusal for a request for which no target has a free place. Its
 // Retry-After is the time after which a retry can still be served within the objective.
-func (q *request) refuseFull(capacity board.Admission) *refusal {
-	q.capacity = &capacity
-	q.Meters.Refused.Add(1, q.requester().Workspace, string(capacity.Reason))
-	return &refusal{http.StatusServiceUnavailable, capacity.Reason, admit.RetryAfter(q.ask.ID, q.route.LatencyObjective)}
+func (q *request) refuseFull(admission board.Admission) *refusal {
+	q.admission = &admission
+	q.Meters.Refused.Add(1, q.requester().Workspace, string(admission.Reason))
+	return &refusal{http.StatusServiceUnavailable, admission.Reason, admit.RetryAfter(q.callerHeaders.ID, q.route.LatencyObjective)}
 }
 
 // allowsDomain reports whether the request may be sent to targets of a failure domain. If both the
@@ -83,23 +83,23 @@
 // placement returns the placement request: the routing key and the sizes of the prompt and its
 // shared prefix in tokens.
 func (q *request) placement() place.Request {
-	a := place.Request{Key: xxhash.Sum64String(q.ask.ID)}
-	for _, p := range q.ask.Parts {
-		a.Tokens += p.Tokens
+	r := place.Request{Key: xxhash.Sum64String(q.callerHeaders.ID)}
+	for _, p := range q.callerHeaders.Parts {
+		r.Tokens += p.Tokens
 	}
-	if n := len(q.ask.Parts); n > 1 {
-		a.Key = q.ask.Parts[n-2].ID
-		a.Shared = a.Tokens - q.ask.Parts[n-1].Tokens
+	if n := len(q.callerHeaders.Parts); n > 1 {
+		r.Key = q.callerHeaders.Parts[n-2].ID
+		r.Shared = r.Tokens - q.callerHeaders.Parts[n-1].Tokens
 	}
-	return a
+	return r
 }
 
 // requester returns the workspace, urgency and latency objective by which places at targets are
 // shared.
 func (q *request) requester() board.Caller {
-	w := board.Caller{Urgency: q.urgency(), Objective: q.route.LatencyObjective}
+	c := board.Caller{Urgency: q.urgency(), Objective: q.route.LatencyObjective}
 	if q.workspace != nil {
-		w.Workspace = q.workspace.Name
+		c.Workspace = q.workspace.Name
 	}
-	return w
+	return c
 }
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -15,11 +15,11 @@
 // maxPendingReports limits the number of losses that wait for the next round of reports.
 const maxPendingReports = 1024
 
-// CrashTracker detects contents that end targets, at entries without agents. A broken connection
-// raises a suspicion against the content, regardless of how much of the answer was received. The
-// end of the target is confirmed if the target refuses a connection, if it disappears from the list
-// of targets, or if a peer reports it. A CrashTracker is safe for concurrent use. Set the fields
-// before use.
+// CrashTracker detects contents that end targets, at entries without agents. Without an agent, no
+// process observes the end of a target directly: a broken connection raises a suspicion against the
+// content, regardless of how much of the answer was received. The end of the target is confirmed if
+// the target refuses a connection, if it disappears from the list of targets, or if a peer reports
+// it. A CrashTracker is safe for concurrent use. Set the fields before use.
 type CrashTracker struct {
 	// Log receives an event for each loss; nil disables logging.
 	Log *event.Log
--- a/relay/deadly_test.go
+++ b/relay/deadly_test.go
@@ -193,10 +193,10 @@
 // connections broke, although the targets did not end.
 func TestContentOfBrokenConnectionsIsServed(t *testing.T) {
 	for _, kind := range []string{"unsafe", "safe", "stream", "resume"} {
-		for _, manner := range []stand.Behaviour{stand.Resets, stand.Cuts} {
-			t.Run(fmt.Sprintf("%s/%s", kind, manner), func(t *testing.T) {
+		for _, behaviour := range []stand.Behaviour{stand.Resets, stand.Cuts} {
+			t.Run(fmt.Sprintf("%s/%s", kind, behaviour), func(t *testing.T) {
 				f := newCluster(t)
-				f.order.Set(manner, manner, manner, manner)
+				f.order.Set(behaviour, behaviour, behaviour, behaviour)
 				for range 4 {
 					f.send(t, 0, kind, "a fair question")
 				}
--- a/relay/ended.go
+++ b/relay/ended.go
@@ -38,7 +38,7 @@
 	// usedAt is the time of the last access, and endedAt the time at which the end of the target
 	// was last confirmed; 0 means never.
 	usedAt, endedAt clock.Stamp
-	// breaks are the runs whose cause is not yet confirmed.
+	// breaks are the broken runs for which the end of the target is not confirmed.
 	breaks []brokenRun
 	// probeDone is closed when the probe in progress has a result; nil if there is none.
 	probeDone chan struct{}
--- a/relay/listen.go
+++ b/relay/listen.go
@@ -44,7 +44,7 @@
 }
 
 // Accept returns the next connection when there is room for it. While the Shedder is active, it
-// closes connections whose request is rejected and continues with the next one.
+// rejects requests unread, closes their connections and continues with the next one.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		l.yield()
@@ -118,8 +118,8 @@
 	return &callerConn{Conn: c, listener: l, buffered: buffered, atRequestStart: len(buffered) == 0}
 }
 
-// Backlog checks whether connections wait to be accepted, and returns for how long that has been
-// observed.
+// Backlog checks whether connections wait to be accepted, and returns for how long every check has
+// found one.
 func (l *Listener) Backlog() time.Duration {
 	now := clock.Now()
 	l.acceptQueue.observe(now, hasPendingConn(l.Listener))
--- a/relay/listen_test.go
+++ b/relay/listen_test.go
@@ -115,8 +115,9 @@
 }
 
 // TestConnectionWithPendingRequestIsNotEvicted guards against the loss of a request that has
-// arrived on an idle connection but has not been read yet, as happens on a busy host. Another idle
-// connection is closed instead.
+// arrived on an idle connection but has not been read yet, as happens on a busy host. Closing that
+// connection could also cut a request that was just sent to a target. Another idle connection is
+// closed instead.
 func TestConnectionWithPendingRequestIsNotEvicted(t *testing.T) {
 	g := newTestRelay(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
--- a/relay/log.go
+++ b/relay/log.go
@@ -13,7 +13,7 @@
 
 // log emits an event with the id of this request.
 func (q *request) log(id event.ID, fields ...event.Field) {
-	q.Log.Emit(id, append([]event.Field{event.Str("request", q.ask.ID)}, fields...)...)
+	q.Log.Emit(id, append([]event.Field{event.Str("request", q.callerHeaders.ID)}, fields...)...)
 }
 
 // logSend logs that the request is sent, with the reasons for the choice of the target.
@@ -60,9 +60,9 @@
 		event.Int("tries", int64(q.attempts.Sent)), event.Dur("took", time.Since(q.startedAt)),
 		event.Dur("proof", clock.Now().Sub(q.Roster.VersionConfirmedAt())),
 	}
-	if q.capacity != nil {
-		fields = append(fields, event.Str("workspace", q.requester().Workspace), event.Float("taken", q.capacity.Taken),
-			event.Float("kept", q.capacity.Kept), event.Int("yield", int64(q.capacity.Yield)), event.Dur("after", f.retryAfter))
+	if q.admission != nil {
+		fields = append(fields, event.Str("workspace", q.requester().Workspace), event.Float("taken", q.admission.Taken),
+			event.Float("kept", q.admission.Kept), event.Int("yield", int64(q.admission.Yield)), event.Dur("after", f.retryAfter))
 	}
 	if f.reason == chestnutstep.ReasonCondemned {
 		fields = append(fields, event.Uint("content", q.content))
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -56,11 +56,11 @@
 // request is the state of one request of a caller.
 type request struct {
 	*Relay
-	w    http.ResponseWriter
-	r    *http.Request
-	ctx  context.Context
-	ask  chestnutstep.CallerHeaders
-	view *roster.View
+	w             http.ResponseWriter
+	r             *http.Request
+	ctx           context.Context
+	callerHeaders chestnutstep.CallerHeaders
+	view          *roster.View
 
 	route        *chestnutstep.Route
 	service      *chestnutstep.Service
@@ -81,9 +81,9 @@
 	// isTrial reports whether this is a trial run of a content that has ended targets; no other
 	// request of this entry may run the content meanwhile.
 	isTrial bool
-	// capacity is the state of the targets' places when the request was refused for lack of one;
+	// admission is the state of the targets' places when the request was refused for lack of one;
 	// nil otherwise.
-	capacity *board.Admission
+	admission *board.Admission
 }
 
 // ServeHTTP handles one request of a caller.
@@ -93,7 +93,7 @@
 	if e.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{Relay: e, w: w, r: r, startedAt: time.Now(), ask: e.Wire.CallerHeaders(r.Header), view: e.Roster.View()}
+	q := &request{Relay: e, w: w, r: r, startedAt: time.Now(), callerHeaders: e.Wire.CallerHeaders(r.Header), view: e.Roster.View()}
 	if refused := q.accept(); refused != nil {
 		q.refuse(*refused)
 		return
@@ -141,20 +141,20 @@
 		if !q.isConfigCurrent() {
 			return &refusal{http.StatusServiceUnavailable, chestnutstep.ReasonVersion, unreadyRetryAfter}
 		}
-		q.workspace = c.WorkspaceByKey(q.ask.Key)
+		q.workspace = c.WorkspaceByKey(q.callerHeaders.Key)
 		if q.workspace == nil {
 			return q.refuseUnknown(http.StatusUnauthorized, chestnutstep.ReasonKey)
 		}
 	}
-	if q.ask.ID == "" {
+	if q.callerHeaders.ID == "" {
 		return &refusal{http.StatusBadRequest, chestnutstep.ReasonHeader, 0}
 	}
 	if maxBytes := c.Limits.MaxHeaderBytes; maxBytes > 0 && headerBytes(q.r.Header) > maxBytes {
 		return &refusal{http.StatusRequestHeaderFieldsTooLarge, chestnutstep.ReasonLarge, 0}
 	}
 	q.deadline = q.startedAt.Add(q.route.Timeout)
-	if q.ask.Timeout > 0 && q.ask.Timeout < q.route.Timeout {
-		q.deadline = q.startedAt.Add(q.ask.Timeout)
+	if q.callerHeaders.Timeout > 0 && q.callerHeaders.Timeout < q.route.Timeout {
+		q.deadline = q.startedAt.Add(q.callerHeaders.Timeout)
 	}
 	q.service = c.Services[q.pickService()]
 	if q.service == nil {
@@ -212,7 +212,7 @@
 	for _, s := range list {
 		sum += s.Weight
 	}
-	at := hashFraction(q.ask.ID) * sum
+	at := hashFraction(q.callerHeaders.ID) * sum
 	for _, s := range list {
 		at -= s.Weight
 		if at < 0 {
--- a/relay/run.go
+++ b/relay/run.go
@@ -61,7 +61,7 @@
 }
 
 // canRetry reports whether the request may be sent to another target, and withdraws the retry from
-// the budget.
+// the budget. After a target that could not be reached, a retry needs no budget.
 func (q *request) canRetry(err error) bool {
 	if !q.attempts.CanRetry(q.route.IsIdempotent(), q.route.MaxAttempts) {
 		return false
@@ -91,7 +91,7 @@
 		q.Budgets.Earn(time.Now(), q.service.Name)
 	}
 	q.stream.events = 0
-	run := q.Board.Start(now, t, q.service, q.ask.Parts, c.ReusableTokens(), q.requester())
+	run := q.Board.Start(now, t, q.service, q.callerHeaders.Parts, c.ReusableTokens(), q.requester())
 	q.logSend(c)
 	q.countTokens(c)
 	if c.NewConnection {
@@ -149,8 +149,8 @@
 		Timeout:     time.Until(q.deadline),
 		FetchFrom:   c.Donor.Address,
 		Urgency:     chestnutstep.UrgencyUnset,
-		IsResume:    q.ask.IsResume,
-		LastEventID: q.ask.LastEventID,
+		IsResume:    q.callerHeaders.IsResume,
+		LastEventID: q.callerHeaders.LastEventID,
 	}
 	if q.workspace != nil {
 		s.Workspace = q.workspace.Name
@@ -201,9 +201,9 @@
 	canRepeat := q.route.IsIdempotent() && q.attempts.Sent+1 < q.route.MaxAttempts
 	return func() bool {
 		q.Meters.Silent.Add(1, q.service.Name)
-		known := q.Board.RecordUnresponsive(clock.Now(), t)
-		q.log(event.TargetSilent, event.Str("target", t.ID), event.Bool("link", known), event.Bool("again", known && canRepeat))
-		return known && canRepeat
+		recorded := q.Board.RecordUnresponsive(clock.Now(), t)
+		q.log(event.TargetSilent, event.Str("target", t.ID), event.Bool("link", recorded), event.Bool("again", recorded && canRepeat))
+		return recorded && canRepeat
 	}
 }
 
--- a/relay/validate.go
+++ b/relay/validate.go
@@ -21,13 +21,13 @@
 // the target ran the request.
 func (q *request) validate(a *link.Response, headers chestnutstep.TargetHeaders) error {
 	switch {
-	case headers.NotRun && (headers.ID == "" || headers.ID == q.ask.ID):
+	case headers.NotRun && (headers.ID == "" || headers.ID == q.callerHeaders.ID):
 		reason := chestnutstep.ReasonFull
 		if headers.Misdirected {
 			reason = chestnutstep.ReasonDead
 		}
 		return link.ErrCall{Run: chestnutstep.RunNo, Reason: reason, Err: errors.Newf("target did not run the request: status %d", a.Status)}
-	case headers.ID != q.ask.ID:
+	case headers.ID != q.callerHeaders.ID:
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonCrossed, Err: errors.Newf("response belongs to another request: %q", headers.ID)}
 	case !headers.IsSigned || a.Header.Get("Content-Encoding") != "":
 		return link.ErrCall{Run: chestnutstep.RunMaybe, Reason: chestnutstep.ReasonShort, Err: errors.Newf("response with status %d is unsigned or has a content encoding", a.Status)}
--- a/relay/wait_test.go
+++ b/relay/wait_test.go
@@ -25,8 +25,8 @@
 	took(long)
 	g.roster.View().Routing.Services["shop"].IsEngine = true
 	assert.Assert(t, took(long) >= place.Patience(6000))
-	settled := make(chan struct{})
-	close(settled)
-	g.relay.CachesKnown = settled
+	cachesKnown := make(chan struct{})
+	close(cachesKnown)
+	g.relay.CachesKnown = cachesKnown
 	took(long)
 }
