--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -37,21 +37,21 @@
 	if b.buckets == nil {
 		b.buckets = make(map[string]*TokenBucket)
 	}
-	a := b.buckets[service]
-	if a == nil {
-		a = &TokenBucket{}
-		b.buckets[service] = a
+	bucket := b.buckets[service]
+	if bucket == nil {
+		bucket = &TokenBucket{}
+		b.buckets[service] = bucket
 	}
 	bounds := b.Bounds()
-	a.Ratio = budgetSafetyRatio * bounds.Ratio
+	bucket.Ratio = budgetSafetyRatio * bounds.Ratio
 	slack := budgetSafetyRatio * bounds.Slack / float64(max(b.Entries(), 1))
 	// Half of the slack is available immediately and half over the window, so that no window
 	// exceeds the total. With many entries, the part of one entry is less than one retry and
 	// accumulates. An initial retry for each entry would exceed the limit of the whole fleet.
-	a.Capacity = max(slack/2, 1)
-	a.Initial = slack / 2
-	a.Rate = slack / 2 / max(bounds.Window, time.Second).Seconds()
-	return a
+	bucket.Capacity = max(slack/2, 1)
+	bucket.Initial = slack / 2
+	bucket.Rate = slack / 2 / max(bounds.Window, time.Second).Seconds()
+	return bucket
 }
 
 // Earn adds the earnings of one first send.
