--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -67,7 +67,7 @@
 
 // TestOldMeanErrsLow guards against an outdated mean. An agent that has lost its peers but is still
 // reached by entries would keep the mean of the busiest hour, and run far more than the other
-// targets at night.
+// targets at night, so that its callers get slow answers.
 func TestOldMeanErrsLow(t *testing.T) {
 	c := Cap{Multiple: 1.25, Floor: 2, Slots: 64}
 	c.Measure(epoch, chestnutstep.Mean{Load: 20, Targets: 300, Age: 5 * time.Second})
--- a/admit/fair.go
+++ b/admit/fair.go
@@ -30,10 +30,11 @@
 //
 // It protects ordinary traffic from a workspace that sends many times its usual load, and urgent
 // requests from many less urgent ones: without shares, these would take every place that becomes
-// free, and all others would be refused equally often. Places are shared evenly among workspaces,
-// and among ranks by weight, a rank having twice the weight of the next less urgent one. Unused
-// shares are available to the others. Short requests occupy few places at a time and are rarely
-// refused because of long ones. The zero value is ready to use.
+// free. The symptom is workspaces with ordinary traffic that are refused as often as the one that
+// surges. Places are shared evenly among workspaces, and among ranks by weight, a rank having twice
+// the weight of the next less urgent one. Unused shares are available to the others. Short requests
+// occupy few places at a time and are rarely refused because of long ones. The zero value is ready
+// to use.
 type FairLimiter struct {
 	workspaces map[string]*usage
 	ranks      map[int]*usage
@@ -76,7 +77,7 @@
 // its Yield. The shares are only computed when places are short; before, every request is admitted
 // with YieldNone. The reserve exists only while requests within their share find no place;
 // otherwise places would stay free while requests are refused.
-func (f *FairLimiter) Admit(now clock.Stamp, urgency int, workspace string, usedRatio float64) (free bool, y Yield) {
+func (f *FairLimiter) Admit(now clock.Stamp, urgency int, workspace string, usedRatio float64) (admitted bool, y Yield) {
 	r, w := f.usageOf(urgency, workspace)
 	r.requestedAt, w.requestedAt = now, now
 	f.decayReserve(now)
--- a/admit/shedder.go
+++ b/admit/shedder.go
@@ -11,8 +11,8 @@
 const (
 	// targetDelay is the maximum scheduling delay before an entry counts as overloaded.
 	targetDelay = 100 * time.Millisecond
-	// shedGain is the part of the accepted requests by which one observation reduces them, per
-	// multiple of targetDelay; maxShedStep limits that part.
+	// shedGain is the part of the still accepted requests that one observation adds to the rejected
+	// ones, per multiple of targetDelay; maxShedStep limits that part.
 	shedGain    = 0.2
 	maxShedStep = 0.25
 	// shedDecay is the factor by which an observation without delay reduces the reject ratio.
--- a/admit/surge_test.go
+++ b/admit/surge_test.go
@@ -99,10 +99,10 @@
 // workspaces are refused equally often, and the small ones lose half of their requests.
 func TestHotWorkspaceIsRefusedForItsSurplus(t *testing.T) {
 	const (
-		places   = 100
-		runSteps = 100
-		steps    = 5000
-		small    = 0.03
+		places    = 100
+		runSteps  = 100
+		steps     = 5000
+		smallRate = 0.03
 	)
 	for _, shares := range []bool{true, false} {
 		var f FairLimiter
@@ -116,7 +116,7 @@
 			}
 			now := startTime.Add(time.Duration(step) * 10 * time.Millisecond)
 			for w := range 10 {
-				rate := small
+				rate := smallRate
 				if w == 0 {
 					rate *= 50
 				}
@@ -125,14 +125,14 @@
 						continue
 					}
 					workspace := fmt.Sprint("w", w)
-					free, _ := f.Admit(now, 0, workspace, float64(running)/places)
+					admitted, _ := f.Admit(now, 0, workspace, float64(running)/places)
 					if !shares {
-						free = running < places
+						admitted = running < places
 					}
 					if w > 0 {
 						requested++
 					}
-					if !free {
+					if !admitted {
 						continue
 					}
 					if w > 0 {
@@ -157,13 +157,13 @@
 // same time and are refused again.
 func TestRetryAfterIsSpread(t *testing.T) {
 	const objective = 600 * time.Millisecond
-	slots := make(map[time.Duration]int)
+	counts := make(map[time.Duration]int)
 	for i := range 1000 {
 		d := RetryAfter(fmt.Sprint("request-", i), objective)
 		assert.Assert(t, d >= objective/6 && d < objective/2, "%s: too late to be in time", d)
-		slots[d/(10*time.Millisecond)]++
+		counts[d/(10*time.Millisecond)]++
 	}
-	for at, n := range slots {
+	for at, n := range counts {
 		assert.Assert(t, n < 200, "%d of 1000 come back at %s", n, at*10*time.Millisecond)
 	}
 }
