--- a/member/member.go
+++ b/member/member.go
@@ -162,14 +162,14 @@
 		}
 		return changed
 	}
-	changed := !r.leaving && !r.isLeavingHeld(now) && age < leavingTTL
+	changed := !r.leaving && !r.hasLeavingEvidence(now) && age < leavingTTL
 	if reportedAt.After(r.leavingAt) {
 		r.leavingAt = reportedAt
 	}
 	return changed
 }
 
-func (r *record) isLeavingHeld(now time.Time) bool {
+func (r *record) hasLeavingEvidence(now time.Time) bool {
 	return !r.leavingAt.IsZero() && now.Sub(r.leavingAt) < leavingTTL
 }
 
@@ -227,7 +227,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.hosts[host]
-	return r != nil && (r.leaving || r.isLeavingHeld(now))
+	return r != nil && (r.leaving || r.hasLeavingEvidence(now))
 }
 
 // IsSuspect reports whether a host has failed and not recovered since. Suspect hosts rank behind
@@ -247,7 +247,7 @@
 	defer t.mu.Unlock()
 	var hosts []string
 	for host, r := range t.hosts {
-		if r.leaving || r.isLeavingHeld(now) || r.suspect {
+		if r.leaving || r.hasLeavingEvidence(now) || r.suspect {
 			hosts = append(hosts, host)
 		}
 	}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -99,8 +99,8 @@
 		fmt.Fprintf(out, "%s %s: probe %v\n", f[0], args[0], p.trackers[0].AllowProbe(p.now, args[0]))
 		return
 	}
-	for i, b := range p.trackers {
-		if !applyEvent(b, p.now, event, args) && i == 0 && event != "show" {
+	for i, tracker := range p.trackers {
+		if !applyEvent(tracker, p.now, event, args) && i == 0 && event != "show" {
 			fmt.Fprintf(out, "%s %s: no news\n", f[0], event)
 		}
 		p.countSwings(i)
@@ -113,21 +113,21 @@
 }
 
 // applyEvent applies an event and reports whether it was accepted or changed the state.
-func applyEvent(b trackerAPI, now time.Time, event string, args []string) bool {
+func applyEvent(tracker trackerAPI, now time.Time, event string, args []string) bool {
 	switch event {
 	case "list":
-		_, ok := b.ApplyList(now, parseHosts(args))
+		_, ok := tracker.ApplyList(now, parseHosts(args))
 		return ok
 	case "hear":
 		h := parseHosts(args[:1])[0]
 		age, _ := time.ParseDuration(args[1])
-		return b.ApplyReport(now, h, age)
+		return tracker.ApplyReport(now, h, age)
 	case "refuse":
-		b.RecordRefusal(now, args[0])
+		tracker.RecordRefusal(now, args[0])
 	case "fail":
-		b.RecordFailure(now, args[0])
+		tracker.RecordFailure(now, args[0])
 	case "answer":
-		b.RecordSuccess(now, args[0])
+		tracker.RecordSuccess(now, args[0])
 	}
 	return true
 }
@@ -152,11 +152,11 @@
 	}
 }
 
-func describe(b trackerAPI, now time.Time, host string) string {
+func describe(tracker trackerAPI, now time.Time, host string) string {
 	switch {
-	case b.IsLeaving(now, host):
+	case tracker.IsLeaving(now, host):
 		return "leaving"
-	case b.IsSuspect(now, host):
+	case tracker.IsSuspect(now, host):
 		return "suspect"
 	}
 	return "well"
