--- a/admit/cap.go
+++ b/admit/cap.go
@@ -1,10 +1,10 @@
 // Package admit decides how many requests a target may run at once, and which requests an entry
 // refuses when places run out or its processor is overloaded. It uses the published slots, the mean
-// load of the fleet, the observed latencies and the scheduling delay. The hard cap is needed because
-// a few workspaces or chats cause most of the load, and placement by hash sends all requests of a
-// popular chat to one target, which would answer late while the other targets are idle. The cold cap
-// is needed because a target that has just started fails under a load that a warm one can carry, and
-// would fail again after each restart.
+// load of the fleet, the observed latencies and the scheduling delay. The hard cap is needed
+// because a few workspaces or chats cause most of the load, and placement by hash sends all
+// requests of a popular chat to one target, which would answer late while the other targets are
+// idle. The cold cap is needed because a target that has just started fails under a load that a
+// warm one can carry, and would fail again after each restart.
 package admit
 
 import (
--- a/admit/cold.go
+++ b/admit/cold.go
@@ -11,8 +11,8 @@
 type ColdCap struct {
 	// StartCap is the load that a target in cold start can carry; values below 1 mean 1.
 	StartCap int
-	// WarmupAnswers is the number of complete answers before the cap first grows; growing sooner
-	// overloads engines. Values below StartCap mean StartCap.
+	// WarmupAnswers is the number of complete answers before the cap grows beyond StartCap; growing
+	// sooner overloads engines. Values below StartCap mean StartCap.
 	WarmupAnswers int
 	// Slots is the load that a warm target can run. A target that reaches it is warm.
 	Slots int
@@ -70,7 +70,7 @@
 }
 
 // RecordFailure records a failed answer to a request of the given generation. It halves the cap of
-// a cold target, as the last increase may have been too much.
+// a cold target, but not below StartCap, as the last increase may have been too much.
 func (c *ColdCap) RecordFailure(generation uint64) {
 	limit, cold := c.Cap()
 	if !cold || generation != c.generation {
--- a/admit/fair.go
+++ b/admit/fair.go
@@ -97,7 +97,8 @@
 	return f.reserve
 }
 
-// RaiseReserve raises the reserve to at least ratio, the reserve of another entry.
+// RaiseReserve raises the reserve to at least ratio, the reserve of another entry, but not above
+// maxReserve.
 func (f *FairLimiter) RaiseReserve(now clock.Stamp, ratio float64) {
 	f.decayReserve(now)
 	f.reserve = min(max(f.reserve, ratio), maxReserve)
--- a/crash/crash_test.go
+++ b/crash/crash_test.go
@@ -107,15 +107,15 @@
 }
 
 const (
-	poison  = uint64(1)
-	popular = 3 // fingerprints 2 to 4
+	poison       = uint64(1)
+	popularCount = 3 // fingerprints 2 to 4
 )
 
 func newCrashSim(seed int64) *crashSim {
 	s := &crashSim{r: rand.New(rand.NewSource(seed)), now: script.Epoch, crashed: map[string]bool{}}
 	for n := range 8 {
 		d := &Detector{Target: fmt.Sprint("t", n)}
-		for f := range uint64(popular) {
+		for f := range uint64(popularCount) {
 			d.Start(s.now, poison+1+f)
 			d.End(s.now, poison+1+f, true)
 		}
@@ -133,7 +133,7 @@
 	s.delayed = nil
 	state := d.Check(s.now, poison)
 	if ignoreDetector || state != chestnutstep.ContentCondemned {
-		for f := range uint64(popular) {
+		for f := range uint64(popularCount) {
 			if state == chestnutstep.ContentClear && d.Check(s.now, poison+1+f) == chestnutstep.ContentClear {
 				d.Start(s.now, poison+1+f)
 			}
@@ -154,7 +154,7 @@
 func (s *crashSim) countCondemned() int {
 	n := 0
 	for _, d := range s.detectors {
-		for f := range uint64(popular) {
+		for f := range uint64(popularCount) {
 			if d.Check(s.now, poison+1+f) == chestnutstep.ContentCondemned {
 				n++
 			}
--- a/crash/detector.go
+++ b/crash/detector.go
@@ -5,9 +5,9 @@
 // targets that become cold one after the other.
 //
 // Detector serves agents, which see every run of their target. All contents that run during a crash
-// become suspect and run exclusively from then on; a second crash condemns them. Quarantine serves
-// entries without agents, which see only their own requests and the reports of their peers. In
-// both, a content that is served to its end is cleared.
+// become suspect and run exclusively from then on; a second crash condemns them, with the exceptions
+// at Detector.Check. Quarantine serves entries without agents, which see only their own requests and
+// the reports of their peers. In both, a content that is served to its end is cleared.
 package crash
 
 import (
--- a/crash/quarantine.go
+++ b/crash/quarantine.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// DefaultMaxContents limits the number of stored contents: 8,192 hold the contents of some two
+	// DefaultMaxContents limits the number of stored contents: 8,192 cover the contents of some two
 	// hundred targets that end within ten minutes, and take 0.8 MB.
 	DefaultMaxContents = 8192
 	// quarantineThreshold is the number of targets that must end while running a content before it
--- a/member/member.go
+++ b/member/member.go
@@ -69,7 +69,7 @@
 type Tracker struct {
 	mu          sync.Mutex
 	hosts       map[string]*record
-	lastListLen int // length of the last accepted list
+	lastListLen int // length of the list with which the next one is compared
 	shortSince  time.Time
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -84,8 +84,8 @@
 	return g
 }
 
-// newRelay returns a relay for the targets of a roster. retries is the retry budget as a ratio of the
-// requests; its slack is 100 times that number per second.
+// newRelay returns a relay for the targets of a roster. retries is the retry budget as a ratio of
+// the requests; its slack is 100 times that number per second.
 func newRelay(ros *roster.Roster, bounds config.Bounds, retries float64) *relay.Relay {
 	return &relay.Relay{
 		Domain: "d", Bounds: func() config.Bounds { return bounds },
--- a/retry/allowance.go
+++ b/retry/allowance.go
@@ -30,11 +30,11 @@
 	DefaultCapacity = 20
 )
 
-// TokenBucket implements chestnutstep.Allowance as a token bucket that is refilled by first offers
+// TokenBucket implements chestnutstep.RetryBudget as a token bucket that is refilled by first offers
 // and, at a low rate, by time. It limits retries during an outage in which many requests fail at
 // once. With a limit per request instead, three attempts would triple the load on the remaining
 // targets and keep them overloaded when the others return. With a share of the traffic, the retries
-// never exceed that share.
+// never exceed that share and the low rate.
 //
 // Set the fields before the first call. A TokenBucket is not safe for concurrent use.
 type TokenBucket struct {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -107,8 +107,8 @@
 
 // TestOutageCausesNoRetryStorm guards against a retry storm when half of the targets fail and
 // return. With unlimited retries the offers triple and keep the fleet saturated after the targets
-// have returned, so that callers get errors until the traffic is stopped. With the budget the offers
-// grow only by its share, and all requests are served afterwards.
+// have returned, so that callers get errors until the traffic is stopped. With the budget the
+// offers grow only by its share, and all requests are served afterwards.
 func TestOutageCausesNoRetryStorm(t *testing.T) {
 	var b TokenBucket
 	maxOffers, served := simulateOutage(&fleetSim{load: 70, maxAttempts: 3, allowed: b.TryWithdraw, recordFirst: b.Deposit})
--- a/retry/verdicts.go
+++ b/retry/verdicts.go
@@ -36,8 +36,8 @@
 // CanRetry reports whether the request may be sent to another target. A request that is not
 // idempotent is not sent again if a target can have run it: a slot would be booked twice. Each
 // target to which the request was sent counts against limit, the attempts of the route. A target
-// that could not be reached does not count; after maxUnreached of them the fault is probably on this
-// side.
+// that could not be reached does not count; after maxUnreached of them the fault is probably on
+// this side.
 func (a *Attempts) CanRetry(idempotent bool, limit int) bool {
 	if !idempotent && !a.NotRun() || a.Unreached >= maxUnreached {
 		return false
