--- a/crash/detector.go
+++ b/crash/detector.go
@@ -5,9 +5,9 @@
 // targets that become cold one after the other.
 //
 // Detector serves agents, which see every run of their target. All contents that run during a crash
-// become suspect and run exclusively from then on; a second crash condemns them. Quarantine serves
-// entries without agents, which see only their own requests and the reports of their peers. In
-// both, a content that is served to its end is cleared.
+// become suspect and run exclusively from then on; a second crash condemns them, with the exceptions
+// at Detector.Check. Quarantine serves entries without agents, which see only their own requests and
+// the reports of their peers. In both, a content that is served to its end is cleared.
 package crash
 
 import (
@@ -132,7 +132,8 @@
 }
 
 // End records that a run of the content has ended. Each Start requires one End, also after a crash.
-// A content that was served to its end is cleared, here and through reports at all other agents.
+// A content that was served to its end is cleared, here and through reports at all other agents,
+// because it did not crash the target that ran it.
 func (d *Detector) End(now time.Time, fingerprint uint64, served bool) {
 	d.init()
 	d.removeRun(fingerprint)
