--- a/board/board.go
+++ b/board/board.go
@@ -45,7 +45,8 @@
 	Self   netip.AddrPort
 	Domain string
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// targets holds the state of targets by load key.
 	targets map[uint32]*targetState
 	// cachedParts is indexed by the low 32 bits of the part's ID, then by the target's cache
 	// key.
@@ -53,7 +54,8 @@
 	cacheChanges []share.CachedPart
 	replaced     []uint32
 	peers        map[netip.AddrPort]*peer
-	peerLoads    map[uint32]share.Load
+	// peerLoads holds the sums of the loads that peers reported, by load key.
+	peerLoads map[uint32]share.Load
 	// services holds the state of this entry's requests, by service.
 	services map[string]*serviceState
 	// domains holds the reachability of failure domains, by name.
@@ -81,8 +83,8 @@
 
 // targetState is the state of one target.
 type targetState struct {
-	// born is the start time of the instance that health, cold and limit describe.
-	born          int64
+	// startedMs is the start time of the instance that health, cold and limit describe.
+	startedMs     int64
 	running       int
 	pendingTokens int
 	health        health
@@ -148,9 +150,9 @@
 func (b *Board) instanceState(t *chestnutstep.Instance) (uint32, *targetState) {
 	key := loadKey(t.ID)
 	s := b.state(key)
-	if s.born != t.StartedMs {
+	if s.startedMs != t.StartedMs {
 		b.countIndividually(s)
-		s.born, s.health, s.cold, s.limit = t.StartedMs, health{}, coldBucket{}, admit.AdaptiveLimit{}
+		s.startedMs, s.health, s.cold, s.limit = t.StartedMs, health{}, coldBucket{}, admit.AdaptiveLimit{}
 	}
 	return key, s
 }
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -162,7 +162,7 @@
 }
 
 // TestColdTargetOfIsolatedEntry guards against an entry without peer reports that uses the
-// whole cold budget although it does not have the number of other senders.
+// whole cold budget although other entries can be sending.
 func TestColdTargetOfIsolatedEntry(t *testing.T) {
 	b, v := &board.Board{Self: addr(1)}, newView(1, 0)
 	sent := 0
@@ -207,8 +207,8 @@
 }
 
 // TestCachedParts guards against fetching a prefix from a target that has not finished reading
-// it, where the fetch makes it read the prefix a second time, or from a restarted target, whose
-// cache is empty.
+// it, so that the prefix is read a second time, or from a restarted target, whose cache is
+// empty.
 func TestCachedParts(t *testing.T) {
 	entries, v := newFleet(2), newView(2, 2)
 	a, b := entries[0], entries[1]
--- a/board/choose.go
+++ b/board/choose.go
@@ -123,7 +123,7 @@
 func (b *Board) newLookup(now clock.Stamp, service *chestnutstep.Service, criteria *Criteria) lookup {
 	l := lookup{
 		now: now, service: service, criteria: criteria,
-		serviceTime: b.serviceState(service.Name).pace.Mean(),
+		serviceTime: b.serviceState(service.Name).durations.Mean(),
 		patience:    time.Duration(patienceRatio * float64(service.LatencyObjective)),
 	}
 	l.requestsPerSlot = admit.Capacity(1, l.serviceTime, l.patience)
@@ -134,9 +134,9 @@
 func (b *Board) computeTotals(l *lookup, ix *serviceIndex) {
 	l.totals = place.Totals{}
 	b.setAllowedDomains(l, ix)
-	for _, a := range ix.totals {
-		if a.allowed {
-			l.addDomain(a)
+	for _, d := range ix.totals {
+		if d.allowed {
+			l.addDomain(d)
 		}
 	}
 	for _, m := range ix.recentlySent {
@@ -158,19 +158,19 @@
 
 // setAllowedDomains marks the failure domains whose targets can take the request.
 func (b *Board) setAllowedDomains(l *lookup, ix *serviceIndex) {
-	for _, a := range ix.totals {
-		allowed := l.criteria.DomainAllowed == nil || l.criteria.DomainAllowed(a.domain)
-		a.allowed = allowed && (l.criteria.IncludeDown || !b.domains[a.domain].isUnreachable(l.now))
+	for _, d := range ix.totals {
+		allowed := l.criteria.DomainAllowed == nil || l.criteria.DomainAllowed(d.domain)
+		d.allowed = allowed && (l.criteria.IncludeDown || !b.domains[d.domain].isUnreachable(l.now))
 	}
 }
 
-func (l *lookup) addDomain(a *domainTotals) {
-	l.totals.Targets += a.targets
-	l.totals.Warm += a.targets
-	l.totals.Running += float64(a.running)
-	l.totals.WarmRunning += float64(a.running)
-	l.totals.Capacity += l.requestsPerSlot * float64(a.slots)
-	l.totals.Unlimited = l.totals.Unlimited || a.unlimited > 0
+func (l *lookup) addDomain(d *domainTotals) {
+	l.totals.Targets += d.targets
+	l.totals.Warm += d.targets
+	l.totals.Running += float64(d.running)
+	l.totals.WarmRunning += float64(d.running)
+	l.totals.Capacity += l.requestsPerSlot * float64(d.slots)
+	l.totals.Unlimited = l.totals.Unlimited || d.unlimited > 0
 }
 
 // subtractSkipped removes a target that already received the request from the totals.
--- a/board/domain.go
+++ b/board/domain.go
@@ -14,7 +14,8 @@
 
 const (
 	// minTimedOut is how many targets of a failure domain must time out before the domain
-	// counts as unreachable: a single target can be dead on its own.
+	// counts as unreachable: a single target can be dead on its own. With
+	// reports of peers, it is also the minimum number of entries that had timeouts.
 	minTimedOut = 2
 	// timeoutWindow is the time within which these timeouts must occur: as long as two
 	// consecutive attempts take to fail.
@@ -45,8 +46,8 @@
 	// probing is set while a request is in flight that probes whether the domain is reachable
 	// again.
 	probing bool
-	// answeredAt is when a target of the domain last answered this entry or a peer in its own
-	// domain.
+	// answeredAt is when a target of the domain last answered this entry or a peer in this
+	// entry's own failure domain.
 	answeredAt clock.Stamp
 	// answeredLocally is when a target of the domain last answered this entry.
 	answeredLocally clock.Stamp
@@ -67,7 +68,7 @@
 func (d *domain) recordTimeout(now clock.Stamp, key uint32) {
 	d.expire(now)
 	d.timedOut[key] = now
-	unreachable := len(d.timedOut) >= minTimedOut || d.hasTimedOutForAll() && !d.hasAnswered()
+	unreachable := len(d.timedOut) >= minTimedOut || d.hasTimedOutForSeveral() && !d.hasAnswered()
 	if d.backoff == 0 && !unreachable || d.backoff > 0 && !d.probing {
 		return
 	}
@@ -120,7 +121,7 @@
 		d.peerTimeouts[from] = timeouts{stampFromAge(now, r.TimedOutAgo), int(r.TimedOutTargets)}
 	}
 	d.expire(now)
-	if !d.hasAnswered() && (r.Avoided || d.hasTimedOutForAll()) {
+	if !d.hasAnswered() && (r.Avoided || d.hasTimedOutForSeveral()) {
 		d.deferProbe(now, probeDelay)
 	}
 }
@@ -129,9 +130,9 @@
 // timeout began.
 func (d *domain) hasAnswered() bool { return d.answeredAt > d.lastTimeout().Add(-dialTimeout) }
 
-// hasTimedOutForAll reports whether several entries, counting this one and the peers of its
+// hasTimedOutForSeveral reports whether several entries, counting this one and the peers of its
 // domain, had timeouts, at several targets in total.
-func (d *domain) hasTimedOutForAll() bool {
+func (d *domain) hasTimedOutForSeveral() bool {
 	entries, targets := len(d.peerTimeouts), len(d.timedOut)
 	if targets > 0 {
 		entries++
--- a/board/holds.go
+++ b/board/holds.go
@@ -9,11 +9,12 @@
 // cachedPart is a prompt part in a target's cache.
 type cachedPart struct {
 	at clock.Stamp
-	// ready reports whether the target has read the part. Before that it cannot be fetched, and
-	// a fetch makes the target read it a second time.
+	// ready reports whether the target has read the part. Before that there is nothing to fetch:
+	// a target that tries has to read the part a second time.
 	ready bool
-	// listed reports whether only the target's own list named the part. Most of these parts
-	// belong to one request; they are not reported to peers until another request uses them.
+	// listed reports whether only a list of the cache named the part, from the target or from a
+	// peer. Most of these parts belong to one request; they are not reported to peers until
+	// another request uses them.
 	listed bool
 }
 
@@ -23,8 +24,8 @@
 func (b *Board) cachedTokens(now clock.Stamp, key uint32, parts []chestnutstep.PromptPart, onlyReady bool) int {
 	n := 0
 	for _, p := range parts {
-		h, ok := b.cachedParts[uint32(p.ID)][key]
-		if !ok || now.Sub(h.at) > cachedPartTTL || onlyReady && !h.ready {
+		c, ok := b.cachedParts[uint32(p.ID)][key]
+		if !ok || now.Sub(c.at) > cachedPartTTL || onlyReady && !c.ready {
 			return n
 		}
 		n += p.Tokens
@@ -93,8 +94,8 @@
 	defer b.mu.Unlock()
 	byTarget := make(map[uint32]*share.CacheList)
 	for part, m := range b.cachedParts {
-		for key, h := range m {
-			if !h.ready || now.Sub(h.at) > cachedPartTTL {
+		for key, c := range m {
+			if !c.ready || now.Sub(c.at) > cachedPartTTL {
 				continue
 			}
 			l := byTarget[key]
@@ -125,7 +126,7 @@
 	b.mergeCacheLists(now, lists)
 }
 
-// recordListed records a part that a target listed, unless the part is already known.
+// recordListed records a part from a list of a cache, unless the part is already known.
 func (b *Board) recordListed(now clock.Stamp, key, part uint32) {
 	if _, known := b.cachedParts[part][key]; known {
 		return
@@ -137,8 +138,8 @@
 // evictOld removes parts that were not read recently, and all parts if that is not enough.
 func (b *Board) evictOld(now clock.Stamp) {
 	for part, m := range b.cachedParts {
-		for key, h := range m {
-			if now.Sub(h.at) > cachedPartTTL/4 {
+		for key, c := range m {
+			if now.Sub(c.at) > cachedPartTTL/4 {
 				delete(m, key)
 			}
 		}
--- a/board/index.go
+++ b/board/index.go
@@ -54,12 +54,12 @@
 	unlimited int
 }
 
-func (a *domainTotals) add(m *indexMember, running, sign int) {
-	a.targets += sign
-	a.running += sign * running
-	a.slots += sign * m.Slots
+func (d *domainTotals) add(m *indexMember, running, sign int) {
+	d.targets += sign
+	d.running += sign * running
+	d.slots += sign * m.Slots
 	if m.Slots <= 0 {
-		a.unlimited += sign
+		d.unlimited += sign
 	}
 }
 
@@ -77,7 +77,8 @@
 	return ix
 }
 
-// updateIndex updates the index to a list of targets. Entries of unchanged targets are kept.
+// updateIndex updates the index to a list of targets. Members whose target is unchanged are
+// kept.
 func (b *Board) updateIndex(now clock.Stamp, ix *serviceIndex, list []*roster.Target) {
 	ix.viewSeq++
 	var joined, removed []string
--- a/board/peers.go
+++ b/board/peers.go
@@ -83,8 +83,8 @@
 	defer b.mu.Unlock()
 	var list []share.Reservation
 	for _, u := range b.services {
-		if part := uint8(100 * u.fair.Reserve(now)); part > 0 {
-			list = append(list, share.Reservation{Service: u.key, Percent: part})
+		if percent := uint8(100 * u.fair.Reserve(now)); percent > 0 {
+			list = append(list, share.Reservation{Service: u.key, Percent: percent})
 		}
 	}
 	return list
@@ -149,9 +149,9 @@
 	if r.Domain == DomainKey(b.Domain) {
 		b.mergeDomains(now, r.From, r.Domains)
 	}
-	for _, h := range r.CachedParts {
-		if old, known := b.cachedParts[h.Part][h.Target]; !known || h.Ready && !old.ready {
-			b.recordPart(now, h.Part, h.Target, h.Ready)
+	for _, c := range r.CachedParts {
+		if old, known := b.cachedParts[c.Part][c.Target]; !known || c.Ready && !old.ready {
+			b.recordPart(now, c.Part, c.Target, c.Ready)
 		}
 	}
 }
--- a/board/usage.go
+++ b/board/usage.go
@@ -20,10 +20,10 @@
 	// minEngineSlotRatio is the part of an engine's slots below which its limit does not fall:
 	// its memory can hold fewer requests than it has slots.
 	minEngineSlotRatio = 0.5
-	// paceSmoothing is the weight of the newest duration. About the last hundred requests to a
+	// durationSmoothing is the weight of the newest duration. About the last hundred requests to a
 	// service count: a limit that follows only the last few swings with their mix of long and
 	// short ones.
-	paceSmoothing = 0.01
+	durationSmoothing = 0.01
 	// typicalReportAge is the usual age of the loads that peers report.
 	typicalReportAge = 50 * time.Millisecond
 	// maxUnreportedRatio is the part of a target's limit that estimated unreported requests of
@@ -34,9 +34,9 @@
 // serviceState is the state of this entry's requests to one service.
 type serviceState struct {
 	// key is the key of the service in reports.
-	key  uint32
-	pace admit.DurationEstimator
-	fair admit.FairLimiter
+	key       uint32
+	durations admit.DurationEstimator
+	fair      admit.FairLimiter
 	// taken is the part of all places that was taken at the last request.
 	taken float64
 }
@@ -44,7 +44,7 @@
 func (b *Board) serviceState(service string) *serviceState {
 	u := b.services[service]
 	if u == nil {
-		u = &serviceState{key: uint32(xxhash.Sum64String(service)), pace: admit.DurationEstimator{Smoothing: paceSmoothing}}
+		u = &serviceState{key: uint32(xxhash.Sum64String(service)), durations: admit.DurationEstimator{Smoothing: durationSmoothing}}
 		b.services[service] = u
 	}
 	return u
@@ -173,12 +173,13 @@
 	s.limit.RecordLate(now, r.runningAtStart, r.slots, minLimit)
 }
 
-// release returns the place of the request.
+// release frees the place of the request. It records the duration of a request that the target
+// worked on, and a refusal as a late answer, because the target had too many requests.
 func (r *Attempt) release(now clock.Stamp, o Outcome) {
 	r.service.fair.End(r.caller.Urgency, r.caller.Workspace)
 	switch o {
 	case Served, Failed, Canceled:
-		r.service.pace.Measure(now.Sub(r.startedAt), 1)
+		r.service.durations.Measure(now.Sub(r.startedAt), 1)
 	case Refused:
 		r.recordLate(now)
 	case Unreachable, ConnRefused, Replaced, Broken:
