--- a/place/place.go
+++ b/place/place.go
@@ -176,9 +176,10 @@
 const HashCandidates = 3
 
 // Pick returns the best candidate, or false if there is none. It considers, in this order:
-// holders of the prefix and the first target by hash, holders and the first targets by hash,
-// all targets below the ceiling, all with capacity, all targets. Thus entries that need a new
-// prefix at the same moment send it to the same target, where it is read once.
+// holders of the prefix and the first target by hash (if the request shares enough tokens), both
+// with the other targets by hash, all targets below the ceiling, all with capacity, all targets.
+// Thus entries that need a new prefix at the same moment send it to the same target, where it is
+// read once.
 func Pick(list []Candidate, donor Donor, req Request) (Choice, bool) {
 	passes := [...]func(c *Candidate, req *Request) bool{holderOrFirst, holderOrHashed, belowCeiling, withCapacity, anyTarget}
 	for _, allowed := range passes {
--- a/place/wait.go
+++ b/place/wait.go
@@ -11,7 +11,7 @@
 //
 // If all entries restart, callers retry at the same time. Requests sent at once would make some
 // target read each prefix again, and later requests would queue behind it. A request therefore
-// waits, but never longer than reading its prefix takes.
+// waits, but never longer than reading its prefix takes, as a longer wait saves no time.
 func Patience(shared int) time.Duration {
 	prefillTime := time.Duration(float64(shared) / PrefillRate * float64(time.Millisecond))
 	return min(prefillTime, maxPatience)
