--- a/route/rank.go
+++ b/route/rank.go
@@ -60,18 +60,18 @@
 	return target
 }
 
-func (p *pool) scanRegion(b *topTargets, region string, chat uint64, hint *chestnutstep.Target) {
+func (p *pool) scanRegion(top *topTargets, region string, chat uint64, hint *chestnutstep.Target) {
 	for _, s := range p.spans {
 		if s.region == region {
-			b.scan(p.candidates[s.first:s.last], chat, hint)
+			top.scan(p.candidates[s.first:s.last], chat, hint)
 		}
 	}
 }
 
-func (p *pool) scanOtherRegions(b *topTargets, region string, chat uint64, hint *chestnutstep.Target) {
+func (p *pool) scanOtherRegions(top *topTargets, region string, chat uint64, hint *chestnutstep.Target) {
 	for _, s := range p.spans {
 		if s.region != region {
-			b.scan(p.candidates[s.first:s.last], chat, hint)
+			top.scan(p.candidates[s.first:s.last], chat, hint)
 		}
 	}
 }
@@ -79,68 +79,68 @@
 // scan adds the candidates that are among the best so far. A logarithm for each of thousands of
 // targets would take most of the time of a ranking. As -ln(u) is never below 1-u, the cheap
 // bound 1-u excludes nearly all candidates.
-func (b *topTargets) scan(candidates []candidate, chat uint64, hint *chestnutstep.Target) {
-	if b.limit == 0 {
+func (t *topTargets) scan(candidates []candidate, chat uint64, hint *chestnutstep.Target) {
+	if t.limit == 0 {
 		return
 	}
-	worst := b.worst()
+	worst := t.worst()
 	for i := range candidates {
-		s := &candidates[i]
-		u := uniform(s.hash, chat)
-		if (1-u)*s.lowerBound > worst || s.target == hint {
+		c := &candidates[i]
+		u := uniform(c.hash, chat)
+		if (1-u)*c.lowerBound > worst || c.target == hint {
 			continue
 		}
-		b.add(s, rankKey(u, s.inverseWeight))
-		worst = b.worst()
+		t.add(c, rankKey(u, c.inverseWeight))
+		worst = t.worst()
 	}
 }
 
 // worst returns the key that a candidate must not exceed to be kept.
-func (b *topTargets) worst() float64 {
-	if b.n < b.limit {
+func (t *topTargets) worst() float64 {
+	if t.n < t.limit {
 		return math.Inf(1)
 	}
-	return b.keys[b.n-1]
+	return t.keys[t.n-1]
 }
 
-func (b *topTargets) add(s *candidate, k float64) {
-	i := b.n
-	if b.n == b.limit {
+func (t *topTargets) add(c *candidate, key float64) {
+	i := t.n
+	if t.n == t.limit {
 		i--
-		if !less(k, s, b.keys[i], b.candidates[i]) {
+		if !less(key, c, t.keys[i], t.candidates[i]) {
 			return
 		}
 	} else {
-		b.n++
+		t.n++
 	}
-	for i > 0 && less(k, s, b.keys[i-1], b.candidates[i-1]) {
-		b.keys[i], b.candidates[i] = b.keys[i-1], b.candidates[i-1]
+	for i > 0 && less(key, c, t.keys[i-1], t.candidates[i-1]) {
+		t.keys[i], t.candidates[i] = t.keys[i-1], t.candidates[i-1]
 		i--
 	}
-	b.keys[i], b.candidates[i] = k, s
+	t.keys[i], t.candidates[i] = key, c
 }
 
-func (b *topTargets) appendTo(dst []*chestnutstep.Target) []*chestnutstep.Target {
-	for _, s := range b.candidates[:b.n] {
-		dst = append(dst, s.target)
+func (t *topTargets) appendTo(dst []*chestnutstep.Target) []*chestnutstep.Target {
+	for _, c := range t.candidates[:t.n] {
+		dst = append(dst, c.target)
 	}
 	return dst
 }
 
 // less orders two candidates by key and, if the keys are equal, by name, so that the order does
 // not depend on the order of the list.
-func less(k float64, s *candidate, other float64, o *candidate) bool {
-	if k != other {
-		return k < other
+func less(aKey float64, a *candidate, bKey float64, b *candidate) bool {
+	if aKey != bKey {
+		return aKey < bKey
 	}
-	return s.target.Name < o.target.Name
+	return a.target.Name < b.target.Name
 }
 
 // rankKey returns the ranking key of a target for a chat; the smallest ranks first. With u
 // uniform, -ln(u)/w is exponential with rate w, so each target ranks first for a part of the
 // chats that is exactly its part of the weights.
-func rankKey(u, inv float64) float64 {
-	return -math.Log(u) * inv
+func rankKey(u, inverseWeight float64) float64 {
+	return -math.Log(u) * inverseWeight
 }
 
 // uniform returns a number between 0 and 1, both excluded, that is fixed for a target and chat.
--- a/route/returnhome.go
+++ b/route/returnhome.go
@@ -11,7 +11,7 @@
 // hints to other domains; without this the domain stays idle while the others carry its load (3
 // of 4 demo runs gave a returned domain no work at all). With 8, a chat moves home after 8 of
 // its requests on average, so that the domain's load grows gradually from an eighth of its
-// share, and each chat imports or rebuilds its prefix once.
+// share, and each chat imports or rebuilds its prefix once instead of several times.
 const returnHomeOneIn = 8
 
 // ReturnsHome reports whether this request of a chat served elsewhere goes first to its home:
--- a/route/table.go
+++ b/route/table.go
@@ -96,20 +96,20 @@
 	return t.Skip == nil || !t.Skip(target)
 }
 
-func (p *pool) add(region string, s candidate) {
+func (p *pool) add(region string, c candidate) {
 	if n := len(p.spans); n == 0 || p.spans[n-1].region != region {
 		p.spans = append(p.spans, regionSpan{region: region, first: len(p.candidates)})
 	}
-	p.candidates = append(p.candidates, s)
+	p.candidates = append(p.candidates, c)
 	p.spans[len(p.spans)-1].last = len(p.candidates)
 }
 
 func newCandidate(target *chestnutstep.Target) candidate {
-	inv := 1 / target.EffectiveWeight()
+	inverseWeight := 1 / target.EffectiveWeight()
 	return candidate{
 		hash:          xxhash.Sum64String(target.Name),
-		inverseWeight: inv,
-		lowerBound:    inv * boundSlack,
+		inverseWeight: inverseWeight,
+		lowerBound:    inverseWeight * boundSlack,
 		target:        target,
 	}
 }
