--- a/price/plan.go
+++ b/price/plan.go
@@ -58,13 +58,13 @@
 }
 
 // ReturnProbability estimates the probability that a chat returns after it was idle for a time.
-// share is the part of chats that return at all, and pause the mean pause of those. A chat that
-// was idle for several pauses has most likely ended, and its KV cache should not displace one
-// that is likely to be used.
-func ReturnProbability(idle, pause time.Duration, share float64) float64 {
+// returnRatio is the part of chats that return at all, and pause the mean pause of those. A chat
+// that was idle for several pauses has most likely ended, and its KV cache should not displace
+// one that is likely to be used.
+func ReturnProbability(idle, pause time.Duration, returnRatio float64) float64 {
 	if pause <= 0 {
 		return 0
 	}
-	returning := share * math.Exp(-idle.Seconds()/pause.Seconds())
-	return returning / (returning + 1 - share)
+	returning := returnRatio * math.Exp(-idle.Seconds()/pause.Seconds())
+	return returning / (returning + 1 - returnRatio)
 }
--- a/price/price.go
+++ b/price/price.go
@@ -15,8 +15,9 @@
 	// ImportSetup is the fixed cost of an import: a round trip between failure domains, and the
 	// time that the engines need to start an export.
 	ImportSetup = 20 * time.Millisecond
-	// ImportMargin is the maximum price of an import, relative to a rebuild. Link rates are
-	// estimates that lag, and an abandoned import costs its own time plus the rebuild.
+	// ImportMargin is the maximum duration of an import, as a part of the time to rebuild the
+	// same tokens. Link rates are estimates that lag, and an abandoned import costs its own time
+	// plus the rebuild.
 	ImportMargin = 0.8
 )
 
@@ -81,7 +82,8 @@
 // Near a low multiple of the mean load, the holder of a chat's prefix is at its cap for a fifth
 // of all requests. A fixed rule fails: always waiting makes short questions queue for a prefix
 // that takes milliseconds to rebuild; always rebuilding makes long plans recompute histories
-// that an import would provide in one millisecond, just when the engines are busy.
+// that an import would provide in one millisecond, so that engines compute the same prefix twice
+// just when they are busy.
 func Choose(in Inputs) Decision {
 	best := Decision{Choice: TooLate}
 	lowest := math.Inf(1)
@@ -125,23 +127,24 @@
 
 // importOption computes the price of an import. An import only pays on a link that carries KV
 // cache faster than the engine computes it: LinkRate above PrefillRate times BytesPerToken
-// divided by ImportMargin. The wait at the other target and the transfer overlap.
+// divided by ImportMargin. The wait at the other target and the transfer overlap, because the KV
+// cache is sent while the request waits.
 func (in Inputs) importOption() option {
 	missing := in.HolderCached - in.OtherCached
 	if in.LinkRate <= 0 || in.BytesPerToken <= 0 || missing < MinTokens {
 		return unavailable(Import)
 	}
-	move := ImportSetup.Seconds() + (in.QueuedBytes+missing*in.BytesPerToken)/in.LinkRate
-	if move > ImportMargin*in.prefillSeconds(missing) {
+	transfer := ImportSetup.Seconds() + (in.QueuedBytes+missing*in.BytesPerToken)/in.LinkRate
+	if transfer > ImportMargin*in.prefillSeconds(missing) {
 		return unavailable(Import)
 	}
 	rest := in.prefillSeconds(in.PromptTokens - in.HolderCached)
-	delay := max(in.OtherWait.Seconds(), move) + rest
+	delay := max(in.OtherWait.Seconds(), transfer) + rest
 	return option{Import, delay, delay + rest*in.OtherLoad}
 }
 
-// prefillSeconds returns the time that a target takes for a number of tokens. It is 0 if the
-// rate is unknown, so that a rebuild is always possible.
+// prefillSeconds returns the seconds that a target takes to compute a number of tokens. It is 0
+// if the rate is unknown, so that a rebuild is always possible.
 func (in Inputs) prefillSeconds(tokens float64) float64 {
 	if in.PrefillRate <= 0 {
 		return 0
