--- a/roster/missing.go
+++ b/roster/missing.go
@@ -9,11 +9,12 @@
 
 const (
 	// settleTime is how long after the source recovers a missing instance is still kept.
-	// Entries expire while the source is down, and live targets renew theirs within about two
-	// seconds. Without this time, a whole fleet of healthy targets would get no work.
+	// Published instances expire while the source is down, and live targets publish theirs again
+	// within about two seconds. Without this time, a whole fleet of healthy targets would get no
+	// work.
 	settleTime = 2 * time.Second
-	// minLapse is the shortest outage of the source in which entries can expire: they live for
-	// three heartbeats of their targets.
+	// minLapse is the shortest outage of the source in which published instances can expire: they
+	// live for three heartbeats of their targets.
 	minLapse = time.Second
 )
 
@@ -28,7 +29,7 @@
 	r.keepMissingUntil = max(r.keepMissingUntil, now.Add(b.SettleTime))
 }
 
-// removeUnlisted removes the entries that a full read of a topic does not list.
+// removeUnlisted removes the facts that a full read of a topic does not list.
 func (r *Roster) removeUnlisted(now clock.Stamp, topic chestnutstep.Topic, seen map[factKey]bool, revision uint64, c *Change) {
 	isRemoved := func(kind chestnutstep.FactKind, name string) bool {
 		key := factKey{kind, name}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -48,9 +48,9 @@
 
 	mu   sync.Mutex
 	view atomic.Pointer[View]
-	// revisions holds the revision of each entry, removed entries included.
+	// revisions holds the newest revision of each fact, removed facts included.
 	revisions map[factKey]uint64
-	// facts holds the entries as they were published, for peers.
+	// facts holds the facts as they were published, for peers.
 	facts   map[factKey]chestnutstep.Fact
 	topics  [chestnutstep.TopicCount]topic
 	targets map[string]*Target
@@ -76,7 +76,7 @@
 	}
 }
 
-// factKey identifies a published entry.
+// factKey identifies what a fact is about.
 type factKey struct {
 	kind chestnutstep.FactKind
 	name string
@@ -90,7 +90,8 @@
 	Leaving []string
 	// Kept are targets that are no longer listed and stay usable until the settle time is over.
 	Kept []string
-	// Recovered are targets that can be used again.
+	// Recovered are targets that are listed again or no longer leaving, and those whose cold
+	// time was extended.
 	Recovered []string
 	// Out and Restored are failure domains that were taken out of service and put back.
 	Out      []string
@@ -105,19 +106,19 @@
 // View returns the current view; nil before the first configuration is applied.
 func (r *Roster) View() *View { return r.view.Load() }
 
-// Proof returns the time as of which all facts of a topic are known; 0 for never.
+// Proof returns the latest time up to which all facts of a topic are known; 0 for never.
 func (r *Roster) Proof(t chestnutstep.Topic) clock.Stamp {
 	return clock.Stamp(r.topics[t].proof.Load())
 }
 
-// RecordProof records that all facts of a topic as of a time are known.
+// RecordProof records that all facts of a topic up to a time are known.
 func (r *Roster) RecordProof(t chestnutstep.Topic, at clock.Stamp) { r.topics[t].proof.advance(at) }
 
 // ConfirmVersion records that the version in force was the newest one at a time. It gives no
 // proof about failure domains or targets.
 func (r *Roster) ConfirmVersion(at clock.Stamp) { r.confirmed.advance(at) }
 
-// VersionConfirmedAt returns the time as of which the version in force is known to be the
+// VersionConfirmedAt returns the latest time at which the version in force was known to be the
 // newest; 0 for never.
 func (r *Roster) VersionConfirmedAt() clock.Stamp {
 	return max(clock.Stamp(r.confirmed.Load()), r.Proof(chestnutstep.TopicRouting))
@@ -152,7 +153,7 @@
 }
 
 // Apply applies the facts of one read of a topic; now is the current time. If full is
-// set, the batch is complete and entries missing from it are removed.
+// set, the batch is complete and facts missing from it are removed.
 func (r *Roster) Apply(now clock.Stamp, topic chestnutstep.Topic, b chestnutstep.Batch, full bool) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,11 +189,11 @@
 	return c
 }
 
-// applyFact applies a fact unless a newer one about the same entry was applied: answers can
+// applyFact applies a fact unless a newer one with the same key was applied: answers can
 // arrive out of order.
 func (r *Roster) applyFact(now clock.Stamp, f chestnutstep.Fact, c *Change) {
 	key := factKey{f.Kind, f.Name}
-	if r.supersedes(key, f.Revision) {
+	if r.isSuperseded(key, f.Revision) {
 		return
 	}
 	r.revisions[key] = f.Revision
@@ -211,9 +212,9 @@
 	}
 }
 
-// supersedes reports whether newer state than a revision is known of an entry. An entry that a
-// full read did not list was removed before that read.
-func (r *Roster) supersedes(key factKey, revision uint64) bool {
+// isSuperseded reports whether a newer revision of a fact is known or, if the fact is not
+// stored, the same one. A fact that a full read did not list was removed before that read.
+func (r *Roster) isSuperseded(key factKey, revision uint64) bool {
 	known := r.revisions[key]
 	if _, ok := r.facts[key]; ok {
 		return revision < known
--- a/roster/since.go
+++ b/roster/since.go
@@ -8,7 +8,7 @@
 )
 
 // Since returns the facts of a topic that changed after a revision, as they were published;
-// removed entries have no content. It returns false if it cannot list all of them, because the
+// removed facts have no content. It returns false if it cannot list all of them, because the
 // revision is older than the last full read. Revision 0 returns all facts in force.
 func (r *Roster) Since(now clock.Stamp, topic chestnutstep.Topic, after uint64) (chestnutstep.Batch, bool) {
 	r.mu.Lock()
@@ -42,8 +42,8 @@
 	return b, true
 }
 
-// factsInForce returns the facts of a topic that are in force, without instances that the
-// source no longer lists. The caller must hold the lock.
+// factsInForce returns the facts of a topic that are in force as the source would list them:
+// without instances that it no longer lists. The caller must hold the lock.
 func (r *Roster) factsInForce(topic chestnutstep.Topic) []chestnutstep.Fact {
 	var list []chestnutstep.Fact
 	for key, f := range r.facts {
--- a/roster/topic.go
+++ b/roster/topic.go
@@ -8,10 +8,10 @@
 // topic is the read state of one topic.
 type topic struct {
 	// revision is the highest revision that was read, and fullRevision that of the last full
-	// read. Entries removed before fullRevision are unknown.
+	// read. Removals before fullRevision are unknown.
 	revision, fullRevision uint64
-	// readAt is the time of the last answer, and proof the time as of which all facts are
-	// known.
+	// readAt is the time of the last answer, and proof the latest time up to which all facts
+	// are known.
 	readAt clock.Stamp
 	proof  latestStamp
 	// listed is set after the first full read, direct if the last answer came from the source
