--- a/queue/classqueue.go
+++ b/queue/classqueue.go
@@ -95,14 +95,14 @@
 // no longer matters. 64 flows take about 10 kB.
 const maxIdleFlows = 64
 
-func (l *classQueue) flow(workspace string, weight float64) *flow {
-	f := l.flows[workspace]
+func (cq *classQueue) flow(workspace string, weight float64) *flow {
+	f := cq.flows[workspace]
 	if f == nil {
-		if l.flows == nil {
-			l.flows = make(map[string]*flow)
+		if cq.flows == nil {
+			cq.flows = make(map[string]*flow)
 		}
-		f = &flow{class: l, workspace: workspace}
-		l.flows[workspace] = f
+		f = &flow{class: cq, workspace: workspace}
+		cq.flows[workspace] = f
 	}
 	if f.items.len() == 0 {
 		f.weight = weight
@@ -110,68 +110,68 @@
 	return f
 }
 
-func (l *classQueue) push(x *item) {
+func (cq *classQueue) push(x *item) {
 	f := x.flow
 	if f.items.len() == 0 {
-		f.tag = max(f.tag, l.virtualTime)
-		l.active.push(f)
-		l.weight += f.weight
+		f.tag = max(f.tag, cq.virtualTime)
+		cq.active.push(f)
+		cq.weight += f.weight
 	}
 	f.items.push(x)
 	f.cost += x.work.Cost
-	l.cost += x.work.Cost
-	l.count++
+	cq.cost += x.work.Cost
+	cq.count++
 }
 
 // pop removes the next request and charges its cost to its workspace.
-func (l *classQueue) pop() *item {
-	f := l.active.items[0]
+func (cq *classQueue) pop() *item {
+	f := cq.active.items[0]
 	x := f.items.items[0]
-	l.virtualTime = f.tag
+	cq.virtualTime = f.tag
 	f.tag += x.work.Cost / f.weight
-	l.active.fix(f)
-	l.remove(x)
-	l.bypassed = 0
+	cq.active.fix(f)
+	cq.remove(x)
+	cq.bypassed = 0
 	return x
 }
 
-func (l *classQueue) remove(x *item) {
+func (cq *classQueue) remove(x *item) {
 	f := x.flow
 	f.items.remove(x)
 	f.cost -= x.work.Cost
-	l.cost -= x.work.Cost
-	l.count--
+	cq.cost -= x.work.Cost
+	cq.count--
 	if f.items.len() > 0 {
 		return
 	}
 	f.cost = 0
-	l.weight -= f.weight
-	l.active.remove(f)
-	l.pruneIdle()
+	cq.weight -= f.weight
+	cq.active.remove(f)
+	cq.pruneIdle()
 }
 
 // pruneIdle removes idle workspaces. A workspace whose tag is above the virtual time is kept:
 // otherwise it would rejoin without this debt, and a caller that sends its next long plan
 // whenever the last one starts would get more than its share.
-func (l *classQueue) pruneIdle() {
-	if l.count == 0 {
-		l.flows, l.virtualTime, l.cost, l.weight, l.bypassed = nil, 0, 0, 0, 0
+func (cq *classQueue) pruneIdle() {
+	if cq.count == 0 {
+		cq.flows, cq.virtualTime, cq.cost, cq.weight, cq.bypassed = nil, 0, 0, 0, 0
 		return
 	}
-	if len(l.flows) < l.active.len()+maxIdleFlows {
+	if len(cq.flows) < cq.active.len()+maxIdleFlows {
 		return
 	}
-	for name, f := range l.flows {
-		if f.items.len() == 0 && f.tag <= l.virtualTime {
-			delete(l.flows, name)
+	for name, f := range cq.flows {
+		if f.items.len() == 0 && f.tag <= cq.virtualTime {
+			delete(cq.flows, name)
 		}
 	}
 }
 
 // heaviest returns the workspace with the most waiting requests relative to its weight.
-func (l *classQueue) heaviest() *flow {
+func (cq *classQueue) heaviest() *flow {
 	var heaviest *flow
-	for _, f := range l.active.items {
+	for _, f := range cq.active.items {
 		if heaviest == nil || f.load(0) > heaviest.load(0) || f.load(0) == heaviest.load(0) && f.workspace < heaviest.workspace {
 			heaviest = f
 		}
--- a/queue/heap.go
+++ b/queue/heap.go
@@ -6,9 +6,9 @@
 	heapIndex() *int
 }
 
-// heap is a binary heap that supports removal from the middle, because most waiting requests
-// are canceled by their callers. container/heap would need five methods of boilerplate for each
-// of the three orders of a queue.
+// heap is a binary heap that supports removal from the middle, because callers cancel most of
+// the waiting requests. container/heap would need five methods of boilerplate for each of the
+// three orders of a queue.
 type heap[T heapItem[T]] struct {
 	items []T
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -29,8 +29,8 @@
 
 // Queue is the bounded queue of one target. Set the exported fields before use; they can be
 // changed between calls. Each operation takes time logarithmic in the number of waiting
-// requests, except a push onto a full queue, which also scans the workspaces of one class. It
-// is not safe for concurrent use.
+// requests, except Shed and a push onto a full queue, which also scan the workspaces of one
+// class and the requests of one of them. It is not safe for concurrent use.
 type Queue struct {
 	// Capacity is the maximum number of waiting requests.
 	Capacity int
@@ -56,16 +56,16 @@
 // added and a rejection is returned.
 func (q *Queue) Push(now time.Time, w chestnutstep.Work) (evicted *chestnutstep.Work, rejection *Rejection) {
 	w = normalize(w)
-	l := &q.classes[w.Class]
-	f := l.flow(w.Workspace, q.weight(w.Workspace))
+	cq := &q.classes[w.Class]
+	f := cq.flow(w.Workspace, q.weight(w.Workspace))
 	if len(q.items) >= q.Capacity {
-		x, refused := q.victim(w.Class, f)
+		x, rejected := q.victim(w.Class, f)
 		if x == nil {
-			return nil, refused
+			return nil, rejected
 		}
 		q.remove(x)
 		evicted = &x.work
-		f = l.flow(w.Workspace, q.weight(w.Workspace))
+		f = cq.flow(w.Workspace, q.weight(w.Workspace))
 	}
 	x := &item{work: w, flow: f, seq: q.seq, orderKey: now.Add(time.Duration(w.Cost) * DelayPerToken)}
 	x.expiry = earlier(w.WaitUntil, w.Deadline)
@@ -106,8 +106,8 @@
 // nextClass returns the class that is served next.
 func (q *Queue) nextClass(mayStart func(c chestnutstep.Class) bool) (chestnutstep.Class, bool) {
 	for c := range q.classes {
-		l := &q.classes[c]
-		if l.count > 0 && l.bypassed >= MaxBypassed && mayStart(chestnutstep.Class(c)) {
+		cq := &q.classes[c]
+		if cq.count > 0 && cq.bypassed >= MaxBypassed && mayStart(chestnutstep.Class(c)) {
 			return chestnutstep.Class(c), true
 		}
 	}
@@ -136,8 +136,8 @@
 // slots reserved for them.
 func (q *Queue) MustWait(class chestnutstep.Class, mayStart func(c chestnutstep.Class) bool) bool {
 	for c := range q.classes {
-		l := &q.classes[c]
-		if l.count > 0 && (c <= int(class) || l.bypassed >= MaxBypassed) && mayStart(chestnutstep.Class(c)) {
+		cq := &q.classes[c]
+		if cq.count > 0 && (c <= int(class) || cq.bypassed >= MaxBypassed) && mayStart(chestnutstep.Class(c)) {
 			return true
 		}
 	}
@@ -170,11 +170,11 @@
 // Shed removes and returns one request of the class, starting with the last in order of the
 // heaviest workspace.
 func (q *Queue) Shed(class chestnutstep.Class) (chestnutstep.Work, bool) {
-	l := &q.classes[class]
-	if l.count == 0 {
+	cq := &q.classes[class]
+	if cq.count == 0 {
 		return chestnutstep.Work{}, false
 	}
-	x := l.heaviest().last()
+	x := cq.heaviest().last()
 	q.remove(x)
 	return x.work, true
 }
@@ -190,14 +190,14 @@
 	for c := range w.Class {
 		ahead += q.classes[c].cost
 	}
-	l := &q.classes[w.Class]
+	cq := &q.classes[w.Class]
 	weight := q.weight(w.Workspace)
-	own, all := 0.0, l.weight+weight
-	if f := l.flows[w.Workspace]; f != nil && f.items.len() > 0 {
-		own, all = f.cost, l.weight
+	own, all := 0.0, cq.weight+weight
+	if f := cq.flows[w.Workspace]; f != nil && f.items.len() > 0 {
+		own, all = f.cost, cq.weight
 	}
 	fair := (own+w.Cost)*all/weight - w.Cost
-	return ahead + min(l.cost, fair)
+	return ahead + min(cq.cost, fair)
 }
 
 func (q *Queue) add(x *item) {
