--- a/gate/gate.go
+++ b/gate/gate.go
@@ -22,12 +22,12 @@
 	hasLimits bool
 	leaving   bool
 
-	cap     admit.Cap
-	cold    admit.ColdCap
-	ramp    ramp.Ramp
-	queue   queue.Queue
-	pace    admit.DurationEstimator
-	suspect suspectSlot
+	cap       admit.Cap
+	cold      admit.ColdCap
+	ramp      ramp.Ramp
+	queue     queue.Queue
+	durations admit.DurationEstimator
+	suspect   suspectSlot
 
 	running map[string]*runningWork
 	// lastOffered is the time of the last offer of each class.
@@ -93,7 +93,7 @@
 		return
 	}
 	delete(g.running, id)
-	g.pace.Measure(now.Sub(r.startedAt), r.work.Cost)
+	g.durations.Measure(now.Sub(r.startedAt), r.work.Cost)
 	g.suspect.end(now, id)
 	switch o {
 	case chestnutstep.OutcomeServed:
--- a/gate/next.go
+++ b/gate/next.go
@@ -11,9 +11,9 @@
 func (g *Gate) AdvanceQueue(now time.Time) chestnutstep.QueueUpdate {
 	g.expire(now)
 	g.shed(now)
-	n := chestnutstep.QueueUpdate{Started: g.startWaiting(now)}
-	n.Dropped, g.dropped = g.dropped, nil
-	return n
+	update := chestnutstep.QueueUpdate{Started: g.startWaiting(now)}
+	update.Dropped, g.dropped = g.dropped, nil
+	return update
 }
 
 func (g *Gate) expire(now time.Time) {
@@ -94,5 +94,5 @@
 // over different work, so that work with a fair chance is started. Work that finds a free slot
 // is not checked, and its duration corrects an estimate that was too high.
 func (g *Gate) willMissDeadline(now time.Time, w chestnutstep.Work) bool {
-	return now.Add(g.pace.Estimate(w.Cost) / 2).After(w.Deadline)
+	return now.Add(g.durations.Estimate(w.Cost) / 2).After(w.Deadline)
 }
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -67,7 +67,7 @@
 		return g.refuse(now, w, g.fullReason(now))
 	}
 	predicted := g.predictWait(w)
-	if now.Add(predicted + g.pace.Estimate(w.Cost)).After(w.Deadline) {
+	if now.Add(predicted + g.durations.Estimate(w.Cost)).After(w.Deadline) {
 		return g.refuse(now, w, chestnutstep.ReasonLate)
 	}
 	if now.Add(predicted).After(w.WaitUntil) {
--- a/gate/retryafter.go
+++ b/gate/retryafter.go
@@ -10,8 +10,8 @@
 // work that is served before it.
 func (g *Gate) predictWait(w chestnutstep.Work) time.Duration {
 	n := max(1, len(g.running))
-	slotWait := g.pace.Mean() / time.Duration(n)
-	return slotWait + g.pace.Estimate(g.queue.CostAhead(w))/time.Duration(n)
+	slotWait := g.durations.Mean() / time.Duration(n)
+	return slotWait + g.durations.Estimate(g.queue.CostAhead(w))/time.Duration(n)
 }
 
 const (
@@ -35,6 +35,6 @@
 		return min(maxRetryAfter, max(minRetryAfter, g.suspect.availableIn(now)))
 	}
 	n := max(1, len(g.running))
-	drain := g.pace.Mean() * time.Duration(g.queue.Len()+1) / time.Duration(n)
+	drain := g.durations.Mean() * time.Duration(g.queue.Len()+1) / time.Duration(n)
 	return min(maxRetryAfter, max(minRetryAfter, drain))
 }
--- a/gate/suspect.go
+++ b/gate/suspect.go
@@ -35,59 +35,59 @@
 }
 
 // isTaken reports whether no other work can start.
-func (t *suspectSlot) isTaken() bool { return t.waiting != nil || t.runningID != "" }
+func (s *suspectSlot) isTaken() bool { return s.waiting != nil || s.runningID != "" }
 
-func (t *suspectSlot) isWaiting(id string) bool { return t.waiting != nil && t.waiting.ID == id }
+func (s *suspectSlot) isWaiting(id string) bool { return s.waiting != nil && s.waiting.ID == id }
 
 // availableIn returns the time until another suspect is accepted.
-func (t *suspectSlot) availableIn(now time.Time) time.Duration {
-	if t.isTaken() {
+func (s *suspectSlot) availableIn(now time.Time) time.Duration {
+	if s.isTaken() {
 		return maxDrainTime
 	}
-	return t.nextAt.Sub(now)
+	return s.nextAt.Sub(now)
 }
 
-func (t *suspectSlot) start(now time.Time, id string) {
-	if t.waiting == nil {
-		t.heldSince = now
+func (s *suspectSlot) start(now time.Time, id string) {
+	if s.waiting == nil {
+		s.heldSince = now
 	}
-	t.waiting, t.runningID = nil, id
+	s.waiting, s.runningID = nil, id
 }
 
 // end releases the target if the ended request was the running suspect.
-func (t *suspectSlot) end(now time.Time, id string) {
-	if t.runningID != id || id == "" {
+func (s *suspectSlot) end(now time.Time, id string) {
+	if s.runningID != id || id == "" {
 		return
 	}
-	t.runningID = ""
-	t.nextAt = now.Add(pauseFactor * now.Sub(t.heldSince))
+	s.runningID = ""
+	s.nextAt = now.Add(pauseFactor * now.Sub(s.heldSince))
 }
 
 // remove removes a waiting suspect, and reports whether it was waiting.
-func (t *suspectSlot) remove(now time.Time, id string) bool {
-	if !t.isWaiting(id) {
+func (s *suspectSlot) remove(now time.Time, id string) bool {
+	if !s.isWaiting(id) {
 		return false
 	}
-	t.waiting = nil
-	t.nextAt = now.Add(pauseFactor * now.Sub(t.heldSince))
+	s.waiting = nil
+	s.nextAt = now.Add(pauseFactor * now.Sub(s.heldSince))
 	return true
 }
 
 // expire removes a waiting suspect whose deadline has passed, or for which the target did not
 // empty in time.
-func (t *suspectSlot) expire(now time.Time) (*chestnutstep.Work, chestnutstep.Reason) {
-	w := t.waiting
+func (s *suspectSlot) expire(now time.Time) (*chestnutstep.Work, chestnutstep.Reason) {
+	w := s.waiting
 	if w == nil {
 		return nil, ""
 	}
 	if !w.Deadline.After(now) {
-		t.remove(now, w.ID)
+		s.remove(now, w.ID)
 		return w, chestnutstep.ReasonLate
 	}
-	if now.Sub(t.heldSince) < maxDrainTime {
+	if now.Sub(s.heldSince) < maxDrainTime {
 		return nil, ""
 	}
-	t.remove(now, w.ID)
+	s.remove(now, w.ID)
 	return w, chestnutstep.ReasonSuspect
 }
 
@@ -104,7 +104,7 @@
 		return chestnutstep.Decision{Verdict: chestnutstep.VerdictAccept}
 	}
 	g.suspect.waiting, g.suspect.heldSince = &w, now
-	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: min(maxDrainTime, g.pace.Mean())}
+	return chestnutstep.Decision{Verdict: chestnutstep.VerdictQueue, PredictedWait: min(maxDrainTime, g.durations.Mean())}
 }
 
 // startSuspect starts the waiting suspect once the target is empty, and returns its ID.
