--- a/mean/mean.go
+++ b/mean/mean.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// MaxSamples is the maximum number of samples that are kept, the youngest first. The error
+	// MaxSamples is the maximum number of samples that are kept, always the youngest. The error
 	// of the mean has two parts: too few samples, and samples from before a surge; more samples
 	// are older ones. In a fleet whose load rises and falls by a third within a minute, 48 and
 	// 64 had the smallest error, and 128 a third more. With fewer targets all samples are kept,
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -43,14 +43,14 @@
 	var r Ramp
 	r.Leave(at(0))
 	for _, c := range []struct {
-		class chestnutstep.Class
-		gone  float64
+		class  chestnutstep.Class
+		shedAt float64
 	}{
 		{chestnutstep.ClassBatch, 0},
 		{chestnutstep.ClassNormal, 0.7},
 		{chestnutstep.ClassUrgent, 1.4},
 	} {
-		assert.Assert(t, r.ShouldShed(at(c.gone), c.class), "class %d", c.class)
-		assert.Assert(t, c.gone == 0 || !r.ShouldShed(at(c.gone-0.001), c.class), "class %d too soon", c.class)
+		assert.Assert(t, r.ShouldShed(at(c.shedAt), c.class), "class %d", c.class)
+		assert.Assert(t, c.shedAt == 0 || !r.ShouldShed(at(c.shedAt-0.001), c.class), "class %d too soon", c.class)
 	}
 }
