--- a/place/place_test.go
+++ b/place/place_test.go
@@ -35,22 +35,22 @@
 )
 
 func newSimulation() *simulation {
-	p := &simulation{running: make([][]int, targets), pendingTokens: make([]float64, targets), slow: -1}
+	s := &simulation{running: make([][]int, targets), pendingTokens: make([]float64, targets), slow: -1}
 	for range targets {
-		p.cached = append(p.cached, make(map[uint64]bool))
+		s.cached = append(s.cached, make(map[uint64]bool))
 	}
-	return p
+	return s
 }
 
 // picker chooses a target for a prefix.
 type picker func(p *simulation, key uint64) place.Choice
 
-func (p *simulation) candidates(key uint64) ([]place.Candidate, place.Donor) {
+func (s *simulation) candidates(key uint64) ([]place.Candidate, place.Donor) {
 	var list []place.Candidate
 	var donor place.Donor
 	for i := range targets {
-		c := place.Candidate{ID: fmt.Sprint(i), Running: float64(len(p.running[i])), Slots: 64, PendingTokens: p.pendingTokens[i]}
-		if p.cached[i][key] {
+		c := place.Candidate{ID: fmt.Sprint(i), Running: float64(len(s.running[i])), Slots: 64, PendingTokens: s.pendingTokens[i]}
+		if s.cached[i][key] {
 			c.CachedTokens = prefixTokens
 			if donor.CachedTokens == 0 || c.Running < donor.Running {
 				donor = place.Donor{ID: c.ID, CachedTokens: prefixTokens, Running: c.Running}
@@ -90,17 +90,17 @@
 	return sum.Taken()
 }
 
-func pickByCost(p *simulation, key uint64) place.Choice {
-	list, donor := p.candidates(key)
+func pickByCost(s *simulation, key uint64) place.Choice {
+	list, donor := s.candidates(key)
 	c, _ := pick(list, donor, place.Request{Key: key, Tokens: prefixTokens + ownTokens, Shared: prefixTokens})
 	return c
 }
 
 // pickByLoad is a naive placement by load alone.
-func pickByLoad(p *simulation, _ uint64) place.Choice {
+func pickByLoad(s *simulation, _ uint64) place.Choice {
 	best := 0
 	for i := range targets {
-		if len(p.running[i]) < len(p.running[best]) {
+		if len(s.running[i]) < len(s.running[best]) {
 			best = i
 		}
 	}
@@ -113,52 +113,52 @@
 }
 
 // run simulates requests with prefix keys from nextKey, perStep of them each step.
-func (p *simulation) run(pick picker, perStep float64, nextKey func(r *rand.Rand) uint64) {
+func (s *simulation) run(pick picker, perStep float64, nextKey func(r *rand.Rand) uint64) {
 	r := rand.New(rand.NewPCG(1, 2))
 	due := 0.0
 	for step := range steps {
-		p.step(step)
+		s.step(step)
 		for due += perStep; due >= 1; due-- {
-			p.send(step, pick, nextKey(r))
+			s.send(step, pick, nextKey(r))
 		}
 	}
 }
 
 // step advances one step: requests end and prompts are read.
-func (p *simulation) step(step int) {
+func (s *simulation) step(step int) {
 	mean := 0.0
 	for i := range targets {
-		kept := p.running[i][:0]
-		for _, end := range p.running[i] {
+		kept := s.running[i][:0]
+		for _, end := range s.running[i] {
 			if end > step {
 				kept = append(kept, end)
 			}
 		}
-		p.running[i] = kept
-		p.pendingTokens[i] = max(p.pendingTokens[i]-place.PrefillRate*10, 0)
+		s.running[i] = kept
+		s.pendingTokens[i] = max(s.pendingTokens[i]-place.PrefillRate*10, 0)
 		mean += float64(len(kept)) / targets
 	}
 	for i := range targets {
 		if mean > 4 {
-			p.maxLoadRatio = max(p.maxLoadRatio, float64(len(p.running[i]))/mean)
+			s.maxLoadRatio = max(s.maxLoadRatio, float64(len(s.running[i]))/mean)
 		}
 	}
 }
 
-func (p *simulation) send(step int, pick picker, key uint64) {
-	c := pick(p, key)
+func (s *simulation) send(step int, pick picker, key uint64) {
+	c := pick(s, key)
 	i := c.Index
 	tokens := ownTokens
-	if !p.cached[i][key] && !c.Fetch {
+	if !s.cached[i][key] && !c.Fetch {
 		tokens += prefixTokens
-		p.prefilled += prefixTokens
+		s.prefilled += prefixTokens
 	}
-	p.cached[i][key] = true
-	p.pendingTokens[i] += float64(tokens)
-	if p.pendingTokens[i]/place.PrefillRate > 800 {
-		p.late++
+	s.cached[i][key] = true
+	s.pendingTokens[i] += float64(tokens)
+	if s.pendingTokens[i]/place.PrefillRate > 800 {
+		s.late++
 	}
-	p.running[i] = append(p.running[i], step+requestSteps)
+	s.running[i] = append(s.running[i], step+requestSteps)
 }
 
 // evenKey draws one of 40 prefixes.
@@ -199,11 +199,11 @@
 // TestBurstForNewPrefix guards against spreading simultaneous requests for a prefix that no
 // target holds over all targets, each of which would read it.
 func TestBurstForNewPrefix(t *testing.T) {
-	p := newSimulation()
+	s := newSimulation()
 	for range 8 {
-		p.send(0, pickByCost, 3)
+		s.send(0, pickByCost, 3)
 	}
-	assert.Assert(t, p.prefilled <= 2*prefixTokens, "%d", p.prefilled)
+	assert.Assert(t, s.prefilled <= 2*prefixTokens, "%d", s.prefilled)
 }
 
 // TestNewPrefixGoesToOneTarget guards against entries that need a new prefix at the same moment
