--- a/mean/mean_test.go
+++ b/mean/mean_test.go
@@ -88,11 +88,11 @@
 	return float64(x.sent) * sampleBytes / float64(x.rounds) / float64(len(x.agents))
 }
 
-// pollKeep is how long polls count: of 3, 4, 5 and 10 s, 4 s has about the smallest error.
-const pollKeep = 4 * time.Second
+// pollTTL is how long polls count: of 3, 4, 5 and 10 s, 4 s has about the smallest error.
+const pollTTL = 4 * time.Second
 
 // polls asks k random peers per second for their own load and averages the answers of the last
-// pollKeep.
+// pollTTL.
 type polls struct {
 	k       int
 	samples [][]chestnutstep.Sample
@@ -106,7 +106,7 @@
 		for range x.k {
 			x.samples[i] = append(x.samples[i], chestnutstep.Sample{Load: loads[r.IntN(len(loads))], SeenAt: now})
 		}
-		for len(x.samples[i]) > 0 && now.Sub(x.samples[i][0].SeenAt) > pollKeep {
+		for len(x.samples[i]) > 0 && now.Sub(x.samples[i][0].SeenAt) > pollTTL {
 			x.samples[i] = x.samples[i][1:]
 		}
 	}
@@ -163,19 +163,19 @@
 }
 
 func newLoadPattern(n int, swing float64) *loadPattern {
-	f := &loadPattern{rand: rand.New(rand.NewPCG(1, 2)), bias: make([]float64, n), swing: swing}
-	for i := range f.bias {
-		f.bias[i] = f.rand.NormFloat64() / 3
+	p := &loadPattern{rand: rand.New(rand.NewPCG(1, 2)), bias: make([]float64, n), swing: swing}
+	for i := range p.bias {
+		p.bias[i] = p.rand.NormFloat64() / 3
 	}
-	return f
+	return p
 }
 
-func (f *loadPattern) loads(second int) []float64 {
-	level := 8 * (1 + f.swing*math.Sin(2*math.Pi*float64(second)/60))
-	loads := make([]float64, len(f.bias))
+func (p *loadPattern) loads(second int) []float64 {
+	level := 8 * (1 + p.swing*math.Sin(2*math.Pi*float64(second)/60))
+	loads := make([]float64, len(p.bias))
 	for i := range loads {
-		f.bias[i] = 0.9*f.bias[i] + 0.1*f.rand.NormFloat64()*1.5
-		loads[i] = max(0, level*(1+f.bias[i]))
+		p.bias[i] = 0.9*p.bias[i] + 0.1*p.rand.NormFloat64()*1.5
+		loads[i] = max(0, level*(1+p.bias[i]))
 	}
 	return loads
 }
@@ -183,12 +183,12 @@
 // measureError returns the root mean square of the relative error over agents and seconds, and
 // the largest bias in one second.
 func measureError(x estimator, targets, seconds int, swing float64) (rms, bias float64) {
-	f := newLoadPattern(targets, swing)
+	pattern := newLoadPattern(targets, swing)
 	r := rand.New(rand.NewPCG(3, 4))
 	n := 0
 	for s := range seconds {
 		now := epoch.Add(time.Duration(s) * time.Second)
-		loads := f.loads(s)
+		loads := pattern.loads(s)
 		x.round(now, loads, r)
 		if s < 20 {
 			continue
@@ -220,10 +220,10 @@
 	const targets, seconds, surge = 400, 50, 1.0 / 3
 	rms, _ := measureError(newSamplers(targets, 16), targets, seconds, surge)
 	assert.Assert(t, rms < 0.09, "relayed samples: error %.3f", rms)
-	few, _ := measureError(newNeighborSamplers(targets, 8), targets, seconds, surge)
-	assert.Assert(t, few < 0.1, "exchanges with neighbors: error %.3f", few)
-	poll, _ := measureError(&polls{k: 2}, targets, seconds, surge)
-	assert.Assert(t, poll > 1.3*rms, "polls without relay: error %.3f", poll)
+	neighborRMS, _ := measureError(newNeighborSamplers(targets, 8), targets, seconds, surge)
+	assert.Assert(t, neighborRMS < 0.1, "exchanges with neighbors: error %.3f", neighborRMS)
+	pollRMS, _ := measureError(&polls{k: 2}, targets, seconds, surge)
+	assert.Assert(t, pollRMS > 1.3*rms, "polls without relay: error %.3f", pollRMS)
 }
 
 // TestMeanIsExactForFewTargets guards against an estimate that misses targets of a small fleet:
