--- a/roster/complete_test.go
+++ b/roster/complete_test.go
@@ -57,15 +57,15 @@
 
 // hasHadState reports whether a target had a state at a revision or later.
 func (s *modelStore) hasHadState(id string, state int, revision uint64) bool {
-	held := absent
+	current := absent
 	for _, c := range s.history[id] {
 		if c.revision <= revision {
-			held = c.state
+			current = c.state
 		} else if c.state == state {
 			return true
 		}
 	}
-	return held == state
+	return current == state
 }
 
 // modelEntry is an entry that reads from the store or from another entry.
@@ -166,7 +166,8 @@
 	return f
 }
 
-// check compares each entry with the store at the revision up to which the entry is complete.
+// check verifies that each target's state at each entry is one that the store had at the
+// entry's revision or later.
 func (m *fleetModel) check(t *rapid.T) {
 	for i, e := range m.entries {
 		if !e.roster.Listed(chestnutstep.TopicTargets) || e.revision == 0 {
