--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -279,9 +279,9 @@
 	})
 }
 
-// TestRetryAfterIsSpread guards against rejecting hundreds of requests in one
-// second with the same retry delay: their callers would return together and be rejected again
-// while the target serves at full capacity.
+// TestRetryAfterIsSpread guards against rejecting hundreds of requests in one second with the
+// same retry delay: their callers would return together and be rejected again while the target
+// serves at full capacity.
 func TestRetryAfterIsSpread(t *testing.T) {
 	g := &Gate{}
 	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 1, ColdCap: 1}})
@@ -290,14 +290,14 @@
 	g.End(epoch.Add(2*time.Second), "first", chestnutstep.OutcomeServed)
 	g.Offer(epoch, first)
 	const callers, buckets = 1000, 10
-	var back [2 * buckets]int
+	var retries [2 * buckets]int
 	for i := range callers {
 		d := g.Offer(epoch, chestnutstep.Work{ID: fmt.Sprint("c", i), Deadline: epoch.Add(time.Minute)})
 		assert.Equal(t, d.Reason, chestnutstep.ReasonFull)
 		assert.Assert(t, d.RetryAfter >= 2*time.Second && d.RetryAfter < 4*time.Second, "%v", d.RetryAfter)
-		back[d.RetryAfter*buckets/(2*time.Second)]++
+		retries[d.RetryAfter*buckets/(2*time.Second)]++
 	}
-	for _, n := range back[buckets:] {
+	for _, n := range retries[buckets:] {
 		assert.Assert(t, n < callers/buckets*3/2, "%d of %d retry together", n, callers)
 	}
 }
@@ -350,7 +350,8 @@
 	}
 }
 
-// busyGate returns a gate with 64 slots and running plus waiting requests of twenty workspaces.
+// busyGate returns a gate with 64 slots and the given numbers of running and waiting requests,
+// from twenty workspaces.
 func busyGate(running, waiting int) *Gate {
 	g := &Gate{}
 	g.SetLimits(epoch, chestnutstep.Limits{Model: chestnutstep.Model{Slots: 64, ColdCap: 64, QueueLimit: 2 * waiting}})
