--- a/route/rank_test.go
+++ b/route/rank_test.go
@@ -69,8 +69,8 @@
 		return 2
 	}
 	score := func(target *chestnutstep.Target) float64 {
-		s := newCandidate(target)
-		return rankKey(uniform(s.hash, chatHash(req.Workspace, req.Chat)), s.inverseWeight)
+		c := newCandidate(target)
+		return rankKey(uniform(c.hash, chatHash(req.Workspace, req.Chat)), c.inverseWeight)
 	}
 	slices.SortFunc(all, func(a, b *chestnutstep.Target) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(score(a), score(b)), cmp.Compare(a.Name, b.Name))
@@ -149,14 +149,14 @@
 func TestFirstChoiceFollowsWeight(t *testing.T) {
 	const chats = 20000
 	table := bigTable(30)
-	var double int
+	var heavy int
 	for i := range chats {
 		first := table.Rank(nil, chestnutstep.RankQuery{Chat: fmt.Sprint("c", i), Model: "chat", Region: "east"}, 1)[0]
 		if first.Weight == 2 {
-			double++
+			heavy++
 		}
 	}
-	share := float64(double) / chats
+	share := float64(heavy) / chats
 	assert.Assert(t, share > 0.65 && share < 0.68, "share %v", share)
 }
 
