--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -26,7 +26,7 @@
 // workQueue is the queue under test: Queue or the naive fifo.
 type workQueue interface {
 	Push(now time.Time, w chestnutstep.Work) (*chestnutstep.Work, *Rejection)
-	Pop(may func(chestnutstep.Class) bool) (chestnutstep.Work, bool)
+	Pop(mayStart func(chestnutstep.Class) bool) (chestnutstep.Work, bool)
 }
 
 // fifo is a naive bounded queue: first come, first served.
