--- a/node/cacheindex_test.go
+++ b/node/cacheindex_test.go
@@ -38,16 +38,16 @@
 // own address.
 func launchJoining(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
-	d := &direct{door: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
-	t.Cleanup(d.door.Close)
-	d.settings = directSettings(t, d.door.Address(), seeds...)
+	d := &direct{storeServer: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
+	t.Cleanup(d.storeServer.Close)
+	d.settings = directSettings(t, d.storeServer.Address(), seeds...)
 	d.settings.Bootstrap = false
 	for i, s := range d.settings.Seeds {
 		if s == "self" {
 			d.settings.Seeds[i] = d.settings.PeerAddr
 		}
 	}
-	source := platform.NewStore(d.door.Address(), link.Dial)
+	source := platform.NewStore(d.storeServer.Address(), link.Dial)
 	n := &node.Direct{
 		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Decoder: source, Caches: platform.NewTargetClient(),
 	}
@@ -172,11 +172,11 @@
 // before it has read the list of targets.
 func TestCacheIndexWaitsForTargetList(t *testing.T) {
 	store, x := newCachedPrefixStore(t)
-	door := store.NewServer()
-	t.Cleanup(door.Close)
-	source := platform.NewStore(door.Address(), link.Dial)
+	storeServer := store.NewServer()
+	t.Cleanup(storeServer.Close)
+	source := platform.NewStore(storeServer.Address(), link.Dial)
 	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), called: make(chan struct{}), release: make(chan struct{})}
-	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &blockableLog{}}
+	d := &direct{settings: directSettings(t, storeServer.Address()), storeServer: storeServer, out: &blockableLog{}}
 	d.settings.Bootstrap = false
 	n := &node.Direct{
 		Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out, Caches: platform.NewTargetClient(),
@@ -184,12 +184,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() { _ = n.Run(ctx) }()
-	known := func() bool { return strings.Contains(d.out.text(), "caches_known") }
+	isLoaded := func() bool { return strings.Contains(d.out.text(), "caches_known") }
 	<-slow.called
 	waitFor(t, func() bool { return strings.Contains(d.out.text(), "routing_in_force") }, "the configuration is in force")
 	time.Sleep(time.Second)
-	assert.Assert(t, !known())
+	assert.Assert(t, !isLoaded())
 	close(slow.release)
-	waitFor(t, known, "the cache index is loaded")
+	waitFor(t, isLoaded, "the cache index is loaded")
 	assert.Equal(t, x.CacheLists(), 1)
 }
--- a/node/direct_test.go
+++ b/node/direct_test.go
@@ -27,11 +27,11 @@
 
 // direct is an entry without agents that runs in the test process.
 type direct struct {
-	settings *config.DirectSettings
-	door     *stand.StoreServer
-	out      *blockableLog
-	stop     context.CancelFunc
-	done     chan error
+	settings    *config.DirectSettings
+	storeServer *stand.StoreServer
+	out         *blockableLog
+	stop        context.CancelFunc
+	done        chan error
 }
 
 // blockableLog is a log whose writes block while the test holds its mutex.
@@ -66,9 +66,9 @@
 
 func startDirect(t *testing.T, store *stand.Store, seeds ...string) *direct {
 	t.Helper()
-	d := &direct{door: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
-	t.Cleanup(d.door.Close)
-	d.settings = directSettings(t, d.door.Address(), seeds...)
+	d := &direct{storeServer: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
+	t.Cleanup(d.storeServer.Close)
+	d.settings = directSettings(t, d.storeServer.Address(), seeds...)
 	d.run(t, nil)
 	return d
 }
@@ -78,7 +78,7 @@
 	var ctx context.Context
 	ctx, d.stop = context.WithCancel(context.Background())
 	t.Cleanup(d.stop)
-	source := platform.NewStore(d.door.Address(), link.Dial)
+	source := platform.NewStore(d.storeServer.Address(), link.Dial)
 	n := &node.Direct{
 		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Reloader: reloader, Decoder: source,
 	}
@@ -156,7 +156,7 @@
 	publish(store, 1, []string{"k"}, x)
 	d := startDirect(t, store)
 	assert.Equal(t, status(d.post("/book/1", "k", "a")), http.StatusOK)
-	d.door.SetFailure(stand.Unresponsive)
+	d.storeServer.SetFailure(stand.Unresponsive)
 	publish(store, 2, []string{"other"})
 	revoked := time.Now()
 	for time.Since(revoked) < 3*time.Second {
@@ -167,7 +167,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	assert.Equal(t, d.ready(), http.StatusServiceUnavailable)
-	d.door.SetFailure(stand.NoFailure)
+	d.storeServer.SetFailure(stand.NoFailure)
 	waitFor(t, func() bool { return status(d.post("/book/1", "k", "b")) == http.StatusUnauthorized }, "the key is rejected")
 	assert.Equal(t, status(d.post("/book/1", "other", "c")), http.StatusOK)
 	assert.Assert(t, strings.Contains(d.out.text(), `"source_lost"`))
@@ -183,7 +183,7 @@
 	first := startDirect(t, store)
 	second := startDirect(t, store, first.settings.PeerAddr)
 	waitFor(t, func() bool { return strings.Contains(second.out.text(), `"peers":1`) }, "the entries have found each other")
-	second.door.SetFailure(stand.Unavailable)
+	second.storeServer.SetFailure(stand.Unavailable)
 	for range 30 {
 		assert.Equal(t, status(second.post("/book/1", "k", fmt.Sprint("p", time.Now().UnixNano()))), http.StatusOK)
 		time.Sleep(100 * time.Millisecond)
@@ -244,9 +244,9 @@
 func TestDirectReloads(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
-	d := &direct{door: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
-	t.Cleanup(d.door.Close)
-	d.settings = directSettings(t, d.door.Address())
+	d := &direct{storeServer: store.NewServer(), out: &blockableLog{}, done: make(chan error, 1)}
+	t.Cleanup(d.storeServer.Close)
+	d.settings = directSettings(t, d.storeServer.Address())
 	file := filepath.Join(t.TempDir(), "settings")
 	assert.NilError(t, os.WriteFile(file, []byte("first"), 0o600))
 	d.run(t, &config.Reloader{
@@ -295,11 +295,11 @@
 func TestDirectIsNotReadyWithoutTargets(t *testing.T) {
 	store, x := stand.NewStore(), newTarget(t, "i-a")
 	publish(store, 1, []string{"k"}, x)
-	door := store.NewServer()
-	t.Cleanup(door.Close)
-	source := platform.NewStore(door.Address(), link.Dial)
+	storeServer := store.NewServer()
+	t.Cleanup(storeServer.Close)
+	source := platform.NewStore(storeServer.Address(), link.Dial)
 	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), called: make(chan struct{}), release: make(chan struct{})}
-	d := &direct{settings: directSettings(t, door.Address()), door: door, out: &blockableLog{}}
+	d := &direct{settings: directSettings(t, storeServer.Address()), storeServer: storeServer, out: &blockableLog{}}
 	n := &node.Direct{Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -9,8 +9,9 @@
 	"chestnutstep.example/chestnutstep/event"
 )
 
-// updateMetrics sets the gauges and records changes of the target's state once per second. A change
-// that is undone within a second is not relevant to operators.
+// updateMetrics sets the gauges and records changes of the target's state once per second. That is
+// soon enough for readers of the gauges, and a change that is undone within a second is none that an
+// operator could act on.
 func (n *Agent) updateMetrics(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/node/notice.go
+++ b/node/notice.go
@@ -56,9 +56,9 @@
 	case agent.NoticeCrash:
 		n.meters.Agent.Crashes.Add(1)
 	case agent.NoticeRefused:
-		n.countRefusedOffer(m, event.OfferRefused)
+		n.recordRefusedOffer(m, event.OfferRefused)
 	case agent.NoticeWithdrawn:
-		n.countRefusedOffer(m, 0)
+		n.recordRefusedOffer(m, 0)
 	case agent.NoticeMoved:
 		n.log.Emit(event.RunNoted, event.Request(m.Subject), event.Target(m.After))
 	case agent.NoticeAbandoned:
@@ -79,13 +79,13 @@
 		n.meters.Agent.Moves.Add(1, "import", "ok")
 		n.meters.Agent.MovedBytes.Add(m.Bytes, "import")
 	case agent.NoticeEnded:
-		n.countRun(m)
+		n.recordRun(m)
 	}
 }
 
-// countRefusedOffer records an offer that did not run. An offer with a ticket gets a log event of
+// recordRefusedOffer records an offer that did not run. An offer with a ticket gets a log event of
 // its own kind; id 0 writes no log line for others.
-func (n *Agent) countRefusedOffer(m agent.Notice, id event.ID) {
+func (n *Agent) recordRefusedOffer(m agent.Notice, id event.ID) {
 	switch {
 	case m.HasTicket && slices.Contains(ticketReasons, m.Reason):
 		id = event.TicketRefused
@@ -122,13 +122,13 @@
 	n.auditNotice(audit.KindOrder, m)
 }
 
-// countRun records a completed run in the metrics.
-func (n *Agent) countRun(m agent.Notice) {
+// recordRun records the end of a run in the metrics, and in the log if operators need to see it.
+func (n *Agent) recordRun(m agent.Notice) {
 	result := string(m.Reason)
 	if result == "" {
 		result = "served"
 	}
-	n.logFailedRun(m)
+	n.recordRunOutcome(m)
 	n.meters.Agent.Runs.Add(1, m.Profile, result)
 	n.meters.Agent.Wait.Observe(m.Wait, m.Profile)
 	n.meters.Agent.CachedTokens.Add(m.CachedTokens, m.Profile)
@@ -140,8 +140,8 @@
 	}
 }
 
-// logFailedRun logs runs that need an operator's attention, and counts tickets.
-func (n *Agent) logFailedRun(m agent.Notice) {
+// recordRunOutcome logs runs that need an operator's attention, and counts tickets.
+func (n *Agent) recordRunOutcome(m agent.Notice) {
 	request, target := event.Request(m.Subject), event.Target(n.agent.Name)
 	switch m.Reason {
 	case chestnutstep.ReasonCrossed:
@@ -184,7 +184,7 @@
 		event.Int("offers", int64(m.Offers)),
 		event.Dur("total", m.Total),
 	)
-	n.countProgress(m)
+	n.recordProgress(m)
 	n.meters.Entry.Requests.Add(1, m.Profile, result)
 	if m.FirstByte > 0 {
 		n.meters.Entry.FirstByte.Observe(m.FirstByte, m.Profile)
@@ -194,8 +194,8 @@
 	}
 }
 
-// countProgress records reattachments, retries and hints of a request.
-func (n *Entry) countProgress(m entry.Notice) {
+// recordProgress records reattachments, retries and hints of a request in the log and the metrics.
+func (n *Entry) recordProgress(m entry.Notice) {
 	if m.Reattached > 0 {
 		n.log.Emit(event.AnswerAttached, event.Request(m.Request), event.Target(m.Target))
 		n.meters.Entry.Attached.Add(int64(m.Reattached), m.Profile, "ok")
--- a/node/publication.go
+++ b/node/publication.go
@@ -19,9 +19,9 @@
 	acceptedAt     time.Time
 	refusedVersion uint64
 	refusedReason  string
-	// serviceDown and isolated are the last state of the platform and of peers reported by gossip.
-	serviceDown bool
-	isolated    bool
+	// platformDown and isolated are the last state of the platform and of peers reported by gossip.
+	platformDown bool
+	isolated     bool
 }
 
 // handleNotice updates the state of the platform and of peers from a notice of gossip.
@@ -30,7 +30,7 @@
 	defer s.mu.Unlock()
 	switch kind {
 	case gossip.NoticePlatformDown, gossip.NoticePlatformUp:
-		s.serviceDown = kind == gossip.NoticePlatformDown
+		s.platformDown = kind == gossip.NoticePlatformDown
 	case gossip.NoticePeersLost, gossip.NoticePeersFound:
 		s.isolated = kind == gossip.NoticePeersLost
 	}
@@ -111,7 +111,7 @@
 		Since:                b.sourceStatus.acceptedAt,
 		RefusedVersion:       b.sourceStatus.refusedVersion,
 		RefusalReason:        b.sourceStatus.refusedReason,
-		PlatformUnresponsive: b.sourceStatus.serviceDown,
+		PlatformUnresponsive: b.sourceStatus.platformDown,
 	}
 }
 
--- a/node/tls_test.go
+++ b/node/tls_test.go
@@ -53,12 +53,12 @@
 	f.start(&Agent{Settings: f.settings(config.RoleAgent, fmt.Sprintf(
 		`"name": "label-1", "listen": %q, "admin": %q, "target": {"name": "label-1", "url": %q}`, f.agentAddr, f.adminAddrs[0], engine.URL,
 	)), Out: io.Discard})
-	door := f.issue("door")
+	callerFiles := f.issue("door")
 	f.start(&Entry{Settings: f.settings(config.RoleEntry, fmt.Sprintf(
 		`"name": "e1", "listen": %q, "peer": %q, "admin": %q, "callers": {"cert": %q, "key": %q}`,
-		f.callersAddr, freeAddr(t), f.adminAddrs[1], door.Cert, door.Key,
+		f.callersAddr, freeAddr(t), f.adminAddrs[1], callerFiles.Cert, callerFiles.Key,
 	)), Out: io.Discard})
-	raw, err := os.ReadFile(door.CA)
+	raw, err := os.ReadFile(callerFiles.CA)
 	assert.NilError(t, err)
 	f.roots = x509.NewCertPool()
 	assert.Assert(t, f.roots.AppendCertsFromPEM(raw))
