--- a/share/loop.go
+++ b/share/loop.go
@@ -132,10 +132,10 @@
 
 // collectEvents adds the events since the last round to the log.
 func (p *Peers) collectEvents(now clock.Stamp) {
-	n := p.Delegate.TakeEvents()
+	e := p.Delegate.TakeEvents()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.events.add(now, n)
+	p.events.add(now, e)
 }
 
 // sendPartial sends a report that contains only lists or crashes.
--- a/share/news.go
+++ b/share/news.go
@@ -43,18 +43,18 @@
 }
 
 // add appends events. If the log exceeds maxLoggedEvents, it drops the oldest half.
-func (l *eventLog) add(now clock.Stamp, n Events) {
-	for i := range n.CachedParts {
-		l.events = append(l.events, loggedEvent{cachedPart: &n.CachedParts[i]})
+func (l *eventLog) add(now clock.Stamp, e Events) {
+	for i := range e.CachedParts {
+		l.events = append(l.events, loggedEvent{cachedPart: &e.CachedParts[i]})
 	}
-	for i := range n.Replaced {
-		l.events = append(l.events, loggedEvent{replaced: &n.Replaced[i]})
+	for i := range e.Replaced {
+		l.events = append(l.events, loggedEvent{replaced: &e.Replaced[i]})
 	}
-	for i := range n.Suspected {
-		l.events = append(l.events, loggedEvent{suspected: &n.Suspected[i]})
+	for i := range e.Suspected {
+		l.events = append(l.events, loggedEvent{suspected: &e.Suspected[i]})
 	}
-	for i := range n.Crashes {
-		l.events = append(l.events, loggedEvent{crash: &n.Crashes[i], addedAt: now})
+	for i := range e.Crashes {
+		l.events = append(l.events, loggedEvent{crash: &e.Crashes[i], addedAt: now})
 	}
 	if extra := len(l.events) - maxLoggedEvents; extra > 0 {
 		extra += maxLoggedEvents / 2
--- a/share/peers.go
+++ b/share/peers.go
@@ -233,8 +233,8 @@
 	p.sequence++
 	r.Sequence, r.Leaving, r.NeedsCatchUp = p.sequence, p.leaving, now < p.catchUpUntil
 	type candidate struct {
-		addr netip.AddrPort
-		sent clock.Stamp
+		addr     netip.AddrPort
+		lastSent clock.Stamp
 	}
 	var due []candidate
 	for a, x := range p.peers {
@@ -250,7 +250,7 @@
 			due = append(due, candidate{a, x.lastSent})
 		}
 	}
-	slices.SortFunc(due, func(a, b candidate) int { return cmp.Compare(a.sent, b.sent) })
+	slices.SortFunc(due, func(a, b candidate) int { return cmp.Compare(a.lastSent, b.lastSent) })
 	to := make([]netip.AddrPort, 0, maxFanout)
 	for _, c := range due[:min(len(due), p.fanoutLimit())] {
 		to = append(to, c.addr)
--- a/share/report.go
+++ b/share/report.go
@@ -80,7 +80,7 @@
 	// response.
 	TimedOutAgo     int16
 	TimedOutTargets uint8
-	// Avoided reports whether the sender avoids the domain. TimedOutTargets then includes the
+	// Avoided reports whether the sender avoids the domain. TimedOutAgo then also covers the
 	// timeouts observed by other entries of the sender's domain.
 	Avoided bool
 }
@@ -95,7 +95,7 @@
 }
 
 // CacheList lists the cached parts of a target. Parts holds the low half of each part's ID in four
-// bytes, little endian. Two halves collide about once in several hundred listings of a fleet; a
+// bytes, little endian. Two halves collide once in some hundred listings of a fleet; a
 // collision costs one repeated prefill of a prefix.
 type CacheList struct {
 	_      struct{} `cbor:",toarray"`
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -142,27 +142,27 @@
 }
 
 // newReport returns a report with n loads and the given number of cached parts.
-func newReport(n, holds int) *Report {
+func newReport(n, cachedParts int) *Report {
 	r := &Report{From: netip.MustParseAddrPort("10.0.0.1:7340"), Incarnation: 1 << 30, Sequence: 1000, Sent: 1 << 31, Echo: 1 << 31, EchoIncarnation: 1 << 30, Version: 7}
 	for i := range n {
 		r.Loads = append(r.Loads, Load{Target: uint32(i) * 2654435761, Running: 3, PendingPrefill: 40})
 	}
-	for i := range holds {
+	for i := range cachedParts {
 		r.CachedParts = append(r.CachedParts, CachedPart{Target: uint32(i) * 2654435761, Part: uint32(i) * 40503, Ready: true})
 	}
 	return r
 }
 
-// fleetSizes are a small fleet, a medium one and the largest supported one: the number of peers,
+// fleetSizes are those of a small fleet, a medium one and the planned one: the number of peers,
 // targets with requests in progress, and cached parts per datagram.
-var fleetSizes = []struct{ peers, loads, holds int }{{4, 12, 16}, {23, 20, 8}, {349, 60, 8}}
+var fleetSizes = []struct{ peers, loads, cachedParts int }{{4, 12, 16}, {23, 20, 8}, {349, 60, 8}}
 
 // TestRoundIntervalKeepsTheRate guards against exceeding the budget of 26 KB/s for the control
 // traffic of a node. An entry that sent its whole state to all peers would use up the budget with
 // datagrams alone.
 func TestRoundIntervalKeepsTheRate(t *testing.T) {
 	for _, size := range fleetSizes {
-		b, err := encode(newReport(size.loads, size.holds))
+		b, err := encode(newReport(size.loads, size.cachedParts))
 		assert.NilError(t, err)
 		p := &Peers{lastReportSize: len(b)}
 		recipients := min(size.peers, p.fanoutLimit())
@@ -178,7 +178,7 @@
 func BenchmarkRound(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size.peers), func(b *testing.B) {
-			r := newReport(size.loads, size.holds)
+			r := newReport(size.loads, size.cachedParts)
 			for b.Loop() {
 				for range min(size.peers, maxFanout) {
 					raw, err := encode(r)
@@ -239,8 +239,8 @@
 // TestCopiesAreBounded guards against all entries of a starting fleet copying concurrently from the
 // only entry that has an index and saturating its link for seconds.
 func TestCopiesAreBounded(t *testing.T) {
-	hold := make(chan struct{})
-	c := &CacheServer{Lists: func() []CacheList { <-hold; return []CacheList{{Target: 1}} }}
+	release := make(chan struct{})
+	c := &CacheServer{Lists: func() []CacheList { <-release; return []CacheList{{Target: 1}} }}
 	srv := httptest.NewServer(c)
 	defer srv.Close()
 	results := make(chan int, 4)
@@ -258,7 +258,7 @@
 	for range 2 {
 		assert.Equal(t, <-results, http.StatusServiceUnavailable)
 	}
-	close(hold)
+	close(release)
 	for range 2 {
 		assert.Equal(t, <-results, http.StatusOK)
 	}
