--- a/feed/breaker.go
+++ b/feed/breaker.go
@@ -16,7 +16,7 @@
 type Breaker struct{ blockedUntil atomic.Int64 }
 
 // allows reports whether the source can be called.
-func (g *Breaker) allows(now clock.Stamp) bool { return int64(now) >= g.blockedUntil.Load() }
+func (b *Breaker) allows(now clock.Stamp) bool { return int64(now) >= b.blockedUntil.Load() }
 
 // trip suspends calls for sourceBackoff.
-func (g *Breaker) trip(now clock.Stamp) { g.blockedUntil.Store(int64(now.Add(sourceBackoff))) }
+func (b *Breaker) trip(now clock.Stamp) { b.blockedUntil.Store(int64(now.Add(sourceBackoff))) }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -46,11 +46,11 @@
 
 // entry holds the parts of an entry that read and serve facts.
 type entry struct {
-	id     netip.AddrPort
-	door   *stand.StoreServer
-	roster *roster.Roster
-	feed   *feed.Server
-	server *httptest.Server
+	id          netip.AddrPort
+	storeServer *stand.StoreServer
+	roster      *roster.Roster
+	feed        *feed.Server
+	server      *httptest.Server
 
 	mu           sync.Mutex
 	unresponsive bool
@@ -102,13 +102,13 @@
 	t.Helper()
 	for i := range n {
 		e := &entry{
-			id:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i%250 + 1)}), 7000),
-			door: f.store.NewServer(), roster: &roster.Roster{},
+			id:          netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i%250 + 1)}), 7000),
+			storeServer: f.store.NewServer(), roster: &roster.Roster{},
 		}
 		e.feed = &feed.Server{Roster: e.roster}
 		e.server = httptest.NewServer(e)
 		t.Cleanup(e.server.Close)
-		t.Cleanup(e.door.Close)
+		t.Cleanup(e.storeServer.Close)
 		f.entries = append(f.entries, e)
 	}
 	for _, e := range f.entries {
@@ -125,7 +125,7 @@
 	if dial == nil {
 		dial = link.Dial
 	}
-	store := platform.NewStore(e.door.Address(), dial)
+	store := platform.NewStore(e.storeServer.Address(), dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	timing, breaker, backoff := feed.NewTiming(bound), &feed.Breaker{}, &watch.Backoff{}
@@ -209,7 +209,7 @@
 func (f *fleet) calls() int {
 	n := 0
 	for _, e := range f.entries {
-		n += e.door.Calls()
+		n += e.storeServer.Calls()
 	}
 	return n
 }
@@ -264,7 +264,7 @@
 	}
 	listed := 0
 	for _, e := range f.entries {
-		if e.door.RangeCalls() > 0 {
+		if e.storeServer.RangeCalls() > 0 {
 			listed++
 		}
 	}
@@ -320,8 +320,8 @@
 			e.server.CloseClientConnections()
 		},
 		"ended":   func(e *entry) { e.server.CloseClientConnections(); _ = e.server.Listener.Close() },
-		"cut off": func(e *entry) { e.door.SetFailure(stand.Unresponsive) },
-		"refused": func(e *entry) { e.door.SetFailure(stand.Unavailable) },
+		"cut off": func(e *entry) { e.storeServer.SetFailure(stand.Unresponsive) },
+		"refused": func(e *entry) { e.storeServer.SetFailure(stand.Unavailable) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 12)
@@ -358,7 +358,7 @@
 func TestProofIsNeverNewerThanTheStoresAnswer(t *testing.T) {
 	f := newFleet(t, 8)
 	for _, e := range f.entries {
-		e.door.SetFailure(stand.Unresponsive)
+		e.storeServer.SetFailure(stand.Unresponsive)
 	}
 	cut := clock.Now()
 	f.publish(2)
@@ -371,7 +371,7 @@
 		assert.Equal(t, e.roster.Version(), uint64(1))
 	}
 	for _, e := range f.entries {
-		e.door.SetFailure(stand.NoFailure)
+		e.storeServer.SetFailure(stand.NoFailure)
 	}
 	for _, e := range f.entries {
 		waitUntil(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
@@ -387,13 +387,13 @@
 	}
 	for _, e := range f.entries {
 		waitUntil(t, func() bool { return len(e.roster.View().ByID) == 2 }, "the targets are listed")
-		e.door.SetFailure(stand.Reset)
+		e.storeServer.SetFailure(stand.Reset)
 	}
 	f.store.Remove("servers/i-a")
 	f.publish(2)
 	f.store.Compact()
 	for _, e := range f.entries {
-		e.door.SetFailure(stand.NoFailure)
+		e.storeServer.SetFailure(stand.NoFailure)
 	}
 	for _, e := range f.entries {
 		waitUntil(t, func() bool { return e.roster.Version() == 2 }, "the newer version is in force")
@@ -410,13 +410,13 @@
 func TestSomeEntriesAreRejectedByStore(t *testing.T) {
 	f := newFleet(t, 12)
 	readers := f.readers()
-	readers[0].door.SetFailure(stand.TooManyRequests)
+	readers[0].storeServer.SetFailure(stand.TooManyRequests)
 	for _, e := range f.entries[:6] {
 		if e != readers[1] {
-			e.door.SetFailure(stand.TooManyRequests)
+			e.storeServer.SetFailure(stand.TooManyRequests)
 		}
 	}
-	before := readers[0].door.Calls()
+	before := readers[0].storeServer.Calls()
 	began := time.Now()
 	for i := range 4 {
 		f.publish(2 + i)
@@ -425,7 +425,7 @@
 		}
 		time.Sleep(bound / 4)
 	}
-	calls := readers[0].door.Calls() - before
+	calls := readers[0].storeServer.Calls() - before
 	assert.Assert(t, calls <= 3+2*int(time.Since(began)/time.Second), "%d calls of a rejected entry", calls)
 }
 
--- a/feed/page.go
+++ b/feed/page.go
@@ -106,9 +106,9 @@
 }
 
 // ServeHTTP responds with the facts after a revision as soon as there are any. It responds with 503
-// while the entry has no facts, while maxCopies peers get all facts, and if there are no changes
-// and the entry cannot follow the source itself. It responds with 410 if the history since the
-// revision is no longer available.
+// while the entry has no facts, to a request for all facts while maxCopies peers get them, and if
+// there are no changes and the entry cannot follow the source itself. It responds with 410 if the
+// history since the revision is no longer available.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req, err := parseRequest(r.URL.Query())
 	if err != nil {
--- a/feed/slowlink_test.go
+++ b/feed/slowlink_test.go
@@ -91,10 +91,10 @@
 	f := newFleet(t, 12)
 	f.addReadyTarget(t, "i-a")
 	for _, e := range f.readers() {
-		e.door.SetFailure(stand.Unavailable)
+		e.storeServer.SetFailure(stand.Unavailable)
 	}
 	for _, e := range f.entries[:4] {
-		e.door.SetFailure(stand.Unavailable)
+		e.storeServer.SetFailure(stand.Unavailable)
 	}
 	f.store.Remove("servers/i-a")
 	f.putTarget("i-later", "ready")
@@ -112,7 +112,7 @@
 	f.addReadyTarget(t, "i-a")
 	readers := f.readers()
 	for _, e := range readers {
-		e.door.SetFailure(stand.Unresponsive)
+		e.storeServer.SetFailure(stand.Unresponsive)
 	}
 	f.putTarget("i-a", "draining")
 	for _, e := range f.entries {
--- a/feed/source.go
+++ b/feed/source.go
@@ -83,8 +83,9 @@
 type sourceCall func(context.Context) (chestnutstep.Batch, error)
 
 // read calls the source first for a reader or an entry without facts, and the readers first
-// otherwise. If the first choice fails, it tries the other one. Only the source can report a gap in
-// the history, because a reader that has just started has less of it.
+// otherwise. If the first choice fails, it tries the other one. An entry without facts tries to copy
+// them from a peer before. Only the source can report a gap in the history, because a reader that
+// has just started has less of it.
 func (s *Source) read(ctx context.Context, after uint64, wait time.Duration, call sourceCall) (chestnutstep.Batch, error) {
 	s.once.Do(s.initialize)
 	if s.PeerWithFacts != nil && s.Empty() {
@@ -174,7 +175,7 @@
 
 // readFromParents tries the first maxParentAttempts readers. The error is that of the last one. A
 // reader that cannot read the source follows only an entry that can: two readers that follow each
-// other would wait in vain.
+// other would both wait for changes that neither receives.
 func (s *Source) readFromParents(ctx context.Context, c Choice, after uint64, wait time.Duration) (b chestnutstep.Batch, err error) {
 	err = errors.New("no reader available")
 	for _, m := range c.Parents[:min(maxParentAttempts, len(c.Parents))] {
--- a/feed/timing.go
+++ b/feed/timing.go
@@ -38,7 +38,8 @@
 )
 
 // Readers returns the number of entries of a fleet that read the source themselves. The others
-// follow them, so that a change costs one call by each reader and none by followers.
+// follow them, so that a change costs one call of the source per reader, whatever the number of
+// entries.
 func Readers(entries int) int { return max(minReaders, (entries+entriesPerReader-1)/entriesPerReader) }
 
 // Timing holds the intervals of reading, derived from the time within which a change must be in
@@ -69,11 +70,11 @@
 	}
 }
 
-func (p Timing) peerWait(t chestnutstep.Topic) time.Duration {
+func (tm Timing) peerWait(t chestnutstep.Topic) time.Duration {
 	if t == chestnutstep.TopicRouting {
-		return p.PeerWaitRouting
+		return tm.PeerWaitRouting
 	}
-	return p.PeerWait
+	return tm.PeerWait
 }
 
 func scale(d time.Duration, ratio float64) time.Duration { return time.Duration(ratio * float64(d)) }
