--- a/link/call.go
+++ b/link/call.go
@@ -67,7 +67,7 @@
 	// Unresponsive reports whether the target's host did not acknowledge the request.
 	Unresponsive bool
 	// PeerClosed reports whether the target's side ended the connection before the response was
-	// complete.
+	// complete, however much of it had arrived.
 	PeerClosed bool
 	Err        error
 }
--- a/link/idle.go
+++ b/link/idle.go
@@ -10,11 +10,13 @@
 )
 
 // MaxIdle returns the number of idle connections that an entry keeps to a target which accepts the
-// given number of connections from all entries together; 0 or less means no limit.
+// given number of connections from all entries together. If connections is 0 or less, the target
+// has no limit.
 //
 // With 300 entries and three targets that accept 200 connections each, one idle connection per
-// entry would exceed the limit, and targets would reset further connections although they are
-// almost idle. Without idle connections, each request would open its own, which costs a round trip.
+// entry would exceed the limit. Targets would reset further connections, so that requests fail
+// although the targets are almost idle. Without idle connections, each request would open its own,
+// which costs a round trip.
 func MaxIdle(connections, entries int) int {
 	if connections <= 0 {
 		return maxIdleConns
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -63,10 +63,10 @@
 // entry that treats "maybe" as "no" sends a booking twice.
 func TestErrorsStateWhetherRequestCanHaveRun(t *testing.T) {
 	x, p := target(t), &link.Pool{}
-	for manner, want := range map[stand.Behaviour]string{stand.Resets: "link maybe", stand.Garbage: "link maybe"} {
-		x.SetBehaviour(stand.Normal, manner)
+	for behaviour, want := range map[stand.Behaviour]string{stand.Resets: "link maybe", stand.Garbage: "link maybe"} {
+		x.SetBehaviour(stand.Normal, behaviour)
 		_, err := send(context.Background(), p, x, "r", "b")
-		assert.Equal(t, reason(err), want, string(manner))
+		assert.Equal(t, reason(err), want, string(behaviour))
 	}
 	x.SetBehaviour(stand.Normal, stand.Hangs)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/link/silence.go
+++ b/link/silence.go
@@ -19,11 +19,11 @@
 )
 
 // ackWatcher detects a peer that no longer acknowledges sent bytes. That reveals an unreachable
-// host long before TCP closes the connection.
+// host long before TCP gives up the connection.
 type ackWatcher struct {
 	conn *Conn
-	// onUnresponsive is called when the peer counts as unresponsive; if it returns true, the
-	// request is aborted.
+	// onUnresponsive is called at most once, when the peer counts as unresponsive; if it returns
+	// true, the request is aborted.
 	onUnresponsive func() bool
 
 	mu           sync.Mutex
@@ -35,46 +35,46 @@
 }
 
 // start begins the periodic checks.
-func (s *ackWatcher) start() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(ackCheckInterval, s.check)
+func (w *ackWatcher) start() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(ackCheckInterval, w.check)
 }
 
 // stop ends the checks and reports whether the request was aborted because the peer was
 // unresponsive. It waits for a running check, because the connection can carry another request
 // afterwards.
-func (s *ackWatcher) stop() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.stopped = true
-	if s.timer != nil {
-		s.timer.Stop()
+func (w *ackWatcher) stop() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	return s.unresponsive
+	return w.unresponsive
 }
 
 // check runs on the timer, never concurrently with itself.
-func (s *ackWatcher) check() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stopped {
+func (w *ackWatcher) check() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return
 	}
-	n := unackedBytes(s.conn)
+	n := unackedBytes(w.conn)
 	if n == 0 {
 		return // all bytes are acknowledged: the time until the response is not limited here
 	}
-	if n != s.unacked {
-		s.unacked, s.checks = n, 0
+	if n != w.unacked {
+		w.unacked, w.checks = n, 0
 	}
-	if s.checks++; s.checks < maxUnackedChecks {
-		s.timer.Reset(ackCheckInterval)
+	if w.checks++; w.checks < maxUnackedChecks {
+		w.timer.Reset(ackCheckInterval)
 		return
 	}
-	if s.onUnresponsive() {
-		s.unresponsive = true
-		s.conn.reset()
+	if w.onUnresponsive() {
+		w.unresponsive = true
+		w.conn.reset()
 	}
 }
 
