--- a/watch/backoff.go
+++ b/watch/backoff.go
@@ -26,17 +26,17 @@
 }
 
 // next returns the pause after a failure.
-func (p *Backoff) next(now clock.Stamp) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.delay = min(max(2*p.delay, minBackoff), maxBackoff)
-	p.pausedUntil = max(p.pausedUntil, now).Add(p.delay/2 + rand.N(p.delay))
-	return p.pausedUntil.Sub(now)
+func (b *Backoff) next(now clock.Stamp) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.delay = min(max(2*b.delay, minBackoff), maxBackoff)
+	b.pausedUntil = max(b.pausedUntil, now).Add(b.delay/2 + rand.N(b.delay))
+	return b.pausedUntil.Sub(now)
 }
 
 // reset returns to the minimum pause after a success.
-func (p *Backoff) reset() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.delay, p.pausedUntil = 0, 0
+func (b *Backoff) reset() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.delay, b.pausedUntil = 0, 0
 }
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -20,11 +20,11 @@
 
 // follower runs the watchers of all topics over one door of the stand-in store.
 type follower struct {
-	store  *stand.Store
-	door   *stand.StoreServer
-	roster *roster.Roster
-	wake   chan struct{}
-	wait   time.Duration
+	store       *stand.Store
+	storeServer *stand.StoreServer
+	roster      *roster.Roster
+	wake        chan struct{}
+	wait        time.Duration
 
 	mu             sync.Mutex
 	lost, regained [chestnutstep.TopicCount]int
@@ -32,11 +32,11 @@
 
 func newFollower(t *testing.T, store *stand.Store, wait time.Duration) *follower {
 	t.Helper()
-	f := &follower{store: store, door: store.NewServer(), roster: &roster.Roster{}, wake: make(chan struct{}, 1), wait: wait}
-	t.Cleanup(f.door.Close)
+	f := &follower{store: store, storeServer: store.NewServer(), roster: &roster.Roster{}, wake: make(chan struct{}, 1), wait: wait}
+	t.Cleanup(f.storeServer.Close)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	source := platform.NewStore(f.door.Address(), link.Dial)
+	source := platform.NewStore(f.storeServer.Address(), link.Dial)
 	backoff := &watch.Backoff{}
 	for topic := range chestnutstep.TopicCount {
 		w := &watch.Watcher{
@@ -149,13 +149,13 @@
 // changes although the store has compacted its history while the watch was interrupted.
 func TestHistoryIsGone(t *testing.T) {
 	f := startFollower(t)
-	f.door.SetFailure(stand.Unavailable)
+	f.storeServer.SetFailure(stand.Unavailable)
 	waitUntil(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.lost == onceEach }, "the watches are lost")
 	f.store.Put("op/config", config(9))
 	f.store.Remove("servers/c")
 	f.store.Put("servers/a", serverRecord("draining"))
 	f.store.Compact()
-	f.door.SetFailure(stand.NoFailure)
+	f.storeServer.SetFailure(stand.NoFailure)
 	waitUntil(t, f.hasVersion(9), "the version is read in full")
 	waitUntil(t, f.hasTargets("a", "b", "d", "e"), "the target still missing after the return is removed")
 	f.mu.Lock()
@@ -171,15 +171,15 @@
 			f := startFollower(t)
 			other := newFollower(t, f.store, time.Second)
 			waitUntil(t, other.hasVersion(3), "the other is served")
-			f.door.SetFailure(trouble)
-			before := f.door.Calls()
+			f.storeServer.SetFailure(trouble)
+			before := f.storeServer.Calls()
 			f.store.Put("op/config", config(4))
 			waitUntil(t, other.hasVersion(4), "the other is served")
 			time.Sleep(500 * time.Millisecond)
 			assert.Equal(t, f.roster.Version(), uint64(3))
 			assert.Assert(t, f.hasTargets("a", "b", "c", "d", "e")(), "nothing is dropped")
-			assert.Assert(t, f.door.Calls()-before < 30, "%d calls", f.door.Calls()-before)
-			f.door.SetFailure(stand.NoFailure)
+			assert.Assert(t, f.storeServer.Calls()-before < 30, "%d calls", f.storeServer.Calls()-before)
+			f.storeServer.SetFailure(stand.NoFailure)
 			waitUntil(t, f.hasVersion(4), "the entry follows the store again")
 		})
 	}
@@ -189,9 +189,9 @@
 // next watch begins at once, and its return proves that the facts are current.
 func TestWake(t *testing.T) {
 	f := startFollowerWithWait(t, time.Hour)
-	before := f.door.Calls()
+	before := f.storeServer.Calls()
 	f.wake <- struct{}{}
-	waitUntil(t, func() bool { return f.door.Calls() > before }, "a new watch has begun")
+	waitUntil(t, func() bool { return f.storeServer.Calls() > before }, "a new watch has begun")
 	at := clock.Now()
 	f.store.Put("op/config", config(4))
 	waitUntil(t, f.hasVersion(4), "the newer version is in force")
