--- a/feed/page.go
+++ b/feed/page.go
@@ -135,7 +135,7 @@
 // waitForChanges waits for changes until the wait of the request is over or the facts exceed the
 // requested age.
 func (s *Server) waitForChanges(req request, requestedAt clock.Stamp, done <-chan struct{}) {
-	for end := requestedAt.Add(req.wait); !s.hasChanges(req); {
+	for end := requestedAt.Add(req.wait); !s.canRespond(req); {
 		now := clock.Now()
 		wait := min(end, s.Roster.Proof(req.topic).Add(req.maxAge)).Sub(now)
 		if wait <= 0 {
@@ -150,9 +150,9 @@
 	}
 }
 
-// hasChanges reports whether the request can be answered without waiting: there are changes, or no
+// canRespond reports whether the request can be answered without waiting: there are changes, or no
 // more will come because this entry does not follow the source.
-func (s *Server) hasChanges(req request) bool {
+func (s *Server) canRespond(req request) bool {
 	return s.Roster.HasNewer(req.topic, req.after) || !s.Roster.IsFollowing(req.topic, req.direct)
 }
 
--- a/node/agent.go
+++ b/node/agent.go
@@ -49,10 +49,10 @@
 		return err
 	}
 	n.log.Emit(event.ProcessStart, event.Str("role", string(config.RoleAgent)))
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	served := make(chan error, 2)
-	startTasks(work,
+	startTasks(workCtx,
 		n.detectPauses, n.pool.Run, n.runGossip, n.awaitPublication, n.updateMetrics,
 		func(ctx context.Context) { _ = n.agent.Run(ctx) },
 		func(ctx context.Context) { served <- n.serveAdmin(ctx, n.ready, n.status) },
@@ -87,7 +87,7 @@
 	name := n.Settings.Target.Name
 	n.detector = &crash.Detector{Target: name}
 	n.sampler = &mean.Sampler{Target: name}
-	reuse, single := agent.Clients()
+	pooled, unpooled := agent.Clients()
 	n.agent = &agent.Agent{
 		Name:           name,
 		URL:            strings.TrimSuffix(n.Settings.Target.URL, "/"),
@@ -98,8 +98,8 @@
 		Issuer:         &ticket.Issuer{Target: name},
 		Sampler:        n.sampler,
 		Answers:        &answer.Store{TTL: n.settings.Keep.MaxAge.Std(), MaxBytes: n.settings.Keep.MaxBytes},
-		PooledClient:   reuse,
-		UnpooledClient: single,
+		PooledClient:   pooled,
+		UnpooledClient: unpooled,
 		Linger:         n.settings.Linger.Std(),
 		Dial:           n.dial,
 		HostUptime:     uptime(),
--- a/node/direct.go
+++ b/node/direct.go
@@ -120,9 +120,9 @@
 	}
 	n.callers = &relay.Listener{Listener: callers, Relay: n.relay, MaxConns: n.Settings.MaxCallers(maxFiles()), Shedder: n.shed}
 	n.logStart()
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n.startBackground(work)
+	n.startBackground(workCtx)
 	srv := &http.Server{
 		Handler:           n.relay,
 		ConnContext:       relay.ConnContext,
@@ -132,7 +132,7 @@
 	}
 	probes := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: directHeaderTimeout}
 	served := make(chan error, 2)
-	startTasks(work,
+	startTasks(workCtx,
 		func(context.Context) { served <- srv.Serve(n.callers) },
 		func(context.Context) { served <- probes.Serve(ready) },
 	)
@@ -151,18 +151,18 @@
 }
 
 // startBackground starts the background tasks.
-func (n *Direct) startBackground(work context.Context) {
-	startTasks(work, n.tickLoop, n.loadCacheIndex, n.peers.Loop, n.delays.loop,
+func (n *Direct) startBackground(workCtx context.Context) {
+	startTasks(workCtx, n.tickLoop, n.loadCacheIndex, n.peers.Loop, n.delays.loop,
 		n.watcher(chestnutstep.TopicTargets).Run, n.watcher(chestnutstep.TopicRouting).Run)
 	if n.Reloader != nil {
 		n.Reloader.OnChange, n.Reloader.OnError = n.reload, n.logRefusedSettings
-		startTasks(work, n.Reloader.Run)
+		startTasks(workCtx, n.Reloader.Run)
 	}
 	if n.Settings.ControlAddr != "" && n.Decoder != nil {
-		startTasks(work, n.serveControl)
+		startTasks(workCtx, n.serveControl)
 	}
 	if n.Settings.MetricsAddr != "" {
-		startTasks(work, n.serveMetrics)
+		startTasks(workCtx, n.serveMetrics)
 	}
 }
 
@@ -231,7 +231,7 @@
 
 func (n *Direct) bounds() config.Bounds { return n.settings.Load().Bounds }
 
-func (n *Direct) coldBounds() (over, slack float64) {
+func (n *Direct) coldBounds() (factor, slack float64) {
 	b := n.bounds()
 	return b.ColdFactor, b.ColdSlack
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -61,11 +61,11 @@
 		return errors.Wrap(err, "listen for peers")
 	}
 	n.log.Emit(event.ProcessStart, event.Str("role", string(config.RoleEntry)))
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	srv := n.httpServer()
 	served := make(chan error, 3)
-	startTasks(work,
+	startTasks(workCtx,
 		n.detectPauses, n.pool.Run, n.runGossip, n.awaitPublication, n.refreshLoop, n.probeLoop,
 		func(ctx context.Context) { served <- n.serveAdmin(ctx, n.ready, n.status) },
 		func(context.Context) { served <- n.server.Serve(peers) },
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -166,12 +166,12 @@
 // TestRejectedByStore guards against an entry that drops its facts, retries too rarely or floods
 // the store while the store rejects it, in each possible manner, and serves another entry.
 func TestRejectedByStore(t *testing.T) {
-	for _, trouble := range []stand.Failure{stand.Unavailable, stand.TooManyRequests, stand.Reset, stand.Unresponsive, stand.AnswerLost} {
-		t.Run(string(trouble), func(t *testing.T) {
+	for _, failure := range []stand.Failure{stand.Unavailable, stand.TooManyRequests, stand.Reset, stand.Unresponsive, stand.AnswerLost} {
+		t.Run(string(failure), func(t *testing.T) {
 			f := startFollower(t)
 			other := newFollower(t, f.store, time.Second)
 			waitUntil(t, other.hasVersion(3), "the other is served")
-			f.storeServer.SetFailure(trouble)
+			f.storeServer.SetFailure(failure)
 			before := f.storeServer.Calls()
 			f.store.Put("op/config", config(4))
 			waitUntil(t, other.hasVersion(4), "the other is served")
