--- a/feed/page.go
+++ b/feed/page.go
@@ -106,9 +106,9 @@
 }
 
 // ServeHTTP responds with the facts after a revision as soon as there are any. It responds with 503
-// while the entry has no facts, while maxCopies peers get all facts, and if there are no changes
-// and the entry cannot follow the source itself. It responds with 410 if the history since the
-// revision is no longer available.
+// while the entry has no facts, to a request for all facts while maxCopies peers get them, and if
+// there are no changes and the entry cannot follow the source itself. It responds with 410 if the
+// history since the revision is no longer available.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req, err := parseRequest(r.URL.Query())
 	if err != nil {
@@ -135,7 +135,7 @@
 // waitForChanges waits for changes until the wait of the request is over or the facts exceed the
 // requested age.
 func (s *Server) waitForChanges(req request, requestedAt clock.Stamp, done <-chan struct{}) {
-	for end := requestedAt.Add(req.wait); !s.hasChanges(req); {
+	for end := requestedAt.Add(req.wait); !s.canRespond(req); {
 		now := clock.Now()
 		wait := min(end, s.Roster.Proof(req.topic).Add(req.maxAge)).Sub(now)
 		if wait <= 0 {
@@ -150,9 +150,9 @@
 	}
 }
 
-// hasChanges reports whether the request can be answered without waiting: there are changes, or no
+// canRespond reports whether the request can be answered without waiting: there are changes, or no
 // more will come because this entry does not follow the source.
-func (s *Server) hasChanges(req request) bool {
+func (s *Server) canRespond(req request) bool {
 	return s.Roster.HasNewer(req.topic, req.after) || !s.Roster.IsFollowing(req.topic, req.direct)
 }
 
