--- a/cmd/chestnutstep/check.go
+++ b/cmd/chestnutstep/check.go
@@ -79,21 +79,21 @@
 		return err
 	}
 	checked := false
-	for _, entry := range []struct {
+	for _, input := range []struct {
 		file  string
 		check func(file string, raw []byte) error
 	}{{o.settings, settings}, {o.routing, platform.CheckConfig}, {o.deploy, platform.CheckDeploy}} {
-		if entry.file == "" {
+		if input.file == "" {
 			continue
 		}
-		raw, err := os.ReadFile(entry.file)
+		raw, err := os.ReadFile(input.file)
 		if err != nil {
 			return true, errors.Wrap(err, "check")
 		}
-		if err := entry.check(entry.file, raw); err != nil {
+		if err := input.check(input.file, raw); err != nil {
 			return true, err
 		}
-		fmt.Fprintf(w, "%s is fine\n", entry.file)
+		fmt.Fprintf(w, "%s is fine\n", input.file)
 		checked = true
 	}
 	return checked, nil
@@ -114,7 +114,7 @@
 		target, number, ok := strings.Cut(s, "=")
 		load, err := strconv.ParseFloat(number, 64)
 		if !ok || err != nil {
-			return nil, errors.Newf("--load: expected TARGET=NUMBER, got %q", s)
+			return nil, errors.Newf("--load wants TARGET=NUMBER, got %q", s)
 		}
 		loads = append(loads, chestnutstep.Sample{Target: target, Load: load})
 	}
