--- a/cmd/standin/call.go
+++ b/cmd/standin/call.go
@@ -82,7 +82,7 @@
 		fmt.Fprintln(os.Stderr, err)
 	}
 	if n := r.CountKind(fake.Truncated) + r.CountKind(fake.Misdelivered); n > 0 {
-		return errors.Newf("%d answers were truncated or belonged to another request", n)
+		return errors.Newf("%d answers were silently short or another's", n)
 	}
 	return actionErr
 }
@@ -95,7 +95,7 @@
 			return err
 		}
 		if !d.SameAnswer || d.Times != 1 {
-			return errors.Newf("action %s: answers %s and %s, took effect %d times", d.Name, d.First.Kind, d.Second.Kind, d.Times)
+			return errors.Newf("%s: %s then %s, took effect %d times", d.Name, d.First.Kind, d.Second.Kind, d.Times)
 		}
 	}
 	return nil
