--- a/fleet/control.go
+++ b/fleet/control.go
@@ -22,6 +22,7 @@
 	Cause error
 }
 
+// Error returns the condition, the time limit and the cause.
 func (e *ErrTimeout) Error() string {
 	out := e.Condition + ": not met within " + e.Limit.String()
 	if e.Cause != nil {
@@ -71,10 +72,10 @@
 	if err != nil {
 		return err
 	}
-	return put(ctx, http.MethodPost, address, path, raw)
+	return sendBody(ctx, http.MethodPost, address, path, raw)
 }
 
-func put(ctx context.Context, method, address, path string, raw []byte) error {
+func sendBody(ctx context.Context, method, address, path string, raw []byte) error {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(raw))
 	if err != nil {
 		return err
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -61,12 +61,12 @@
 	// Publication is the last publication.
 	Publication *chestnutstep.Publication
 	// Platform, Targets and Entries are the processes, set by Start.
-	Platform *Process
-	Targets  []*Target
-	Entries  []*Process
-	prefix   string
-	lastHost int
-	started  []*Process
+	Platform      *Process
+	Targets       []*Target
+	Entries       []*Process
+	networkPrefix string
+	lastHost      int
+	started       []*Process
 }
 
 // Target is a back end and its agent.
@@ -158,8 +158,8 @@
 // bind the platform's address, which a running fleet keeps bound.
 func (f *Fleet) claimNetwork() error {
 	for n := range 200 {
-		f.prefix = fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+n)%200, 1+(os.Getpid()/200+n)%250)
-		l, err := net.Listen("tcp", fmt.Sprintf("%s.1:%d", f.prefix, portPlatform))
+		f.networkPrefix = fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+n)%200, 1+(os.Getpid()/200+n)%250)
+		l, err := net.Listen("tcp", fmt.Sprintf("%s.1:%d", f.networkPrefix, portPlatform))
 		if err == nil {
 			f.lastHost = 1
 			return l.Close()
@@ -170,7 +170,7 @@
 
 func (f *Fleet) nextIP() string {
 	f.lastHost++
-	return fmt.Sprintf("%s.%d", f.prefix, f.lastHost)
+	return fmt.Sprintf("%s.%d", f.networkPrefix, f.lastHost)
 }
 
 // domainName returns the name of the n-th failure domain.
@@ -210,7 +210,7 @@
 }
 
 func (f *Fleet) startPlatform() error {
-	f.Platform = &Process{Name: "platform", Address: fmt.Sprintf("%s.1:%d", f.prefix, portPlatform)}
+	f.Platform = &Process{Name: "platform", Address: fmt.Sprintf("%s.1:%d", f.networkPrefix, portPlatform)}
 	return f.start(f.Platform, "standin", "platform", "--listen", f.Platform.Address)
 }
 
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -148,7 +148,7 @@
 // still be starting.
 func (f *Fleet) putValue(ctx context.Context, name string, raw []byte) error {
 	return WaitFor(ctx, "publish "+name, func() error {
-		return put(ctx, http.MethodPost, f.Platform.Address, "/control/v/"+name, raw)
+		return sendBody(ctx, http.MethodPost, f.Platform.Address, "/control/v/"+name, raw)
 	})
 }
 
