--- a/load/load.go
+++ b/load/load.go
@@ -91,8 +91,8 @@
 	return t
 }
 
-// drawExponential draws an exponentially distributed number with the given
-// mean, at least 1.
+// drawExponential draws an exponentially distributed number, at least 1.
+// Rounding down makes its mean up to 0.5 lower than the given one.
 func drawExponential(r *rand.Rand, mean int) int {
 	return 1 + int(r.ExpFloat64()*float64(max(mean-1, 0)))
 }
--- a/load/player.go
+++ b/load/player.go
@@ -14,7 +14,7 @@
 
 // Player sends the requests of chats to entries as their callers would.
 type Player struct {
-	// Entries are base URLs; each request of a chat goes to the next one.
+	// Entries are base URLs; each attempt of a chat goes to the next one.
 	Entries []string
 	// Keys are the callers' keys by workspace.
 	Keys map[string]string
@@ -39,11 +39,11 @@
 
 // session is a chat in progress.
 type session struct {
-	player  *Player
-	chat    Chat
-	entry   int
-	history int
-	hint    string
+	player        *Player
+	chat          Chat
+	entry         int
+	historyTokens int
+	hint          string
 }
 
 // Play sends the requests of the chats, all chats concurrently, and returns
@@ -54,7 +54,7 @@
 		p.callers[name] = &fake.Caller{Entries: p.Entries, Key: key, Client: fake.NewClient(), OnGap: p.Report.EventGap.Add}
 	}
 	for i, c := range chats {
-		s := &session{player: p, chat: c, entry: i, history: c.HistoryTokens}
+		s := &session{player: p, chat: c, entry: i, historyTokens: c.HistoryTokens}
 		p.sessions.Add(1)
 		go s.run(ctx)
 	}
@@ -72,8 +72,8 @@
 }
 
 func (s *session) turn(ctx context.Context, n int, t Turn) {
-	prompt := s.history + t.PromptTokens
-	body, _ := json.Marshal(fake.ChatRequest{Prompt: prompt, Output: t.OutputTokens, Note: fmt.Sprintf("%s/%d", s.chat.Name, n)})
+	promptTokens := s.historyTokens + t.PromptTokens
+	body, _ := json.Marshal(fake.ChatRequest{Prompt: promptTokens, Output: t.OutputTokens, Note: fmt.Sprintf("%s/%d", s.chat.Name, n)})
 	req := fake.Request{
 		Profile:        s.player.Profile,
 		Chat:           s.chat.Name,
@@ -83,16 +83,16 @@
 		Body:           body,
 		CancelAfter:    t.CancelAfter,
 	}
-	res := s.try(ctx, req, prompt)
+	res := s.sendWithRetries(ctx, req, promptTokens)
 	if res.Hint != "" {
 		s.hint = res.Hint
 	}
-	s.history = prompt + res.Tokens
+	s.historyTokens = promptTokens + res.Tokens
 }
 
-// try sends a request until its result needs no retry. Only the last result is
-// reported.
-func (s *session) try(ctx context.Context, req fake.Request, prompt int) fake.Result {
+// sendWithRetries sends a request until its result needs no retry or MaxTries
+// is reached. Only the last result is reported, and none if ctx is done.
+func (s *session) sendWithRetries(ctx context.Context, req fake.Request, promptTokens int) fake.Result {
 	c := s.player.callers[s.chat.Workspace]
 	var res fake.Result
 	for range max(s.player.MaxTries, 1) {
@@ -106,7 +106,7 @@
 			break
 		}
 	}
-	s.player.Report.Add(s.chat.Workspace, prompt, res)
+	s.player.Report.Add(s.chat.Workspace, promptTokens, res)
 	return res
 }
 
--- a/load/report.go
+++ b/load/report.go
@@ -15,9 +15,9 @@
 // Histograms cover 1 microsecond to 1 minute with three significant digits.
 // This is finer than the noise on loopback, and takes a few hundred kilobytes.
 const (
-	histogramMin    = 1
-	histogramMax    = 60_000_000
-	histogramDigits = 3
+	histogramMinMicros = 1
+	histogramMaxMicros = 60_000_000
+	histogramDigits    = 3
 )
 
 // Histogram is a histogram of durations. It is safe for concurrent use.
@@ -31,9 +31,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.h == nil {
-		t.h = hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
+		t.h = hdrhistogram.New(histogramMinMicros, histogramMaxMicros, histogramDigits)
 	}
-	_ = t.h.RecordValue(min(max(d.Microseconds(), histogramMin), histogramMax))
+	_ = t.h.RecordValue(min(max(d.Microseconds(), histogramMinMicros), histogramMaxMicros))
 }
 
 // Quantile returns the q-quantile of the durations, with q from 0 to 1, or 0 if
@@ -69,18 +69,18 @@
 	// successive reads of an answer.
 	FirstByte, EventGap Histogram
 
-	mu         sync.Mutex
-	kinds      map[string]int
-	codes      map[string]int
-	workspaces map[string]int
-	prompt     int
-	cached     int
-	errs       []error
+	mu           sync.Mutex
+	kinds        map[string]int
+	codes        map[string]int
+	workspaces   map[string]int
+	promptTokens int
+	cachedTokens int
+	errs         []error
 }
 
 // Add counts the result of a request with a prompt of the given number of
 // tokens.
-func (r *Report) Add(workspace string, prompt int, res fake.Result) {
+func (r *Report) Add(workspace string, promptTokens int, res fake.Result) {
 	if res.FirstByte > 0 {
 		r.FirstByte.Add(res.FirstByte)
 	}
@@ -95,8 +95,8 @@
 	case fake.Refused:
 		r.codes[fmt.Sprintf("%d %s", res.Status, res.Code)]++
 	case fake.Complete:
-		r.prompt += prompt
-		r.cached += res.Cached
+		r.promptTokens += promptTokens
+		r.cachedTokens += res.Cached
 	case fake.Broken, fake.Misdelivered, fake.Truncated, fake.Unreachable:
 		r.errs = append(r.errs, fmt.Errorf("%s: %s %d: %w", res.Kind, res.Code, res.Status, orUnknown(res.Err)))
 	}
@@ -121,10 +121,10 @@
 func (r *Report) ReuseRatio() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.prompt == 0 {
+	if r.promptTokens == 0 {
 		return 0
 	}
-	return float64(r.cached) / float64(r.prompt)
+	return float64(r.cachedTokens) / float64(r.promptTokens)
 }
 
 // Codes returns the numbers of refusals by status and code, in descending
