--- a/chart/chart.go
+++ b/chart/chart.go
@@ -20,7 +20,8 @@
 type State struct {
 	Name string
 	Text string
-	// Final states have no outgoing transitions.
+	// Final states have no outgoing transitions: what is recorded about them
+	// stays true.
 	Final bool
 }
 
@@ -70,7 +71,8 @@
 }
 
 // MustParse parses a chart that is embedded in the program. It panics if the
-// chart is invalid, because that is an error of the build.
+// chart is invalid, because that is an error of the build and the program must
+// not start.
 func MustParse(text string) *Chart {
 	c, err := Parse(text)
 	if err != nil {
--- a/chart/error.go
+++ b/chart/error.go
@@ -15,6 +15,7 @@
 	Event string
 }
 
+// Error returns the chart, the state and the event.
 func (e ErrTransition) Error() string {
 	return fmt.Sprintf("chart %s: no move from %q on %q", e.Chart, e.State, e.Event)
 }
@@ -33,6 +34,7 @@
 	Problem string
 }
 
+// Error returns the chart, the line if known, and the fault.
 func (e ErrChart) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("chart %s: %s", e.Chart, e.Problem)
