--- a/stand/kill.go
+++ b/stand/kill.go
@@ -57,7 +57,7 @@
 	conns := t.conns
 	t.conns = nil
 	_ = t.server.Listener.Close()
-	t.reservedPort = reservePort(t.server.Listener.Addr())
+	t.reservedPortFD = reservePort(t.server.Listener.Addr())
 	t.mu.Unlock()
 	for c := range conns {
 		if tcp, ok := c.(*net.TCPConn); ok && byReset {
@@ -67,19 +67,19 @@
 	}
 }
 
-// noPort is the value of Target.reservedPort without a socket.
-const noPort = -1
+// noFD is the value of Target.reservedPortFD if there is no socket.
+const noFD = -1
 
 // reservePort binds a socket to an address without listening, so that connections
-// are refused. It returns the file descriptor, or noPort.
+// are refused. It returns the file descriptor, or noFD.
 func reservePort(a net.Addr) int {
 	addr, ok := a.(*net.TCPAddr)
 	if !ok || addr.IP.To4() == nil {
-		return noPort
+		return noFD
 	}
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return noPort
+		return noFD
 	}
 	// Errors are ignored: the port is then not reserved.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
@@ -89,9 +89,9 @@
 
 // releasePort releases the port of a dead target. The caller holds t.mu.
 func (t *Target) releasePort() {
-	if t.dead && t.reservedPort != noPort {
-		_ = unix.Close(t.reservedPort)
-		t.reservedPort = noPort
+	if t.dead && t.reservedPortFD != noFD {
+		_ = unix.Close(t.reservedPortFD)
+		t.reservedPortFD = noFD
 	}
 }
 
--- a/stand/target.go
+++ b/stand/target.go
@@ -103,9 +103,9 @@
 	stop             chan struct{}
 	conns            map[net.Conn]bool
 	dead             bool
-	// reservedPort is the file descriptor of the socket that reserves the port of a
+	// reservedPortFD is the file descriptor of the socket that reserves the port of a
 	// dead target.
-	reservedPort int
+	reservedPortFD int
 }
 
 // NewTarget starts a target with an instance name. The caller must close it.
@@ -338,8 +338,8 @@
 }
 
 // writeTwice sends a complete answer and then a second one, and keeps the connection
-// open: a client that reuses the connection reads the second answer as the answer to
-// its next request.
+// open until a byte arrives, for 300 ms at most: a client that reuses the connection
+// reads the second answer as the answer to its next request.
 func (t *Target) writeTwice(c net.Conn, rw *bufio.ReadWriter, head, text string) {
 	full := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
 	_, _ = rw.WriteString(full)
