--- a/agent/agent.go
+++ b/agent/agent.go
@@ -77,7 +77,7 @@
 	// mu guards all decisions and jobs. It is held for short times only, never while blocking.
 	mu   sync.Mutex
 	jobs map[string]*job
-	// jobCount is the number of offers that became jobs.
+	// jobCount is the number of jobs created, including those that the gate refused.
 	jobCount uint64
 	// movedTo maps a request to the target that runs it, for requests whose callers retry here
 	// first, so that a retry through another entry joins the run.
@@ -141,7 +141,7 @@
 	}
 	a.applyPublication(a.Clock())
 	// After its own start the agent has no state of the target. The target can have restarted
-	// together with the host, so it counts as cold until it has served requests at full speed.
+	// together with the host, so it counts as cold until the gate finds it warm.
 	a.Gate.MarkCold(a.Clock())
 }
 
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -112,7 +112,7 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode != http.StatusOK {
-		return kvCache{}, errors.Newf("export: target answered with status %d", rs.StatusCode)
+		return kvCache{}, errors.Newf("export: the target answered %d", rs.StatusCode)
 	}
 	limit := min(maxBytes, maxCacheSize)
 	data, err := io.ReadAll(io.LimitReader(rs.Body, limit+1))
@@ -120,7 +120,7 @@
 		return kvCache{}, errors.Wrap(err, "export")
 	}
 	if int64(len(data)) > limit {
-		return kvCache{}, errors.Newf("export: KV cache larger than %d bytes", limit)
+		return kvCache{}, errors.Newf("export: larger than %d bytes", limit)
 	}
 	tokens, err := strconv.ParseInt(rs.Header.Get(chestnutstep.HeaderCachedTokens), 10, 64)
 	return kvCache{tokens: tokens, data: data}, errors.Wrap(err, "export")
@@ -139,7 +139,7 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode/100 != 2 {
-		return errors.Newf("import: target answered with status %d", rs.StatusCode)
+		return errors.Newf("import: the target answered %d", rs.StatusCode)
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 // would.
 func (a *Agent) importCache(ctx context.Context, source string, c chatKey) (int64, error) {
 	if a.Dial == nil {
-		return 0, errors.New("import: no connection to other agents")
+		return 0, errors.New("import: no way to other agents")
 	}
 	peer, err := a.Dial(source)
 	if err != nil {
@@ -214,13 +214,13 @@
 		}
 		data = append(data, c.Data...)
 		if int64(len(data)) > size {
-			return nil, errors.Newf("received more than the announced %d bytes", size)
+			return nil, errors.Newf("more than the %d bytes announced", size)
 		}
 		if c.Last && int64(len(data)) == size {
 			return data, nil
 		}
 		if c.Last {
-			return nil, errors.Newf("received %d of %d bytes", len(data), size)
+			return nil, errors.Newf("%d of %d bytes", len(data), size)
 		}
 	}
 }
--- a/agent/call.go
+++ b/agent/call.go
@@ -103,7 +103,7 @@
 }
 
 // stopCrashTracking ends crash tracking of a request that never reached the target. It must run
-// before the target is found dead, as the request can't be the cause.
+// before a probe records the crash of the target, as the request can't be its cause.
 func (a *Agent) stopCrashTracking(j *job) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/health.go
+++ b/agent/health.go
@@ -22,7 +22,7 @@
 	probeTimeout = 500 * time.Millisecond
 )
 
-// health holds what the probes and answers of the target have shown. It is guarded by Agent.mu.
+// health is the state of the target according to its probes and answers. It is guarded by Agent.mu.
 type health struct {
 	bootID string
 	isDown bool
--- a/agent/job.go
+++ b/agent/job.go
@@ -25,7 +25,7 @@
 type job struct {
 	agent *Agent
 	key   string
-	// seq is the number of the offer among those that became jobs.
+	// seq is the number of the offer among those that this agent passed to its gate.
 	seq   uint64
 	offer *wire.Offer
 	log   *answer.Log
@@ -202,7 +202,7 @@
 	}
 }
 
-// refuseWithReason refuses a job that has not run, with the run status "no".
+// refuseWithReason refuses a job that has not run, without a time after which to retry.
 func (a *Agent) refuseWithReason(now time.Time, j *job, reason chestnutstep.Reason) {
 	a.refuseJob(now, j, chestnutstep.Decision{Reason: reason})
 }
--- a/agent/link.go
+++ b/agent/link.go
@@ -245,9 +245,10 @@
 	}
 }
 
-// cancelJob ends a job at once when its caller cancels, unless other links still follow it. Callers
-// cancel most requests, and the abandoned jobs would otherwise fill the target. A non-idempotent
-// request that is running continues, because canceling it would leave its outcome unknown.
+// cancelJob ends a job at once when its caller cancels, unless other links still follow it. Most
+// callers that give up send a cancel, and the jobs that they leave behind would otherwise fill the
+// target. A non-idempotent request that is running continues, because canceling it would leave its
+// outcome unknown.
 func (a *Agent) cancelJob(j *job) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/notice.go
+++ b/agent/notice.go
@@ -16,7 +16,7 @@
 	// Workspace, Profile and Cost describe a request; Cost is its estimated work in tokens.
 	Workspace string
 	Profile   string
-	// OfferNumber is the number of the offer among those that became jobs, and Age the time since
+	// OfferNumber is the number of the offer among those passed to the gate, and Age the time since
 	// it arrived.
 	OfferNumber uint64
 	Age         time.Duration
