--- a/entry/moved.go
+++ b/entry/moved.go
@@ -112,14 +112,14 @@
 		s := k.try(ctx, attempt{target: t, isOwner: true})
 		if !s.done && !slices.Contains(k.excluded, name) {
 			k.exclude(name)
-			s = k.mayRunElsewhere()
+			s = k.movedOutcome()
 		}
 		if s.done {
 			return s
 		}
 	}
 	if k.offerCount >= maxTries {
-		return k.mayRunElsewhere()
+		return k.movedOutcome()
 	}
 	return k.try(ctx, attempt{target: from, clearMoved: true})
 }
@@ -127,7 +127,7 @@
 // exclude adds a target to those that are not asked again for a run of the request.
 func (k *dispatcher) exclude(target string) { k.excluded = append(k.excluded, target) }
 
-// mayRunElsewhere decides on a request that is recorded at a target that can't be asked.
-func (k *dispatcher) mayRunElsewhere() outcome {
+// movedOutcome returns the outcome for a request that is recorded at a target that can't be asked.
+func (k *dispatcher) movedOutcome() outcome {
 	return k.decide(&ErrRefused{Reason: chestnutstep.ReasonMoved, Run: chestnutstep.RunMaybe})
 }
