--- a/order/scheduler.go
+++ b/order/scheduler.go
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// ensureIdle returns ErrBusy if another order is in progress. It expires pending orders that are
-// replaced or too old.
+// ensureIdle returns ErrBusy if another order is in progress or a quiet period is running. It
+// expires pending orders that are replaced or too old.
 func (s *Scheduler) ensureIdle(now time.Time, o Order) error {
 	if wait := s.quietRemaining(now); wait > 0 {
 		return ErrBusy{Order: o, RetryAfter: wait}
@@ -228,7 +228,6 @@
 	return f, err
 }
 
-// uptimeTicks returns the host's uptime in ticks.
 func (s *Scheduler) uptimeTicks(now time.Time) uint64 {
 	return uint64(max(0, s.HostUptime+now.Sub(s.StartedAt)) / tickDuration)
 }
