--- a/decide.go
+++ b/decide.go
@@ -202,6 +202,7 @@
 // Detector keeps the crash suspicions of one process. An agent records crashes of its
 // own target, an entry those that broken answers reveal; both merge the suspicions of others.
 type Detector interface {
+	// Check returns the crash state of a content.
 	Check(now time.Time, fingerprint uint64) ContentState
 	// Start and End bracket a run of the content at this target.
 	Start(now time.Time, fingerprint uint64)
@@ -209,7 +210,9 @@
 	// Crash records a crash of the target: the content that was running becomes suspect.
 	// It returns the fingerprints whose state changed.
 	Crash(now time.Time) []Suspicion
+	// Merge adds suspicions of other processes.
 	Merge(now time.Time, s []Suspicion)
+	// Suspicions returns at most n suspicions to pass on to other processes.
 	Suspicions(now time.Time, n int) []Suspicion
 }
 
--- a/source.go
+++ b/source.go
@@ -57,7 +57,7 @@
 	return TopicRouting
 }
 
-// Fact is one published entry as of one revision.
+// Fact is the content of one published entry at one revision.
 type Fact struct {
 	Kind FactKind
 	// Name of the instance or failure domain.
@@ -68,7 +68,8 @@
 	Deleted  bool
 	Routing  *Routing
 	Instance *Instance
-	// Raw is the entry as published, for peers of another version that decode it themselves.
+	// Raw is the entry as published. Peers that read facts from this process receive it and
+	// decode it themselves.
 	Raw []byte
 }
 
