--- a/config/direct.go
+++ b/config/direct.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// DirectSettings is the settings of an entry that forwards requests to targets without
+// DirectSettings holds the settings of an entry that forwards requests to targets without
 // agents, on a platform that publishes routes and targets.
 type DirectSettings struct {
 	Name   string
--- a/config/pack.go
+++ b/config/pack.go
@@ -96,7 +96,7 @@
 // Pack splits a publication that has passed Check into a root and parts, by hash. The
 // result does not depend on the order of items. Items are distributed over parts by the
 // hash of their name, so that changing one item changes one part, and adding an item
-// moves no other item.
+// moves no other item unless the number of parts changes.
 func Pack(p *chestnutstep.Publication) (root []byte, parts map[string][]byte) {
 	list := []fragment{{Domains: sortedByName(p.Domains, domainName), Budget: &p.Budget}}
 	list = append(list, shard(p.Models, modelName, func(f *fragment) *[]chestnutstep.Model { return &f.Models })...)
