--- a/event/async.go
+++ b/event/async.go
@@ -59,7 +59,6 @@
 	}
 }
 
-// drain writes the queued lines.
 func (a *AsyncWriter) drain() {
 	for {
 		select {
@@ -88,7 +87,7 @@
 }
 
 // Close writes the queued lines unless stopped is closed first. Lines written later are
-// dropped without an error, so that code that still runs during shutdown does not fail.
+// lost without an error, so that code that still runs during shutdown does not fail.
 func (a *AsyncWriter) Close(stopped <-chan struct{}) {
 	close(a.quit)
 	select {
--- a/event/definition.go
+++ b/event/definition.go
@@ -15,7 +15,7 @@
 	Debug Level = iota // written only if debug events are enabled
 	Info               // normal operation
 	Warn               // requests are served, but something is wrong
-	Error              // an operator must act
+	Error              // an operator should investigate
 )
 
 // String returns the name of the level in the log.
--- a/event/event.go
+++ b/event/event.go
@@ -118,8 +118,8 @@
 	return dropped, true
 }
 
-// maskLength is the length of a masked id: 48 bits distinguish the requests of one
-// log, and are short enough to type in a search.
+// maskLength is the length of a masked id in hexadecimal digits. 48 bits distinguish the
+// requests of one log, and 12 digits are short enough to type in a search.
 const maskLength = 12
 
 // Mask converts an id chosen by a caller to one that can be logged. Callers
