--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -99,7 +99,7 @@
 		}
 	}
 	assert.Equal(t, sum, small+large)
-	assert.Assert(t, named >= large-minLead-1, "%d", named)
+	assert.Assert(t, named >= large-minLeadRatio-1, "%d", named)
 }
 
 func TestZeroSetCountsNothing(_ *testing.T) {
--- a/meter/top_workspaces.go
+++ b/meter/top_workspaces.go
@@ -13,9 +13,9 @@
 	// maxCounted is the maximum number of workspaces whose requests are counted for the
 	// ranking. It limits memory, not the exported series.
 	maxCounted = 1024
-	// minLead is the factor by which a workspace must exceed the least busy one with its own
+	// minLeadRatio is the factor by which a workspace must exceed the least busy one with its own
 	// series to replace it, so that two with similar traffic do not alternate.
-	minLead = 2
+	minLeadRatio = 2
 )
 
 // topWorkspaces chooses the workspaces that have their own series: those with the most
@@ -68,7 +68,7 @@
 			victim = w
 		}
 	}
-	if count <= minLead*t.counts[victim] {
+	if count <= minLeadRatio*t.counts[victim] {
 		return false
 	}
 	delete(t.withSeries, victim)
