--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -109,7 +109,7 @@
 		Publication:    Publication{Version: 7, PlatformUnresponsive: true, Since: now.Add(-time.Minute), RefusedVersion: 8, RefusalReason: "hosts[0]: no domain"},
 		Domains: TargetsByDomain(v, func(t *chestnutstep.Target) Target {
 			l := loads[t.Name]
-			return Target{Name: t.Name, Host: t.Host, Model: t.Model, Load: l, IdleReason: IdleReason(v, t, l, l != nil)}
+			return Target{Name: t.Name, Host: t.Host, Model: t.Model, Load: l, NoWorkReason: NoWorkReason(v, t, l, l != nil)}
 		}),
 		Suspects: []Suspect{{Content: "00ff", CrashedTargets: []string{"busy"}}, {Content: "11", Condemned: true, CrashedTargets: []string{"busy", "full"}}},
 		Changes:  []audit.Record{{Seq: 4, Time: now, Version: 7, Kind: audit.KindDomain, Subject: "b", Before: "in", After: "out", Cause: "publication 7"}},
--- a/admin/client.go
+++ b/admin/client.go
@@ -63,7 +63,7 @@
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return errors.Wrap(err, "query admin address")
+		return errors.Wrap(err, "ask")
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
--- a/admin/page.go
+++ b/admin/page.go
@@ -72,7 +72,7 @@
 
 func (p *textWriter) target(t Target) {
 	if t.Load == nil {
-		p.printf("%s\t%s\t%s\t-\t-\t-\t-\t-\t-\t%s\n", t.Name, t.Host, t.Model, orDash(t.IdleReason))
+		p.printf("%s\t%s\t%s\t-\t-\t-\t-\t-\t-\t%s\n", t.Name, t.Host, t.Model, orDash(t.NoWorkReason))
 		return
 	}
 	mean := "-"
@@ -80,7 +80,7 @@
 		mean = fmt.Sprintf("%.1f", t.Mean.Load)
 	}
 	p.printf("%s\t%s\t%s\t%d\t%d\t%d\t%.2f\t%s\t%s\t%s\n", t.Name, t.Host, t.Model,
-		t.Load.Running, t.Load.Waiting, t.Load.Cap, t.Load.Weight, mean, targetState(t), orDash(t.IdleReason))
+		t.Load.Running, t.Load.Waiting, t.Load.Cap, t.Load.Weight, mean, targetState(t), orDash(t.NoWorkReason))
 }
 
 func targetState(t Target) string {
@@ -131,7 +131,7 @@
 	return s
 }
 
-// age returns the time since a moment, rounded to seconds.
+// age is rounded to seconds.
 func age(now, since time.Time) time.Duration {
 	return now.Sub(since).Round(time.Second)
 }
--- a/admin/status.go
+++ b/admin/status.go
@@ -65,8 +65,8 @@
 	Load *chestnutstep.Load `json:"load,omitempty"`
 	// Mean is the estimated mean load of the model's targets; set only by agents.
 	Mean *chestnutstep.Mean `json:"mean,omitempty"`
-	// IdleReason is the reason why the target receives no work; empty if it does.
-	IdleReason string `json:"why,omitempty"`
+	// NoWorkReason is the reason why the target receives no work; empty if it does.
+	NoWorkReason string `json:"why,omitempty"`
 }
 
 // Suspect is a content that was running when targets crashed.
@@ -77,9 +77,9 @@
 	CrashedTargets []string `json:"crashed"`
 }
 
-// IdleReason returns the reason why a target receives no work, or "" if it can. The load is
+// NoWorkReason returns the reason why a target receives no work, or "" if it can. The load is
 // nil if it is unknown; reached reports whether the target answers.
-func IdleReason(v *chestnutstep.View, t *chestnutstep.Target, l *chestnutstep.Load, reached bool) string {
+func NoWorkReason(v *chestnutstep.View, t *chestnutstep.Target, l *chestnutstep.Load, reached bool) string {
 	if why := outOfServiceReason(v, t); why != "" {
 		return why
 	}
--- a/node/agent.go
+++ b/node/agent.go
@@ -158,7 +158,7 @@
 	m := n.mean()
 	s.Domains = ownDomain(v, t, admin.Target{
 		Name: t.Name, Host: t.Host, Model: t.Model, State: n.agent.TargetState(), Load: &load, Mean: &m,
-		IdleReason: admin.IdleReason(v, t, &load, true),
+		NoWorkReason: admin.NoWorkReason(v, t, &load, true),
 	})
 	return s
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -223,7 +223,7 @@
 	now := time.Now()
 	s.Domains = admin.TargetsByDomain(v, func(t *chestnutstep.Target) admin.Target {
 		reached := !n.members.IsSuspect(now, t.Host)
-		return admin.Target{Name: t.Name, Host: t.Host, Model: t.Model, IdleReason: admin.IdleReason(v, t, nil, reached)}
+		return admin.Target{Name: t.Name, Host: t.Host, Model: t.Model, NoWorkReason: admin.NoWorkReason(v, t, nil, reached)}
 	})
 	return s
 }
