--- a/pipe/pipe.go
+++ b/pipe/pipe.go
@@ -1,5 +1,5 @@
-// Package pipe is a test tool: a TCP relay that delays, drops and breaks connections on
-// command. It uses no timers, so that tests are reproducible.
+// Package pipe is a test tool: a TCP relay that delays or discards bytes and breaks
+// connections on command. It uses no timers, so that tests are reproducible.
 package pipe
 
 import (
