--- a/agent/cache.go
+++ b/agent/cache.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "import")
 	}
-	p := price.Choose(a.importQuote(first))
+	p := price.Choose(a.importInputs(first))
 	if p.Choice != price.Import {
 		return 0, errors.New("import: rebuilding is cheaper")
 	}
@@ -184,8 +184,8 @@
 	return int64(len(data)), nil
 }
 
-// importQuote returns the cost estimate that decides between importing and rebuilding.
-func (a *Agent) importQuote(first *wire.Chunk) price.Inputs {
+// importInputs returns the inputs of the cost comparison between importing and rebuilding.
+func (a *Agent) importInputs(first *wire.Chunk) price.Inputs {
 	q := price.Inputs{PromptTokens: float64(first.Tokens), HolderCached: float64(first.Tokens)}
 	// The holder has refused the request or is leaving, so waiting there is not an option. With a
 	// wait of zero it would always be the cheapest choice.
