--- a/entry/errors.go
+++ b/entry/errors.go
@@ -15,6 +15,7 @@
 	Cause string
 }
 
+// Error returns the name of the header and its fault.
 func (e *ErrHeader) Error() string { return fmt.Sprintf("header %s %s", e.Name, e.Cause) }
 
 // IsErrHeader reports whether err is an ErrHeader.
@@ -29,6 +30,7 @@
 	Timeout time.Duration
 }
 
+// Error returns the target and the timeout.
 func (e *ErrUnresponsive) Error() string {
 	return fmt.Sprintf("the agent of target %s did not answer within %s", e.Target, e.Timeout)
 }
@@ -50,6 +52,7 @@
 	Detail string
 }
 
+// Error returns the reason, the run status and the detail.
 func (e *ErrRefused) Error() string {
 	return fmt.Sprintf("%s (run: %s) %s", e.Reason, e.Run, e.Detail)
 }
