--- a/order/error.go
+++ b/order/error.go
@@ -14,6 +14,7 @@
 	Newest  uint64
 }
 
+// Error returns both versions.
 func (e ErrStale) Error() string {
 	return fmt.Sprintf("order: version %d is older than %d", e.Version, e.Newest)
 }
@@ -24,12 +25,14 @@
 	return errors.As(err, &e)
 }
 
-// ErrBusy reports that another order is in progress; retry after RetryAfter.
+// ErrBusy reports that another order is in progress or that the target must get no order yet; retry
+// after RetryAfter.
 type ErrBusy struct {
 	Order      Order
 	RetryAfter time.Duration
 }
 
+// Error returns the order and the time after which to retry.
 func (e ErrBusy) Error() string {
 	return fmt.Sprintf("order: busy with %s %s, retry after %s", e.Order.Kind, e.Order.Name, e.RetryAfter)
 }
@@ -46,6 +49,7 @@
 	Waited time.Duration
 }
 
+// Error returns the time that passed.
 func (e ErrLate) Error() string {
 	return fmt.Sprintf("order: %s passed before it was sent", e.Waited)
 }
@@ -63,6 +67,7 @@
 	State State
 }
 
+// Error returns the fencing number and the state of the order.
 func (e ErrState) Error() string {
 	return fmt.Sprintf("order: %s is %q", e.Fence, e.State)
 }
@@ -79,6 +84,7 @@
 	Ticks   uint64
 }
 
+// Error returns the version and the uptime in ticks.
 func (e ErrRange) Error() string {
 	return fmt.Sprintf("order: version %d or uptime of %d ticks is too large", e.Version, e.Ticks)
 }
