--- a/answer/error.go
+++ b/answer/error.go
@@ -14,6 +14,7 @@
 	End       int64
 }
 
+// Error returns the requested offset and the kept range.
 func (e ErrGone) Error() string {
 	return fmt.Sprintf("answer: offset %d is not kept, only %d to %d", e.Offset, e.FirstKept, e.End)
 }
@@ -30,6 +31,7 @@
 	Offset int64
 }
 
+// Error returns the offset of the end.
 func (e ErrEnded) Error() string {
 	return fmt.Sprintf("answer: ended at offset %d", e.Offset)
 }
--- a/answer/reader.go
+++ b/answer/reader.go
@@ -82,9 +82,9 @@
 
 // checkOffset returns ErrGone if the bytes at an offset can no longer be read.
 func (l *Log) checkOffset(offset int64) error {
-	late := offset < l.base || l.evicted
+	dropped := offset < l.base || l.evicted
 	beyond := l.isEnded() && offset > l.end()
-	if late || beyond {
+	if dropped || beyond {
 		return ErrGone{Offset: offset, FirstKept: l.base, End: l.end()}
 	}
 	return nil
--- a/answer/store.go
+++ b/answer/store.go
@@ -100,7 +100,8 @@
 	return l, false
 }
 
-// Remove removes the answer of a request that never ran, so that a retry starts a new one.
+// Remove removes the answer of a request that never ran or whose run failed, so that a retry starts
+// a new one.
 func (s *Store) Remove(workspace, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,14 +146,14 @@
 	for _, l := range s.finished {
 		queued[l] = true
 	}
-	var fresh []*Log
+	var ended []*Log
 	for _, l := range s.logs {
 		if !queued[l] && l.Ended() {
-			fresh = append(fresh, l)
+			ended = append(ended, l)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *Log) int { return cmp.Compare(a.seq, b.seq) })
-	s.finished = append(s.finished, fresh...)
+	slices.SortFunc(ended, func(a, b *Log) int { return cmp.Compare(a.seq, b.seq) })
+	s.finished = append(s.finished, ended...)
 }
 
 // reclaim evicts answers if appended bytes have exceeded the limit.
