--- a/chestnutstep.go
+++ b/chestnutstep.go
@@ -1,6 +1,6 @@
 // Package chestnutstep holds the plain data types that all parts of the router fleet
-// share, and the interfaces with several implementations. The implementations are in
-// the packages below; they import this package, never the reverse.
+// share, and the interfaces of its replaceable parts. The implementations are in the
+// packages below; they import this package, never the reverse.
 //
 // A request crosses two processes: an entry proposes a target, and the agent
 // next to that target decides. The agent enforces every guarantee given to callers,
--- a/header_codec.go
+++ b/header_codec.go
@@ -56,9 +56,13 @@
 
 // HeaderCodec translates between HTTP headers and their parsed values. It makes no decisions.
 type HeaderCodec interface {
+	// CallerHeaders parses the headers of a caller's request.
 	CallerHeaders(h http.Header) CallerHeaders
+	// SetForwardHeaders replaces a caller's headers with those for a target.
 	SetForwardHeaders(h http.Header, s ForwardHeaders)
+	// TargetHeaders parses the status and headers of a target's answer.
 	TargetHeaders(status int, h http.Header) TargetHeaders
+	// SetRetryAfter sets the time after which a refused caller can retry.
 	SetRetryAfter(h http.Header, after time.Duration)
 	// Peek reads the request's id and key from its first bytes, as far as head contains them.
 	Peek(head []byte) (id, key string)
