--- a/event/catalog.go
+++ b/event/catalog.go
@@ -144,7 +144,7 @@
 		ID: ProcessPaused, Name: "process_paused", Level: Warn,
 		Meaning: "The process did not run for some time, as measured by its own timer.",
 		Cause:   "The host was frozen, swapping or migrated.",
-		Action:  "Check the host; requests whose callers have disconnected are refused automatically.",
+		Action:  "Check the host; requests that their callers have given up are refused automatically.",
 	},
 	{
 		ID: AuditRecord, Name: "audit_record", Level: Info,
