--- a/fake/batch.go
+++ b/fake/batch.go
@@ -19,7 +19,7 @@
 			return
 		}
 		// Steps follow an absolute schedule: otherwise the overshoot of each
-		// sleep would accumulate over a long answer.
+		// sleep, up to a timer tick, would accumulate over a long answer.
 		next = next.Add(d)
 		if behind := time.Since(next); behind > d {
 			next = time.Now()
@@ -107,7 +107,8 @@
 	e.ended = e.ended[1:]
 }
 
-// pop removes the oldest request with the lowest priority value from the queue.
+// pop removes the most urgent request from the queue: the one with the lowest
+// priority value, and of these the oldest.
 func (e *Engine) pop() *stream {
 	best := 0
 	for i, s := range e.queue {
--- a/fake/control.go
+++ b/fake/control.go
@@ -78,7 +78,7 @@
 	}
 	offset, err := strconv.Atoi(r.URL.Query().Get("offset"))
 	if err != nil || offset < 0 {
-		http.Error(w, "offset: want a non-negative number of bytes", http.StatusBadRequest)
+		http.Error(w, "offset: want bytes from 0 up", http.StatusBadRequest)
 		return
 	}
 	linger, _ := time.ParseDuration(r.Header.Get(HeaderLinger))
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -279,7 +279,7 @@
 	sent := 0
 	drops := e.currentDrops()
 	for {
-		data, aborted, over, change := e.peek(s, offset)
+		data, aborted, finished, change := e.peek(s, offset)
 		if e.currentDrops() != drops {
 			e.cancelAfter(s, linger)
 			panic(http.ErrAbortHandler)
@@ -287,7 +287,7 @@
 		if aborted && len(data) == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		if !headSent && (len(data) > 0 || over) {
+		if !headSent && (len(data) > 0 || finished) {
 			headSent = true
 			s.head(w.Header())
 		}
@@ -308,7 +308,7 @@
 			}
 			continue
 		}
-		if over {
+		if finished {
 			return
 		}
 		select {
@@ -334,7 +334,7 @@
 // peek returns the bytes of the stream from an offset on, its state, and a
 // channel that is closed at the next change. The slice stays valid, because the
 // stream only appends.
-func (e *Engine) peek(s *stream, offset int) (data []byte, aborted, over bool, change <-chan struct{}) {
+func (e *Engine) peek(s *stream, offset int) (data []byte, aborted, finished bool, change <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if offset < len(s.data) {
--- a/fake/journal.go
+++ b/fake/journal.go
@@ -31,8 +31,8 @@
 	Cached int `json:"cached,omitempty"`
 }
 
-// Journal records a target's executions for tests. It survives the simulated
-// crashes of the target, which a real target's memory does not.
+// Journal records a target's executions for tests. Unlike the records of a real
+// target, it survives the target's simulated crashes.
 type Journal struct {
 	mu  sync.Mutex
 	seq int
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -47,8 +47,8 @@
 type Mode struct {
 	// Down refuses all reads.
 	Down bool `json:"down"`
-	// Stale serves the values as of this revision; 0 serves the latest. Lowering
-	// it makes revisions go backward.
+	// Stale serves the values that were current at this revision; 0 serves the
+	// latest. Lowering it makes revisions go backward.
 	Stale uint64 `json:"stale"`
 	// Slow delays each read.
 	Slow chestnutstep.Duration `json:"slow"`
--- a/fake/sizes.go
+++ b/fake/sizes.go
@@ -14,7 +14,7 @@
 	Regions, Domains, Targets, Models, Workspaces, Entries int
 }
 
-// PlannedSize is the fleet size that the design supports.
+// PlannedSize is the fleet size that the project is designed for.
 var PlannedSize = FleetSize{Regions: 4, Domains: 14, Targets: 2700, Models: 5, Workspaces: 560, Entries: 350}
 
 // Publication returns a valid publication of this size. It is deterministic.
