--- a/fake/authority.go
+++ b/fake/authority.go
@@ -37,7 +37,7 @@
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "create certificate authority")
 	}
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in authority"}, IsCA: true,
@@ -45,10 +45,10 @@
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "create certificate authority")
 	}
 	cert, err := x509.ParseCertificate(raw)
-	return &Authority{cert: cert, key: key, der: raw}, errors.Wrap(err, "authority")
+	return &Authority{cert: cert, key: key, der: raw}, errors.Wrap(err, "create certificate authority")
 }
 
 // Issue writes a certificate for ip, its private key and the authority's
@@ -61,7 +61,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return f, errors.Wrap(err, "issue")
+		return f, errors.Wrap(err, "issue certificate")
 	}
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
@@ -70,11 +70,11 @@
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, t, a.cert, key.Public(), a.key)
 	if err != nil {
-		return f, errors.Wrap(err, "issue")
+		return f, errors.Wrap(err, "issue certificate")
 	}
 	pkcs8, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return f, errors.Wrap(err, "issue")
+		return f, errors.Wrap(err, "issue certificate")
 	}
 	return f, f.write(raw, pkcs8, a.der)
 }
@@ -89,7 +89,7 @@
 		{f.CA, "CERTIFICATE", ca},
 	} {
 		if err := os.WriteFile(part.path, pem.EncodeToMemory(&pem.Block{Type: part.kind, Bytes: part.raw}), 0o600); err != nil {
-			return errors.Wrap(err, "issue")
+			return errors.Wrap(err, "issue certificate")
 		}
 	}
 	return nil
