--- a/demo/sampler.go
+++ b/demo/sampler.go
@@ -12,13 +12,14 @@
 const samplePeriod = 200 * time.Millisecond
 
 // sampler samples the engines' load reports to measure how evenly the load is
-// distributed. largest and mean are sums over all samples.
+// distributed. largestSum and meanSum add up the largest and the mean load of each
+// sample.
 type sampler struct {
-	fleet   *fleet.Fleet
-	done    chan struct{}
-	largest float64
-	mean    float64
-	crashes map[string]int
+	fleet      *fleet.Fleet
+	done       chan struct{}
+	largestSum float64
+	meanSum    float64
+	crashes    map[string]int
 }
 
 func (s *sampler) run(ctx context.Context) {
@@ -57,8 +58,8 @@
 	if n == 0 {
 		return
 	}
-	s.largest += largest
-	s.mean += sum / float64(n)
+	s.largestSum += largest
+	s.meanSum += sum / float64(n)
 }
 
 func (s *sampler) isOut(domain string) bool {
@@ -72,10 +73,10 @@
 
 // skew returns the ratio of the largest load to the mean load over all samples.
 func (s *sampler) skew() float64 {
-	if s.mean == 0 {
+	if s.meanSum == 0 {
 		return 0
 	}
-	return s.largest / s.mean
+	return s.largestSum / s.meanSum
 }
 
 func (s *sampler) crashCount() int {
