--- a/bench/bench.go
+++ b/bench/bench.go
@@ -56,30 +56,30 @@
 	failures  int
 }
 
-// removeLimits raises the limits of all models, so that the fleet sheds no requests:
+// raiseLimits raises the limits of all models, so that the fleet sheds no requests:
 // the measurement covers the cost of forwarding, not admission control.
-func removeLimits(p *chestnutstep.Publication) {
-	const unlimited = 5000
+func raiseLimits(p *chestnutstep.Publication) {
+	const highLimit = 5000
 	for i := range p.Models {
 		m := &p.Models[i]
-		m.Multiple, m.Floor, m.Slots, m.QueueLimit, m.ColdCap = 0, unlimited, unlimited, unlimited, unlimited
+		m.Multiple, m.Floor, m.Slots, m.QueueLimit, m.ColdCap = 0, highLimit, highLimit, highLimit, highLimit
 	}
 }
 
 func (b *Bench) start(ctx context.Context, engines int, base time.Duration) (*fleet.Fleet, *fleet.Process, error) {
 	f := &fleet.Fleet{
-		Bin: b.Bin, Dir: b.Dir, DomainCount: 1, EnginesPerDomain: engines, EntryCount: 1, Customize: removeLimits,
+		Bin: b.Bin, Dir: b.Dir, DomainCount: 1, EnginesPerDomain: engines, EntryCount: 1, Customize: raiseLimits,
 		EngineFlags: []string{"--base", base.String(), "--slope", "0s", "--prefill", "0s", "--slots", "5000"},
 	}
 	if err := f.Start(ctx); err != nil {
 		f.Close()
 		return nil, nil, err
 	}
-	pass, err := f.StartProxy(ctx)
+	proxy, err := f.StartProxy(ctx)
 	if err != nil {
 		f.Close()
 	}
-	return f, pass, err
+	return f, proxy, err
 }
 
 func newPath(name, address string) *path {
@@ -143,7 +143,7 @@
 // with streams open on the last two, and the growth in memory of the processes. It
 // returns an error if probes on the fleet path failed.
 func (b *Bench) FirstByte(ctx context.Context) error {
-	f, pass, err := b.start(ctx, 1, tokenInterval)
+	f, proxy, err := b.start(ctx, 1, tokenInterval)
 	if err != nil {
 		return err
 	}
@@ -152,11 +152,11 @@
 	defer stop()
 	paths := []*path{
 		newPath("direct", f.Targets[0].Backend.Address),
-		newPath("naive", pass.Address),
+		newPath("naive", proxy.Address),
 		newPath("fleet", f.Entries[0].Address),
 	}
 	b.probe(ctx, paths, -warmProbes, 0)
-	m := &usageSpan{processes: []*fleet.Process{pass, f.Entries[0], f.Targets[0].Agent}}
+	m := &usageSpan{processes: []*fleet.Process{proxy, f.Entries[0], f.Targets[0].Agent}}
 	if err := m.begin(); err != nil {
 		return err
 	}
--- a/bench/sample.go
+++ b/bench/sample.go
@@ -121,14 +121,14 @@
 // print writes the CPU time, gossip bytes and platform calls per second since an
 // earlier sample, and the resident memory.
 func (s *sample) print(w io.Writer, before *sample) {
-	d, paged := s.usageAt.Sub(before.usageAt).Seconds(), s.metricsAt.Sub(before.metricsAt).Seconds()
+	usageSeconds, metricsSeconds := s.usageAt.Sub(before.usageAt).Seconds(), s.metricsAt.Sub(before.metricsAt).Seconds()
 	var cpu, bytes, resident []float64
 	for i := range s.usage {
-		cpu = append(cpu, 100*(s.usage[i].CPU-before.usage[i].CPU).Seconds()/d)
-		bytes = append(bytes, (s.gossip[i]-before.gossip[i])/paged)
+		cpu = append(cpu, 100*(s.usage[i].CPU-before.usage[i].CPU).Seconds()/usageSeconds)
+		bytes = append(bytes, (s.gossip[i]-before.gossip[i])/metricsSeconds)
 		resident = append(resident, float64(s.usage[i].Resident)/(1<<20))
 	}
-	fmt.Fprintf(w, "at rest for %.1f s: median and worst process\n", d)
+	fmt.Fprintf(w, "at rest for %.1f s: median and worst process\n", usageSeconds)
 	for _, part := range []struct {
 		name     string
 		from, to int
@@ -137,7 +137,7 @@
 		fmt.Fprintf(w, "  %s: %s %% of a core, %s bytes/s of gossip, %s MB resident\n",
 			part.name, medianAndMax(c, 2), medianAndMax(b, 0), medianAndMax(r, 1))
 	}
-	fmt.Fprintf(w, "  calls to the platform: %.1f/s\n", float64(s.total()-before.total())/paged)
+	fmt.Fprintf(w, "  calls to the platform: %.1f/s\n", float64(s.total()-before.total())/metricsSeconds)
 }
 
 // total returns the number of served platform calls of all kinds, all of which count
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -61,13 +61,13 @@
 // Throughput sends the same load over the naive path and then over the fleet, and
 // compares the CPU time of proxy and entry.
 func (b *Bench) Throughput(ctx context.Context) error {
-	f, pass, err := b.start(ctx, loadEngines, loadStep)
+	f, proxy, err := b.start(ctx, loadEngines, loadStep)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	fmt.Fprintf(b.Out, "load of %d requests/s with %d tokens each for %v\n", b.Rate, b.Tokens, b.Time)
-	naiveCPU, err := b.runLoad(ctx, newPath("naive", pass.Address), []*fleet.Process{pass})
+	naiveCPU, err := b.runLoad(ctx, newPath("naive", proxy.Address), []*fleet.Process{proxy})
 	if err != nil {
 		return err
 	}
