--- a/matrix/caller.go
+++ b/matrix/caller.go
@@ -239,7 +239,7 @@
 func (c *Caller) checkStream(raw []byte, err error) ResultKind {
 	check := fake.Checker{Seed: fake.Seed(c.Chat, c.body())}
 	raw, failed := cutFailure(raw)
-	if _, foreign := check.Write(raw); foreign != nil {
+	if _, mismatch := check.Write(raw); mismatch != nil {
 		return Misdelivered
 	}
 	switch {
--- a/matrix/caller_test.go
+++ b/matrix/caller_test.go
@@ -16,19 +16,19 @@
 // TestCutFailure guards against classifying an answer that was cut inside an event as the answer to another request.
 func TestCutFailure(t *testing.T) {
 	c := Caller{Stack: &Stack{}, Profile: ProfileChat, Chat: "c", Name: "n"}
-	whole := engineAnswer(t, &c)
+	complete := engineAnswer(t, &c)
 	const broken = "event: error\ndata: {\"code\":\"short\"}\n\n"
-	for i := range whole {
-		raw := whole[:i]
+	for i := range complete {
+		raw := complete[:i]
 		if raw != "" && !strings.HasSuffix(raw, "\n") {
 			raw += "\n"
 		}
 		assert.Equal(t, c.checkStream([]byte(raw+broken), nil), Broken, "cut at byte %d", i)
 	}
-	assert.Equal(t, c.checkStream([]byte(whole), nil), Complete)
-	assert.Equal(t, c.checkStream([]byte(whole[:len(whole)/2]), nil), Truncated)
-	foreign := strings.Replace(whole, "data: ", "data: f", 1)
-	assert.Equal(t, c.checkStream([]byte(foreign+broken), nil), Misdelivered)
+	assert.Equal(t, c.checkStream([]byte(complete), nil), Complete)
+	assert.Equal(t, c.checkStream([]byte(complete[:len(complete)/2]), nil), Truncated)
+	misdelivered := strings.Replace(complete, "data: ", "data: f", 1)
+	assert.Equal(t, c.checkStream([]byte(misdelivered+broken), nil), Misdelivered)
 }
 
 // engineAnswer returns the complete answer of a fake engine to the request of c.
--- a/matrix/fault_test.go
+++ b/matrix/fault_test.go
@@ -22,7 +22,7 @@
 	"cut":     func(p *scenario, n *Node) error { return p.cut(n, pipe.Up, pipe.Down) },
 	"cutup":   func(p *scenario, n *Node) error { return p.cut(n, pipe.Up) },
 	"cutdown": func(p *scenario, n *Node) error { return p.cut(n, pipe.Down) },
-	"delay":   func(p *scenario, _ *Node) error { p.untilFirstAttempt = true; return nil },
+	"delay":   func(p *scenario, _ *Node) error { p.releaseAfterAttempt = true; return nil },
 	"crossed": func(_ *scenario, n *Node) error { n.SetFault(fake.Fault{Crossed: true, Count: 1}); return nil },
 	"cold":    (*scenario).cold,
 	"crash":   (*scenario).crash,
@@ -45,7 +45,7 @@
 	for _, d := range directions {
 		n.AgentRelays[0].Blackhole(d)
 	}
-	p.breaksLinks = true
+	p.hasLostBytes = true
 	return nil
 }
 
@@ -57,7 +57,7 @@
 		r.Hold(pipe.Down)
 		p.heals = append(p.heals, r.Heal)
 	}
-	p.untilFirstAttempt = true
+	p.releaseAfterAttempt = true
 	return nil
 }
 
@@ -162,17 +162,17 @@
 	root, parts := config.Pack(p.stack.NextPublication(1, p.takeOut))
 	before := p.stack.Store.View()
 	if err := p.stack.Store.Apply(time.Now(), root, nil); !config.IsErrPart(err) {
-		return errors.Newf("half a publication: %v", err)
+		return errors.Newf("root without the changed part: want a missing-part error, got %v", err)
 	}
 	if p.stack.Store.View() != before {
-		return errors.New("half a publication is in force")
+		return errors.New("root without the changed part came into force")
 	}
 	p.followUps = append(p.followUps, func() error { return p.stack.Store.Apply(time.Now(), root, parts) })
 	return nil
 }
 
-// cold makes the engine lose its cache and warmth without a word. Once its
-// agent had a chance to see it, more work comes than a cold engine carries.
+// cold clears the cache of the engine and makes it cold again without a restart. After the agent
+// has had time to detect this, flood sends more requests than a cold engine can run at once.
 func (p *scenario) cold(n *Node) error {
 	n.SetFault(fake.Fault{Cold: true})
 	p.followUps = append(p.followUps, func() error { return p.flood(n) })
--- a/matrix/halt.go
+++ b/matrix/halt.go
@@ -101,7 +101,7 @@
 	return h.target
 }
 
-// Release lets the stopped request continue. It must be called at most once after each Set.
+// Release lets the stopped request continue. It must be called after Set, at most once for each.
 func (h *Breakpoint) Release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/matrix/hook.go
+++ b/matrix/hook.go
@@ -27,7 +27,7 @@
 	joinDelay time.Duration
 	// endDelay delays the end of each answer of the target after its last byte.
 	endDelay time.Duration
-	// probes counts the requests of the agent to the control API of the target.
+	// probes counts the requests to the control API of the target, except orders.
 	probes atomic.Int64
 	// inFlight counts the requests and orders that the target is still handling.
 	inFlight atomic.Int64
--- a/matrix/matrix_test.go
+++ b/matrix/matrix_test.go
@@ -177,8 +177,9 @@
 	return err
 }
 
-// compare runs the cell with the naive version, which must fail in cells marked broken. Cells
-// marked fine can pass or fail, because races within the naive version decide.
+// compare runs the cell with the naive version, which must fail in cells marked broken: these show
+// what a mechanism of the fleet prevents. Cells marked fine can pass or fail, because races within
+// the naive version decide.
 func (n *tally) compare(t *testing.T, c cell) {
 	if c.naive == "-" {
 		return
--- a/matrix/scenario_test.go
+++ b/matrix/scenario_test.go
@@ -38,17 +38,17 @@
 	// the time between attempts, defaultPause if 0.
 	timeout time.Duration
 	pause   time.Duration
-	// untilFirstAttempt keeps the request stopped until the first attempt of the caller has ended.
-	untilFirstAttempt bool
-	// breaksLinks is true if links have lost bytes and must be closed after the fault.
-	breaksLinks bool
+	// releaseAfterAttempt keeps the request stopped until the first attempt of the caller has ended.
+	releaseAfterAttempt bool
+	// hasLostBytes is true if links have lost bytes and must be closed after the fault.
+	hasLostBytes bool
 	// heals holds functions to call when the first attempt of the caller has ended.
 	heals []func()
 	// domainOut is the failure domain that was taken out of service.
 	domainOut string
 	// startedBefore holds the number of executions of each target when the domain was taken out.
 	startedBefore map[string]int
-	// followUps holds checks to run after the caller has finished.
+	// followUps holds functions to call after the caller has finished.
 	followUps []func() error
 	// lastOrder is the order published last.
 	lastOrder chestnutstep.Order
@@ -116,7 +116,7 @@
 	case <-time.After(stepTimeout):
 		return errors.Newf("step %s was not reached: %v", at, <-done)
 	}
-	if p.awaitAccept && !p.accepted(at) {
+	if p.awaitAccept && !p.waitAccepted(at) {
 		p.stack.Breakpoint.Release()
 		return ErrStepNotReached{Step: at, Tries: <-done}
 	}
@@ -129,16 +129,16 @@
 	}
 	n := p.stack.HaltedNode()
 	n.AgentRelays[0].Heal()
-	if p.breaksLinks {
+	if p.hasLostBytes {
 		n.AgentRelays[0].CloseConnections()
 	}
 	p.attempts = <-done
 	return nil
 }
 
-// accepted waits until the entry has read the accept for the stopped request and reports whether
+// waitAccepted waits until the entry has read the accept for the stopped request and reports whether
 // it has. It returns true at once for steps before the accept.
-func (p *scenario) accepted(at Step) bool {
+func (p *scenario) waitAccepted(at Step) bool {
 	if !at.afterAccept() {
 		return true
 	}
@@ -165,7 +165,7 @@
 		p.stack.EntryRelays[0].CloseConnections()
 		p.stack.EntryRelays[0].Heal()
 	}
-	if p.untilFirstAttempt {
+	if p.releaseAfterAttempt {
 		<-first
 	}
 	return nil
