--- a/trial/config.go
+++ b/trial/config.go
@@ -130,7 +130,7 @@
 	// OverCap counts the starts above the cap of the gate. OverRule counts the starts
 	// above Multiple * (1+Margin) * the highest true mean of the last MeanHistory
 	// seconds. OverTrueMean is the share of starts above Multiple * the true mean at
-	// that moment, which agents can only estimate.
+	// that moment, which agents can only estimate. Both ignore starts up to Model.Floor.
 	OverCap, OverRule int
 	OverTrueMean      float64
 	// Crashes counts the crashes of fragile targets.
--- a/trial/direct.go
+++ b/trial/direct.go
@@ -120,8 +120,8 @@
 func (d *directFleet) try(entry *board.Board, r *request, skip *[]string) bool {
 	now := d.now()
 	parts := d.parts(r)
-	ask := place.Request{Key: parts[0].ID, Tokens: parts[0].Tokens + parts[1].Tokens, Shared: parts[0].Tokens}
-	c := entry.Choose(now, d.view, d.service, board.Criteria{Parts: parts, Skip: *skip}, ask)
+	query := place.Request{Key: parts[0].ID, Tokens: parts[0].Tokens + parts[1].Tokens, Shared: parts[0].Tokens}
+	c := entry.Choose(now, d.view, d.service, board.Criteria{Parts: parts, Skip: *skip}, query)
 	if c.Target == nil {
 		return false
 	}
--- a/trial/entry.go
+++ b/trial/entry.go
@@ -23,8 +23,8 @@
 		return
 	}
 	r.finished = true
-	if r.runningAt != nil {
-		g := r.runningAt
+	if r.assignedTo != nil {
+		g := r.assignedTo
 		g.end(r, chestnutstep.OutcomeAbandoned)
 		g.next()
 	}
@@ -80,14 +80,14 @@
 		t.after(10*time.Millisecond, func() { t.send(r) })
 		return
 	}
-	r.runningAt = g
+	r.assignedTo = g
 	g.start(r)
 }
 
 // try offers a request to the ranked targets in order. If none accepts it, it offers the request
 // to the home target with permission to wait until the deadline.
 func (t *trial) try(r *request) {
-	for !r.finished && r.runningAt == nil && r.next < len(r.ranks) {
+	for !r.finished && r.assignedTo == nil && r.next < len(r.ranks) {
 		i := r.next
 		r.next++
 		if t.offer(r, t.byName[r.ranks[i].Name], i == 0, false) {
@@ -97,7 +97,7 @@
 			return
 		}
 	}
-	if r.finished || r.runningAt != nil || len(r.ranks) == 0 {
+	if r.finished || r.assignedTo != nil || len(r.ranks) == 0 {
 		return
 	}
 	if t.offer(r, r.home, true, true) {
@@ -145,12 +145,12 @@
 	d := g.gate.Offer(now, r.work)
 	switch d.Verdict {
 	case chestnutstep.VerdictAccept:
-		r.runningAt = g
+		r.assignedTo = g
 		t.checkCap(g)
 		g.start(r)
 		return true
 	case chestnutstep.VerdictQueue:
-		r.runningAt = g
+		r.assignedTo = g
 		g.waiting[r.work.ID] = r
 		t.after(r.work.WaitUntil.Sub(now), g.next)
 		g.next()
@@ -161,7 +161,8 @@
 	return false
 }
 
-// onDropped continues with the next ranked target after a queue dropped a request.
+// onDropped continues with the next ranked target after a queue dropped a request. If there is
+// none, it schedules a retry.
 func (t *trial) onDropped(r *request, d chestnutstep.Decision) {
 	if r.finished {
 		return
--- a/trial/fifo.go
+++ b/trial/fifo.go
@@ -6,8 +6,9 @@
 	"chestnutstep.example/chestnutstep"
 )
 
-// fifoGate is a gate with slots and an unbounded first-in, first-out queue, for comparison. It
-// never refuses a request, so under overload it runs requests whose callers have given up.
+// fifoGate is a gate with slots and an unbounded first-in, first-out queue. It serves for
+// comparison and as the queue of the targets in a fleet without agents. It never refuses a
+// request, so under overload callers wait for answers that would come after their timeout.
 type fifoGate struct {
 	slots   int
 	running map[string]bool
--- a/trial/request.go
+++ b/trial/request.go
@@ -29,9 +29,9 @@
 	tries int
 	home  *target
 	// source is the target to import the prefix from, if it is not home.
-	source    *target
-	runningAt *target
-	remaining time.Duration
+	source     *target
+	assignedTo *target
+	remaining  time.Duration
 	// retryDelay is the delay before a refused caller retries.
 	retryDelay time.Duration
 	finished   bool
--- a/trial/result.go
+++ b/trial/result.go
@@ -99,8 +99,8 @@
 		if begin >= t.cfg.Duration {
 			break
 		}
-		share := s.result("", intervalLength)
-		list = append(list, Interval{Begin: begin, Reuse: share.Reuse, Imported: share.Imported, Wait: share.WaitMean, MaxToMean: s.maxToMean})
+		res := s.result("", intervalLength)
+		list = append(list, Interval{Begin: begin, Reuse: res.Reuse, Imported: res.Imported, Wait: res.WaitMean, MaxToMean: s.maxToMean})
 	}
 	return list
 }
--- a/trial/rows.go
+++ b/trial/rows.go
@@ -11,8 +11,8 @@
 	Config Config
 }
 
-// multiples lists the compared values of Model.Multiple; 0 disables the cap.
-var multiples = []float64{1.1, 1.25, 1.5, 2, 0}
+// comparedMultiples lists the compared values of Model.Multiple; 0 disables the cap.
+var comparedMultiples = []float64{1.1, 1.25, 1.5, 2, 0}
 
 // Rows returns the trials that show the effect of each decision, separately and combined, and the
 // trade-off between cache reuse and evenness of load for different multiples.
@@ -25,14 +25,14 @@
 		}
 	}
 	add("naive", onlyDefault, Policy{Naive: true})
-	add("hash", multiples, Policy{})
-	add("hint", multiples, Policy{Hint: true})
-	add("hint+home", multiples, Policy{Hint: true, Home: true})
+	add("hash", comparedMultiples, Policy{})
+	add("hint", comparedMultiples, Policy{Hint: true})
+	add("hint+home", comparedMultiples, Policy{Hint: true, Home: true})
 	add("home", onlyDefault, Policy{Home: true})
 	add("home+moved", onlyDefault, Policy{Home: true, FollowMoved: true})
 	add("hint+home+know", onlyDefault, Policy{Hint: true, Home: true, ExactCache: true})
 	add("hint+home+know+drift", onlyDefault, Policy{Hint: true, Home: true, ExactCache: true, Drift: true})
-	add("all", multiples, FullPolicy)
+	add("all", comparedMultiples, FullPolicy)
 	return rows
 }
 
--- a/trial/run.go
+++ b/trial/run.go
@@ -85,14 +85,14 @@
 
 func (t *trial) addTarget(self *chestnutstep.Target, i int) {
 	g := &target{
-		trial:   t,
-		self:    self,
-		domain:  i % max(1, t.cfg.Domains),
-		gate:    t.cfg.newGate(),
-		mean:    &mean.Sampler{Model: t.cfg.Model.Name, Target: self.Name},
-		movedTo: make(map[string]*target),
-		waiting: make(map[string]*request),
-		slow:    1,
+		trial:      t,
+		self:       self,
+		domain:     i % max(1, t.cfg.Domains),
+		gate:       t.cfg.newGate(),
+		mean:       &mean.Sampler{Model: t.cfg.Model.Name, Target: self.Name},
+		movedTo:    make(map[string]*target),
+		waiting:    make(map[string]*request),
+		slowFactor: 1,
 	}
 	g.cache.capacity = t.cfg.CacheChats
 	g.cache.clear()
@@ -122,7 +122,7 @@
 	if t.cfg.SlowFactor > 0 {
 		t.after(t.cfg.Duration/3, func() {
 			t.targets[0].advance()
-			t.targets[0].slow = t.cfg.SlowFactor
+			t.targets[0].slowFactor = t.cfg.SlowFactor
 			t.targets[0].replan()
 		})
 	}
@@ -224,7 +224,7 @@
 		if g.domain == 0 {
 			if !t.cfg.WarmReturn {
 				g.cache.clear()
-				g.started = t.now
+				g.startedAt = t.now
 				g.gate.MarkCold(t.time())
 				if t.direct != nil {
 					t.direct.startCounts[g.self.Name]++
--- a/trial/surge.go
+++ b/trial/surge.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// SurgeConfig describes a load on targets without agents. Targets queue requests by urgency
-// and never drop a queued request, as engines do.
+// SurgeConfig describes a load, up to several times the capacity of the targets, in a fleet
+// without agents. Targets queue requests by urgency and never hand a queued request back to its
+// entry, as engines do; it leaves the queue only when it starts or its caller gives up.
 type SurgeConfig struct {
 	Seed    uint64
 	Entries int
@@ -47,7 +48,7 @@
 	share     float64
 	hold      time.Duration
 	objective time.Duration
-	limit     time.Duration
+	timeout   time.Duration
 }
 
 // surgeKinds lists long urgent requests, longer and less urgent ones, and short requests that are
@@ -105,14 +106,14 @@
 
 func (s *surgeRun) result() SurgeResult {
 	var r SurgeResult
-	asked, inTime := 0, 0
+	sent, inTime := 0, 0
 	for _, k := range s.counts {
-		asked += k[0]
+		sent += k[0]
 		inTime += k[1]
 		r.Kinds = append(r.Kinds, ratio(k[1], k[0]))
 	}
 	r.Goodput = float64(inTime) / (s.cfg.Duration - s.cfg.Warmup).Seconds()
-	r.InTime, r.Refused = ratio(inTime, asked), ratio(s.refused, asked)
+	r.InTime, r.Refused = ratio(inTime, sent), ratio(s.refused, sent)
 	r.SmallInTime = ratio(s.smallCounts[1], s.smallCounts[0])
 	slices.Sort(s.firstBytes)
 	if len(s.firstBytes) > 0 {
--- a/trial/surge_run.go
+++ b/trial/surge_run.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// rate returns the capacity of all targets in requests per second.
-func (s *surgeRun) rate() float64 {
+// capacity returns the capacity of all targets in requests per second.
+func (s *surgeRun) capacity() float64 {
 	mean := 0.0
 	for _, k := range surgeKinds {
 		mean += k.share * k.hold.Seconds()
@@ -124,7 +124,7 @@
 
 // arrive generates a request and schedules the next arrival.
 func (s *surgeRun) arrive() {
-	s.after(time.Duration(s.rand.ExpFloat64()/(s.rate()*s.cfg.Offered)*float64(time.Second)), s.arrive)
+	s.after(time.Duration(s.rand.ExpFloat64()/(s.capacity()*s.cfg.Offered)*float64(time.Second)), s.arrive)
 	r := &surgeRequest{id: fmt.Sprint("r", s.seq), seq: s.seq, arrivedAt: s.now, workspace: s.workspace()}
 	u := s.rand.Float64()
 	for u >= surgeKinds[r.kind].share && r.kind < len(surgeKinds)-1 {
@@ -170,7 +170,7 @@
 	}
 	heap.Push(&g.waiting, r)
 	s.begin(g)
-	s.after(r.arrivedAt+surgeKinds[r.kind].limit-s.now, func() { s.expire(g, r) })
+	s.after(r.arrivedAt+surgeKinds[r.kind].timeout-s.now, func() { s.expire(g, r) })
 }
 
 // refuse schedules a retry at the first refusal of a request and counts the second one.
--- a/trial/target.go
+++ b/trial/target.go
@@ -22,10 +22,10 @@
 
 	running     []*request
 	waiting     map[string]*request
-	slow        float64
+	slowFactor  float64
 	down        bool
 	isOut       bool
-	started     time.Duration
+	startedAt   time.Duration
 	advancedAt  time.Duration
 	planVersion int
 }
@@ -96,13 +96,13 @@
 }
 
 func (g *target) isFragile() bool {
-	return g.started > 0 && g.trial.now-g.started < g.trial.cfg.FragileTime
+	return g.startedAt > 0 && g.trial.now-g.startedAt < g.trial.cfg.FragileTime
 }
 
 // speed returns the speed of each running request, as a fraction of full speed.
 func (g *target) speed() float64 {
 	n, slots := len(g.running), max(1, g.trial.cfg.Model.Slots)
-	return min(1, float64(slots)/float64(max(1, n))) / g.slow
+	return min(1, float64(slots)/float64(max(1, n))) / g.slowFactor
 }
 
 // advance updates the remaining work of all running requests to the current time.
@@ -162,7 +162,7 @@
 	if g.trial.direct != nil {
 		g.trial.direct.onEnd(r, o)
 	}
-	r.runningAt = nil
+	r.assignedTo = nil
 	g.replan()
 }
 
@@ -178,7 +178,7 @@
 	for _, x := range n.Dropped {
 		r := g.waiting[x.ID]
 		delete(g.waiting, x.ID)
-		r.runningAt = nil
+		r.assignedTo = nil
 		g.trial.onDropped(r, x.Decision)
 	}
 }
@@ -197,7 +197,7 @@
 	}
 	g.trial.after(g.trial.cfg.DownTime, func() {
 		g.down = false
-		g.started = g.trial.now
+		g.startedAt = g.trial.now
 		if g.trial.direct != nil {
 			g.trial.direct.onRestart(g)
 		}
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -12,9 +12,10 @@
 	return scaleToThird(ChurnConfig(multiple, p, false))
 }
 
-// TestCapCostsLittleReuse guards against a cap that displaces chats from the target with their
-// cached prefix, which then has to be computed again. With hints and a short wait at the home
-// target, the cap evens out the load at little cost in reuse.
+// TestCapCostsLittleReuse guards against a cap that displaces returning chats from the target with
+// their cached prefix, which then has to be computed again while the user waits. Without a cap, the
+// users of other chats on the most loaded targets wait instead. With hints and a short wait at the
+// home target, the cap evens out the load at little cost in reuse.
 func TestCapCostsLittleReuse(t *testing.T) {
 	policy := FullPolicy
 	uncapped := Run(smallConfig(0, policy))
@@ -73,13 +74,13 @@
 // them cached. Entries that exchange reports recompute less than two thirds as many prefixes as
 // entries without reports, which find most prefixes by hash.
 func TestReportsIncreaseReuse(t *testing.T) {
-	play := func(interval time.Duration) Result {
+	run := func(interval time.Duration) Result {
 		cfg := smallConfig(0, Policy{Import: true})
 		cfg.Entries, cfg.ReportInterval = 24, interval
 		cfg.Duration, cfg.Warmup = 6*time.Minute, 3*time.Minute
 		return Run(cfg)
 	}
-	withReports, withoutReports := play(400*time.Millisecond), play(0)
+	withReports, withoutReports := run(400*time.Millisecond), run(0)
 	t.Logf("with reports: reuse %.3f, fetched %.3f, largest99 %.2f, in time %.4f", withReports.All.Reuse, withReports.All.Imported, withReports.MaxToMean99, withReports.All.InTime)
 	t.Logf("without reports: reuse %.3f, fetched %.3f, largest99 %.2f, in time %.4f", withoutReports.All.Reuse, withoutReports.All.Imported, withoutReports.MaxToMean99, withoutReports.All.InTime)
 	recomputed := func(r Result) float64 { return 1 - r.All.Reuse - r.All.Imported }
@@ -88,7 +89,7 @@
 	assert.Assert(t, recomputed(withoutReports) < 0.15, "recomputed: %.3f without reports", recomputed(withoutReports))
 	assert.Assert(t, withReports.MaxToMean99 < withoutReports.MaxToMean99, "max/mean load %.2f with reports, %.2f without", withReports.MaxToMean99, withoutReports.MaxToMean99)
 	assert.Assert(t, withReports.All.InTime > 0.99, "in time %.4f", withReports.All.InTime)
-	assert.DeepEqual(t, withReports, play(400*time.Millisecond))
+	assert.DeepEqual(t, withReports, run(400*time.Millisecond))
 }
 
 // TestDomainLeavesAndReturnsWithoutAgents guards against lost prefixes while a third of the fleet
