--- a/soak/check.go
+++ b/soak/check.go
@@ -55,13 +55,13 @@
 }
 
 func (s *Soak) checkRequest(x *request, runs []stand.Run) error {
-	once := x.kind == "book" || x.kind == "talk/stream"
+	atMostOnce := x.kind == "book" || x.kind == "talk/stream"
 	switch {
 	case strings.HasPrefix(x.result, "wrong"):
 		return errors.Newf("%s (%s): %s", x.id, x.kind, x.result)
-	case once && len(runs) > 1:
+	case atMostOnce && len(runs) > 1:
 		return errors.Newf("%s (%s) ran %d times", x.id, x.kind, len(runs))
-	case once && refusalStatuses[x.status] && len(runs) > 0:
+	case atMostOnce && refusalStatuses[x.status] && len(runs) > 0:
 		return errors.Newf("%s (%s) was refused with status %d but ran", x.id, x.kind, x.status)
 	case len(runs) > 2:
 		return errors.Newf("%s (%s) ran %d times, maximum is 2", x.id, x.kind, len(runs))
--- a/soak/entry.go
+++ b/soak/entry.go
@@ -43,7 +43,7 @@
 // Ports of each entry: the same on all hosts of a platform, and below the range of
 // ephemeral ports.
 const (
-	callersPort = 21000 + iota
+	frontendPort = 21000 + iota
 	readyPort
 	controlPort
 	firstPort
@@ -62,11 +62,11 @@
 func (s *Soak) newEntry(i int, seed string) (*entry, error) {
 	e := &entry{
 		soak: s, number: i, storeServer: s.store.NewServer(), file: filepath.Join(s.Dir, fmt.Sprintf("entry-%d.json", i)),
-		frontendAddr: address(i, callersPort), readyAddr: address(i, readyPort), controlAddr: address(i, controlPort),
+		frontendAddr: address(i, frontendPort), readyAddr: address(i, readyPort), controlAddr: address(i, controlPort),
 	}
 	e.relay = &pipe.Relay{Backend: e.storeServer.Address()}
 	if err := e.relay.Start(); err != nil {
-		return nil, errors.Wrap(err, "relay")
+		return nil, errors.Wrap(err, "start relay to the store")
 	}
 	settings := map[string]any{
 		"nodeName": fmt.Sprintf("entry-%d", i), "ip": host(i), "zone": "z", "region": "r",
@@ -81,29 +81,29 @@
 	}
 	raw, err := json.Marshal(settings)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "write settings of the entry")
 	}
 	if err := os.WriteFile(e.file, raw, 0o600); err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "write settings of the entry")
 	}
 	return e, e.start()
 }
 
 // start starts the process unless one is running.
 func (e *entry) start() error {
-	if e.exited != nil && !e.hasExited(0) {
+	if e.exited != nil && !e.waitExit(0) {
 		return nil
 	}
 	log, err := os.OpenFile(e.soak.logFile(e.number), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open log of the entry")
 	}
 	defer log.Close()
 	cmd := exec.Command(e.soak.Program, "entry")
 	cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+e.file)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		return errors.Wrap(err, "start")
+		return errors.Wrap(err, "start entry process")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,9 +142,9 @@
 	return e.exited
 }
 
-// hasExited waits up to limit for the current process to exit and reports whether it
+// waitExit waits up to limit for the current process to exit and reports whether it
 // did.
-func (e *entry) hasExited(limit time.Duration) bool { return waitExit(e.currentExit(), limit) }
+func (e *entry) waitExit(limit time.Duration) bool { return waitExit(e.currentExit(), limit) }
 
 func waitExit(exited <-chan struct{}, limit time.Duration) bool {
 	if limit <= 0 {
@@ -165,7 +165,7 @@
 
 func (e *entry) kill() {
 	e.signal(syscall.SIGKILL)
-	e.hasExited(5 * time.Second)
+	e.waitExit(5 * time.Second)
 }
 
 // isReady sends the readiness probe of the platform's load balancer.
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -64,7 +64,7 @@
 		e.storeServer.SetFailure(stand.NoFailure)
 		e.relay.Heal()
 		e.signal(syscall.SIGCONT)
-		if e.hasExited(0) {
+		if e.waitExit(0) {
 			_ = e.start() // an error shows up in check as requests that are not served
 		}
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -127,7 +127,7 @@
 		}
 	}
 	if err := os.MkdirAll(s.Dir, 0o755); err != nil {
-		return errors.Wrap(err, "soak folder")
+		return errors.Wrap(err, "create directory of the run")
 	}
 	seed := ""
 	for i := range entryCount {
@@ -152,7 +152,7 @@
 	x.EventCount, x.EventInterval = 6, 10*time.Millisecond
 	x.relay = &pipe.Relay{Backend: x.Address()}
 	if err := x.relay.Start(); err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrap(err, "start relay to the target")
 	}
 	s.targets = append(s.targets, x)
 	s.putTarget(x, "ready")
