--- a/faults/scenario_test.go
+++ b/faults/scenario_test.go
@@ -178,7 +178,7 @@
 }
 
 // matches reports whether an execution belongs to this call. An action is matched by
-// its name, because repeated requests for it have different ids.
+// its name, because repeated requests for it can have different ids.
 func (c *call) matches(e fake.Execution) bool {
 	if c.action != "" {
 		return e.Action == c.action
