--- a/board/board.go
+++ b/board/board.go
@@ -36,8 +36,8 @@
 // first call. It is safe for concurrent use.
 type Board struct {
 	// ColdBounds returns the limits on what all entries together send to a cold target in a
-	// second: over times its rate, plus slack requests. If nil, the defaults apply.
-	ColdBounds func() (over, slack float64)
+	// second: factor times its rate, plus slack requests. If nil, the defaults apply.
+	ColdBounds func() (factor, slack float64)
 	// Overloaded reports whether work is waiting for this entry's own processor. Its timeouts
 	// are then no evidence of failed hosts. If nil, the entry is never overloaded.
 	Overloaded func() bool
--- a/cmd/chestnutstep/serve.go
+++ b/cmd/chestnutstep/serve.go
@@ -49,7 +49,7 @@
 		Settings: s,
 		Source:   store.TopicSource,
 		Decoder:  store,
-		Wire:     platform.HeaderCodec{},
+		Codec:    platform.HeaderCodec{},
 		Caches:   platform.NewTargetClient(),
 		Reloader: &config.Reloader{Path: file, Parse: parse, Read: raw},
 	}
--- a/node/cacheindex_test.go
+++ b/node/cacheindex_test.go
@@ -49,7 +49,7 @@
 	}
 	source := platform.NewStore(d.storeServer.Address(), link.Dial)
 	n := &node.Direct{
-		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Decoder: source, Caches: platform.NewTargetClient(),
+		Settings: d.settings, Source: source.TopicSource, Codec: platform.HeaderCodec{}, Out: d.out, Decoder: source, Caches: platform.NewTargetClient(),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -179,7 +179,7 @@
 	d := &direct{settings: directSettings(t, storeServer.Address()), storeServer: storeServer, out: &blockableLog{}}
 	d.settings.Bootstrap = false
 	n := &node.Direct{
-		Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out, Caches: platform.NewTargetClient(),
+		Settings: d.settings, Source: slow.topic(source), Codec: platform.HeaderCodec{}, Out: d.out, Caches: platform.NewTargetClient(),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
--- a/node/direct.go
+++ b/node/direct.go
@@ -60,7 +60,7 @@
 	Settings *config.DirectSettings
 	// Source returns the source of a topic.
 	Source func(chestnutstep.Topic) chestnutstep.Source
-	Wire   chestnutstep.HeaderCodec
+	Codec  chestnutstep.HeaderCodec
 	// Decoder decodes facts copied from peers; nil disables reading from peers.
 	Decoder chestnutstep.Decoder
 	// Caches lists the cached prefixes of targets; nil disables listing.
@@ -196,7 +196,7 @@
 		Roster:      n.roster,
 		Board:       n.board,
 		Pool:        n.pool,
-		Wire:        n.Wire,
+		Codec:       n.Codec,
 		Crashes:     n.crashes,
 		Log:         n.log,
 		Meters:      &n.meters.Relay,
--- a/node/direct_test.go
+++ b/node/direct_test.go
@@ -80,7 +80,7 @@
 	t.Cleanup(d.stop)
 	source := platform.NewStore(d.storeServer.Address(), link.Dial)
 	n := &node.Direct{
-		Settings: d.settings, Source: source.TopicSource, Wire: platform.HeaderCodec{}, Out: d.out, Reloader: reloader, Decoder: source,
+		Settings: d.settings, Source: source.TopicSource, Codec: platform.HeaderCodec{}, Out: d.out, Reloader: reloader, Decoder: source,
 	}
 	go func() { d.done <- n.Run(ctx) }()
 	waitFor(t, func() bool { return d.ready() == http.StatusOK }, "the entry is ready")
@@ -300,7 +300,7 @@
 	source := platform.NewStore(storeServer.Address(), link.Dial)
 	slow := &slowList{Source: source.TopicSource(chestnutstep.TopicTargets), called: make(chan struct{}), release: make(chan struct{})}
 	d := &direct{settings: directSettings(t, storeServer.Address()), storeServer: storeServer, out: &blockableLog{}}
-	n := &node.Direct{Settings: d.settings, Source: slow.topic(source), Wire: platform.HeaderCodec{}, Out: d.out}
+	n := &node.Direct{Settings: d.settings, Source: slow.topic(source), Codec: platform.HeaderCodec{}, Out: d.out}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() { _ = n.Run(ctx) }()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -32,7 +32,7 @@
 	Roster  *roster.Roster
 	Board   *board.Board
 	Pool    *link.Pool
-	Wire    chestnutstep.HeaderCodec
+	Codec   chestnutstep.HeaderCodec
 	Budgets *retry.Budgets
 	Crashes *CrashTracker
 	Log     *event.Log
@@ -93,7 +93,7 @@
 	if e.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{Relay: e, w: w, r: r, startedAt: time.Now(), callerHeaders: e.Wire.CallerHeaders(r.Header), view: e.Roster.View()}
+	q := &request{Relay: e, w: w, r: r, startedAt: time.Now(), callerHeaders: e.Codec.CallerHeaders(r.Header), view: e.Roster.View()}
 	if refused := q.accept(); refused != nil {
 		q.refuse(*refused)
 		return
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -89,7 +89,7 @@
 func newRelay(ros *roster.Roster, bounds config.Bounds, retries float64) *relay.Relay {
 	return &relay.Relay{
 		Domain: "d", Bounds: func() config.Bounds { return bounds },
-		Roster: ros, Board: &board.Board{}, Pool: &link.Pool{}, Wire: platform.HeaderCodec{},
+		Roster: ros, Board: &board.Board{}, Pool: &link.Pool{}, Codec: platform.HeaderCodec{},
 		Crashes: &relay.CrashTracker{Meters: &meter.Relay{}}, Meters: &meter.Relay{}, IsBehind: func() bool { return false },
 		Budgets: &retry.Budgets{
 			Bounds:  func() retry.Bounds { return retry.Bounds{Ratio: retries, Slack: 100 * retries, Window: time.Second} },
--- a/relay/run.go
+++ b/relay/run.go
@@ -69,7 +69,7 @@
 	if time.Until(q.deadline) < minAttemptTime {
 		return false
 	}
-	if hasReachedTarget(err) && !q.Budgets.Spend(time.Now(), q.service.Name) {
+	if hasReachedTarget(err) && !q.Budgets.TryWithdraw(time.Now(), q.service.Name) {
 		q.Meters.RetriesDenied.Add(1, q.service.Name)
 		q.log(event.RelayBudget, event.Str("service", q.service.Name))
 		return false
@@ -88,7 +88,7 @@
 	now, t := clock.Now(), c.Target
 	q.triedTargets = append(q.triedTargets, t.ID)
 	if q.attempts.Sent+q.attempts.Unreached == 0 {
-		q.Budgets.Earn(time.Now(), q.service.Name)
+		q.Budgets.Deposit(time.Now(), q.service.Name)
 	}
 	q.stream.events = 0
 	run := q.Board.Start(now, t, q.service, q.callerHeaders.Parts, c.ReusableTokens(), q.requester())
@@ -104,7 +104,7 @@
 		q.recordFailure(run, t, err)
 		return false, err
 	}
-	headers := q.Wire.TargetHeaders(answer.Status, answer.Header)
+	headers := q.Codec.TargetHeaders(answer.Status, answer.Header)
 	if err := q.validate(answer, headers); err != nil {
 		answer.Close(false)
 		q.recordFailure(run, t, err)
@@ -161,7 +161,7 @@
 	if q.stream.started {
 		s.IsResume, s.LastEventID = true, q.stream.lastID
 	}
-	q.Wire.SetForwardHeaders(h, s)
+	q.Codec.SetForwardHeaders(h, s)
 	return &link.Call{
 		Method:         q.r.Method,
 		URI:            q.r.RequestURI,
--- a/relay/shed.go
+++ b/relay/shed.go
@@ -67,7 +67,7 @@
 // rejection decides on a request by its first bytes, and returns the answer if the request is
 // rejected, else nil.
 func (s *Shedder) rejection(head []byte) []byte {
-	id, key := s.Relay.Wire.Peek(head)
+	id, key := s.Relay.Codec.Peek(head)
 	workspace := s.workspaceOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +115,7 @@
 
 func (s *Shedder) formatAnswer(after time.Duration) []byte {
 	h := http.Header{"Connection": {"close"}, "Content-Length": {"0"}}
-	s.Relay.Wire.SetRetryAfter(h, after)
+	s.Relay.Codec.SetRetryAfter(h, after)
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", http.StatusServiceUnavailable, http.StatusText(http.StatusServiceUnavailable))
 	_ = h.Write(&b) // a bytes.Buffer never returns an error
--- a/relay/validate.go
+++ b/relay/validate.go
@@ -158,7 +158,7 @@
 // refuse sends an answer of the relay itself.
 func (q *request) refuse(f refusal) {
 	if f.retryAfter > 0 {
-		q.Wire.SetRetryAfter(q.w.Header(), f.retryAfter)
+		q.Codec.SetRetryAfter(q.w.Header(), f.retryAfter)
 	}
 	q.w.Header().Set("Content-Type", "text/plain")
 	q.w.WriteHeader(f.status)
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -54,15 +54,15 @@
 	return bucket
 }
 
-// Earn adds the earnings of one first send.
-func (b *Budgets) Earn(now time.Time, service string) {
+// Deposit adds the earnings of one first send.
+func (b *Budgets) Deposit(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bucket(service).Deposit(now)
 }
 
-// Spend takes one retry from the budget, and reports whether there was one.
-func (b *Budgets) Spend(now time.Time, service string) bool {
+// TryWithdraw takes one retry from the budget, and reports whether there was one.
+func (b *Budgets) TryWithdraw(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.bucket(service).TryWithdraw(now)
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -34,9 +34,9 @@
 			for second := range 40 {
 				for n := range 100 {
 					b := list[n*n%entries]
-					b.Earn(now, "s")
+					b.Deposit(now, "s")
 					first[second]++
-					for b.Spend(now, "s") {
+					for b.TryWithdraw(now, "s") {
 						repeated[second]++
 					}
 					now = now.Add(10 * time.Millisecond)
@@ -67,8 +67,8 @@
 			Bounds:  func() retry.Bounds { return fleetBounds },
 			Entries: func() int { return entries },
 		}
-		b.Earn(now, "s")
-		if b.Spend(now, "s") {
+		b.Deposit(now, "s")
+		if b.TryWithdraw(now, "s") {
 			repeats++
 		}
 	}
